--- a/src/tealcove/front/instance.py
+++ b/src/tealcove/front/instance.py
@@ -20,7 +20,7 @@
 from tealcove.dispatch import policy, requester, role, spread
 from tealcove.front import figures, parts, places, settings
 from tealcove.ingress import budget, exchange, http, tickets
-from tealcove.limits import asking, limit
+from tealcove.limits import central, limit
 from tealcove.membership import members, messages
 from tealcove.peers import endpoint
 from tealcove.platform import (
@@ -131,7 +131,7 @@
             CRASHES_TO_QUARANTINE,
         )
         self.quarantine.start()
-        self.limits = asking.AskingLimits(
+        self.limits = central.CentralLimits(
             self.mesh,
             self.members,
             self.find_limit,
--- a/src/tealcove/ingress/http.py
+++ b/src/tealcove/ingress/http.py
@@ -19,7 +19,7 @@
     observer,
     tickets,
 )
-from tealcove.limits import admission, asking
+from tealcove.limits import admission, central
 from tealcove.quarantine import role as quarantine_role
 
 log = logbook.Logger("ingress")
@@ -38,7 +38,7 @@
         services: exchange.Services,
         configuration: copies.ConfigurationCopy,
         spreading: spread.Spread,
-        limits: asking.AskingLimits,
+        limits: central.CentralLimits,
         quarantine: quarantine_role.Quarantine,
         codec: answers.Codec,
         source: measuring.Source | None = None,
--- a/src/tealcove/limits/asking.py
+++ b/src/tealcove/limits/central.py
@@ -36,12 +36,12 @@
 UNSETTLED_PART = 0.5
 
 
-class AskedCharge(admission.Charge):
+class CentralCharge(admission.Charge):
     """A charge that whoever counted it can take back."""
 
     def __init__(
         self,
-        limits: AskingLimits,
+        limits: CentralLimits,
         account: ids.AccountId,
         tokens: float,
         home: ids.InstanceId | None,
@@ -62,7 +62,7 @@
             self.limits.give_back(self.account, self.tokens - tokens, self.home)
 
 
-class AskingLimits(admission.Admission):
+class CentralLimits(admission.Admission):
     """Both sides: the entry's, and that of the home.
 
     Requests of a few accounts that are as large as a whole burst can't be counted on
@@ -107,7 +107,7 @@
         home, answer = await self.ask(account, tokens, request)
         if answer.retry_after > 0.0:
             raise admission.OverLimitError(account, answer.retry_after)
-        return AskedCharge(self, account, tokens, home)
+        return CentralCharge(self, account, tokens, home)
 
     async def ask(
         self, account: ids.AccountId, tokens: float, request: ids.RequestId
--- a/src/tealcove/limits/home.py
+++ b/src/tealcove/limits/home.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from tealcove import ids
-from tealcove.limits import book, limit, messages, presence
+from tealcove.limits import ledger, limit, messages, presence
 
 # For so many seconds after the set of serving instances has changed, a new book
 # begins with nothing to lend: the former home may have lent the burst already,
@@ -26,7 +26,7 @@
         self.lender = lender
         self.presence = present
         self.find_limit = find_limit
-        self.books: dict[ids.AccountId, book.Book] = {}
+        self.ledgers: dict[ids.AccountId, ledger.Ledger] = {}
         self.swept = ids.Instant(0.0)
 
     def answer(
@@ -64,14 +64,14 @@
 
     def open(
         self, account: ids.AccountId, found: limit.Limit, now: ids.Instant
-    ) -> book.Book:
+    ) -> ledger.Ledger:
         """Return the book of an account, with the limit now in force."""
-        held = self.books.get(account)
+        held = self.ledgers.get(account)
         if held is None:
             settled = now - self.presence.changed >= SETTLE_SECONDS
             free = found.burst if settled else 0.0
-            held = book.Book(found, free, now, {})
-            self.books[account] = held
+            held = ledger.Ledger(found, free, now, {})
+            self.ledgers[account] = held
         held.limit = found
         return held
 
@@ -80,7 +80,7 @@
         if now - self.swept < SWEEP_INTERVAL:
             return
         self.swept = now
-        for account, held in list(self.books.items()):
+        for account, held in list(self.ledgers.items()):
             held.strike_silent(now)
             if held.is_idle(now):
-                del self.books[account]
+                del self.ledgers[account]
--- a/src/tealcove/limits/book.py
+++ b/src/tealcove/limits/ledger.py
@@ -43,7 +43,7 @@
         return self.lent - self.returned - self.spent
 
 
-class Book(msgspec.Struct):
+class Ledger(msgspec.Struct):
     """An account at its home.
 
     The tokens are either free here or lent, and together never grow faster than
--- a/src/tealcove/limits/tests/builders.py
+++ b/src/tealcove/limits/tests/builders.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from tealcove import clock, ids
-from tealcove.limits import admission, asking, limit, messages, role
+from tealcove.limits import admission, central, limit, messages, role
 from tealcove.membership import members
 from tealcove.membership import messages as membership_messages
 from tealcove.peers import endpoint, message
@@ -142,10 +142,10 @@
         return charge
 
 
-class AskingLink:
+class CentralLink:
     """Stands in for a mesh between limits that ask: hands messages over at once."""
 
-    def __init__(self, group: AskingGroup, number: int) -> None:
+    def __init__(self, group: CentralGroup, number: int) -> None:
         self.group = group
         self.number = number
         self.sent: list[int] = []
@@ -168,7 +168,7 @@
         loop.call_soon(self.group.deliver, self.number, peer, sent)
 
 
-class AskingGroup:
+class CentralGroup:
     """Instances whose limits ask each other, in real time."""
 
     def __init__(self, count: int, found: limit.Limit) -> None:
@@ -176,9 +176,9 @@
         # Nobody has noticed yet that these are dead, or have no connection.
         self.dead: set[int] = set()
         self.unconnected: set[int] = set()
-        self.links = [AskingLink(self, number) for number in range(count)]
+        self.links = [CentralLink(self, number) for number in range(count)]
         self.limits = [
-            asking.AskingLimits(link, known, cluster.find_limit, SLACK, cluster.now)
+            central.CentralLimits(link, known, cluster.find_limit, SLACK, cluster.now)
             for link, known in zip(self.links, cluster.members, strict=True)
         ]
         now = clock.now()
--- a/src/tealcove/limits/tests/test_asking.py
+++ b/src/tealcove/limits/tests/test_central.py
@@ -8,11 +8,11 @@
 import pytest
 
 from tealcove import clock, ids
-from tealcove.limits import admission, asking, limit, messages, presence
+from tealcove.limits import admission, central, limit, messages, presence
 from tealcove.limits.tests import builders
 
 LIMIT = limit.Limit(rate=10.0, burst=1000.0)
-LATER = 2 * asking.SETTLE_SECONDS
+LATER = 2 * central.SETTLE_SECONDS
 
 
 @pytest.fixture
@@ -21,9 +21,9 @@
     return builders.Cluster(3, LIMIT)
 
 
-def new_limits(cluster: builders.Cluster) -> asking.AskingLimits:
+def new_limits(cluster: builders.Cluster) -> central.CentralLimits:
     """Return the limits of the first instance."""
-    return asking.AskingLimits(
+    return central.CentralLimits(
         cluster.links[0],
         cluster.members[0],
         cluster.find_limit,
@@ -43,7 +43,7 @@
 
 
 def passed(
-    limits: asking.AskingLimits, cluster: builders.Cluster, alone: bool = False
+    limits: central.CentralLimits, cluster: builders.Cluster, alone: bool = False
 ) -> float:
     """Return how many tokens pass at once, asked for in small requests."""
     decide = limits.decide_alone if alone else limits.decide
@@ -71,7 +71,7 @@
     burst; its home dies. Cause: the next home begins with a full bucket.
     """
     limits = new_limits(cluster)
-    part = asking.UNSETTLED_PART * LIMIT.burst
+    part = central.UNSETTLED_PART * LIMIT.burst
     assert part <= passed(limits, cluster) <= part + 50.0
 
 
@@ -90,7 +90,7 @@
     lose power, and nobody suspects them yet. Cause: an entry that doesn't reach the
     home of an account counts by its own equal part at once, a tenth of the limit here.
     """
-    group = builders.AskingGroup(10, LIMIT)
+    group = builders.CentralGroup(10, LIMIT)
     ranked = group.ranked()
     group.dead.update(ranked[:2])
     entry = next(n for n in range(10) if n not in ranked)
@@ -102,7 +102,7 @@
 
 
 async def test_homes_without_a_connection_are_passed_over_at_once() -> None:
-    group = builders.AskingGroup(10, LIMIT)
+    group = builders.CentralGroup(10, LIMIT)
     ranked = group.ranked()
     group.unconnected.update(ranked[:4])
     entry = next(n for n in range(10) if n not in ranked)
@@ -112,7 +112,7 @@
 
 async def test_an_entry_that_reaches_nobody_counts_by_itself() -> None:
     """Each request at an entry that is cut off waits for every home anew."""
-    group = builders.AskingGroup(10, LIMIT)
+    group = builders.CentralGroup(10, LIMIT)
     entry = next(n for n in range(10) if n not in group.ranked())
     group.dead.update(set(range(10)) - {entry})
     limits = group.limits[entry]
@@ -127,12 +127,12 @@
 
 async def test_whoever_stands_in_keeps_to_a_part_of_the_limit() -> None:
     """An account gets its limit twice while some entries can't reach its home."""
-    group = builders.AskingGroup(10, LIMIT)
+    group = builders.CentralGroup(10, LIMIT)
     second = group.limits[group.ranked()[1]]
     total = 0.0
     while second.decide(question(50.0), clock.now()).retry_after == 0.0:
         total += 50.0
-    part = asking.STAND_IN_PART * LIMIT.burst
+    part = central.STAND_IN_PART * LIMIT.burst
     assert part <= total <= part + 50.0
 
 
@@ -149,7 +149,7 @@
     count, tokens = 40, 5.0
     known = [cluster.new_members(number) for number in range(count)]
     began = [
-        asking.AskingLimits(
+        central.CentralLimits(
             cluster.links[0],
             members,
             cluster.find_limit,
@@ -160,14 +160,14 @@
         for members in known
     ]
 
-    def passing(limits: asking.AskingLimits) -> float:
+    def passing(limits: central.CentralLimits) -> float:
         total = 0.0
         while limits.decide(question(tokens), cluster.now).retry_after == 0.0:
             total += tokens
         return total
 
     # 20,000 where none counts those that it doesn't know yet.
-    unsettled = asking.UNSETTLED_PART * LIMIT.burst
+    unsettled = central.UNSETTLED_PART * LIMIT.burst
     assert sum(passing(limits) for limits in began) <= unsettled + count * tokens
     for other in known[1:]:
         known[0].hear(other.own, cluster.now)
@@ -181,7 +181,7 @@
 
 
 async def test_tokens_go_back_to_whoever_counted_them() -> None:
-    group = builders.AskingGroup(10, LIMIT)
+    group = builders.CentralGroup(10, LIMIT)
     ranked = group.ranked()
     group.dead.add(ranked[0])
     entry = next(n for n in range(10) if n not in ranked)
--- a/src/tealcove/limits/tests/test_asking_load.py
+++ b/src/tealcove/limits/tests/test_central_load.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from tealcove.limits import admission, asking, limit
+from tealcove.limits import admission, central, limit
 from tealcove.limits.tests import builders
 from tealcove.tests import virtual
 
@@ -20,10 +20,10 @@
 RESENT_SECONDS = 0.2
 
 
-class LossyLink(builders.AskingLink):
+class LossyLink(builders.CentralLink):
     """Delays a share of the messages as a lost packet does."""
 
-    def __init__(self, group: builders.AskingGroup, number: int, share: float) -> None:
+    def __init__(self, group: builders.CentralGroup, number: int, share: float) -> None:
         super().__init__(group, number)
         self.share = share
         self.source = random.Random(f"{number}/{share}")
@@ -36,7 +36,7 @@
 
 
 async def ask_at(
-    entries: list[asking.AskingLimits], wanted: float, seed: int
+    entries: list[central.CentralLimits], wanted: float, seed: int
 ) -> list[float]:
     """Ask at any of some entries for so many times the limit.
 
@@ -73,7 +73,7 @@
     """
 
     async def play() -> None:
-        group = builders.AskingGroup(COUNT, LIMIT)
+        group = builders.CentralGroup(COUNT, LIMIT)
         for number, limits in enumerate(group.limits):
             limits.transport = LossyLink(group, number, 0.025)
         passed = sum(await ask_at(group.limits, 3.0, seed))
@@ -96,7 +96,7 @@
     """
 
     async def play() -> None:
-        group = builders.AskingGroup(MANY, LIMIT)
+        group = builders.CentralGroup(MANY, LIMIT)
         others = random.Random(1).sample(range(MANY), DEAD)
         group.dead.update({group.ranked()[0], *others})
         living = [group.limits[n] for n in range(MANY) if n not in group.dead]
--- a/src/tealcove/limits/tests/test_limits.py
+++ b/src/tealcove/limits/tests/test_limits.py
@@ -162,7 +162,7 @@
     for limits in used.limits:
         assert limits.allowances == {}
         assert limits.asked == {}
-        assert limits.home.books == {}
+        assert limits.home.ledgers == {}
 
 
 def test_a_limit_by_default_bursts_for_ten_seconds() -> None:
