--- a/bench/slopes/limits.py
+++ b/bench/slopes/limits.py
@@ -80,11 +80,11 @@
         own = self.entry.members.own.instance
         began = time.process_time()
         for _, report in self.wire.taken():
-            self.homes.take_report(own, report, self.now)
+            self.homes.handle_report(own, report, self.now)
         self.home_seconds += time.process_time() - began
         began = time.process_time()
         for _, lending in self.answers.taken():
-            self.entry.take_lending(own, lending, self.now)
+            self.entry.handle_lending(own, lending, self.now)
         self.entry_seconds += time.process_time() - began
 
 
@@ -92,7 +92,7 @@
     """Return the figures a second of one entry."""
     bench = Bench(instances, accounts)
     for account in bench.accounts:
-        bench.entry.open(account, bench.now)
+        bench.entry.open_allowance(account, bench.now)
     for _ in range(WARM_SECONDS):
         bench.second()
     bench.wire.messages = bench.wire.bytes = bench.answers.bytes = 0
--- a/src/tealcove/limits/allowance.py
+++ b/src/tealcove/limits/allowance.py
@@ -11,11 +11,11 @@
 # home, where the entries that need it get it.
 KEEP_SECONDS = 1.0
 # An entry asks for more once it has spent this part of what it had.
-LOW_PART = 0.5
+LOW_FRACTION = 0.5
 # What the home lends beyond its entry's share counts as a lump from here on.
-LEAST_LUMP_SECONDS = 0.25
-LONGEST_RETRY = 60.0
-SHORTEST_RETRY = 1.0
+MIN_LUMP_SECONDS = 0.25
+MAX_RETRY_SECONDS = 60.0
+MIN_RETRY_SECONDS = 1.0
 
 
 class Allowance(msgspec.Struct):
@@ -23,34 +23,34 @@
 
     limit: limit.Limit
     rate: float
-    opened: ids.Instant
-    used: ids.Instant
-    updated: ids.Instant
+    opened_at: ids.Instant
+    used_at: ids.Instant
+    updated_at: ids.Instant
     lent: float = 0.0
     spent: float = 0.0
     wanted: float = 0.0
     returned: float = 0.0
     lender: str = ""
     # The credit at the last lending, which tells when to ask for more.
-    had: float = 0.0
+    credit_when_lent: float = 0.0
     # Whether the home may have more: it lent some the last time.
-    more: bool = True
+    home_has_more: bool = True
 
     def credit(self) -> float:
         """Return what may be spent now; below 0 it is a debt."""
         return self.lent - self.returned - self.spent
 
-    def grow(self, now: ids.Instant) -> None:
+    def refill(self, now: ids.Instant) -> None:
         """Add the share of the time since the last call.
 
         Without news from the home this goes on at the last share, up to its
         part of the burst: an entry that is cut off is never unlimited.
         """
-        added = self.rate * max(0.0, now - self.updated)
+        added = self.rate * max(0.0, now - self.updated_at)
         most = self.limit.burst * self.rate / self.limit.rate
         room = max(0.0, most - self.credit())
         self.lent += min(added, room)
-        self.updated = now
+        self.updated_at = now
 
     def spend(self, tokens: float, now: ids.Instant) -> bool:
         """Take tokens if there is any credit; False if there is none.
@@ -59,8 +59,8 @@
         only a prediction, and one larger than the whole share would never fit.
         Debts are paid off before anything else is admitted.
         """
-        self.grow(now)
-        self.used = now
+        self.refill(now)
+        self.used_at = now
         self.wanted += tokens
         if self.credit() <= 0.0:
             return False
@@ -73,35 +73,37 @@
 
     def is_low(self) -> bool:
         """Tell whether it's time to ask for more, and of any use."""
-        return self.more and self.credit() <= self.had * LOW_PART
+        return (
+            self.home_has_more and self.credit() <= self.credit_when_lent * LOW_FRACTION
+        )
 
     def retry_after(self) -> float:
         """Return the seconds until there is credit again."""
         if self.rate <= 0.0:
-            return LONGEST_RETRY
+            return MAX_RETRY_SECONDS
         wait = -self.credit() / self.rate
-        return min(LONGEST_RETRY, max(SHORTEST_RETRY, wait))
+        return min(MAX_RETRY_SECONDS, max(MIN_RETRY_SECONDS, wait))
 
-    def take(self, lender: str, share: messages.Share, now: ids.Instant) -> None:
+    def apply_share(self, lender: str, share: messages.Share, now: ids.Instant) -> None:
         """Take over what the home says; it counts the share's growth too."""
-        self.grow(now)
-        self.more = share.lent > self.lent + share.rate * LEAST_LUMP_SECONDS
+        self.refill(now)
+        self.home_has_more = share.lent > self.lent + share.rate * MIN_LUMP_SECONDS
         self.lender = lender
         self.lent = share.lent
         self.rate = share.rate
-        self.updated = now
-        self.had = max(0.0, self.credit())
+        self.updated_at = now
+        self.credit_when_lent = max(0.0, self.credit())
 
     def report(
         self, account: ids.AccountId, now: ids.Instant, closing: bool
     ) -> messages.Usage:
         """Return what the home is told; gives back what isn't needed."""
-        self.grow(now)
+        self.refill(now)
         kept = 0.0 if closing else self.rate * KEEP_SECONDS
         self.returned += max(0.0, self.credit() - kept)
         return messages.Usage(
             account=account,
-            opened=self.opened,
+            opened=self.opened_at,
             spent=self.spent,
             wanted=self.wanted,
             returned=self.returned,
--- a/src/tealcove/limits/central.py
+++ b/src/tealcove/limits/central.py
@@ -19,21 +19,21 @@
 # Seconds that an entry waits for an account's home. It answers within 5 ms over the
 # links between data centres; one that doesn't is dead, frozen or cut off, and the
 # caller hopes for its first event within some 500 ms.
-PATIENCE = 0.1
+REPLY_TIMEOUT = 0.1
 # Homes that a request waits for, one after the other: more would cost it its goal.
-MOST_WAITS = 3
+MAX_UNANSWERED = 3
 # Seconds for which one that didn't answer isn't asked again. A dead one is suspected
 # after 1 s, or 3 s in a large group.
 SILENT_SECONDS = 1.0
 # What an instance keeps of a limit while it stands in for a home that others rank
 # first: that one may live, out of reach of some entries only.
-STAND_IN_PART = 0.5
+STAND_IN_FRACTION = 0.5
 # For so many seconds after the instances have changed, a new bucket begins with
-# only this part of the burst: the home before it may have let the rest pass. With a
+# only this fraction of the burst: the home before it may have let the rest pass. With a
 # tenth, an eighth of the requests after a restart of everything got 429; with half,
 # two changes of the home within seconds let one burst too much pass.
 SETTLE_SECONDS = 10.0
-UNSETTLED_PART = 0.5
+UNSETTLED_FRACTION = 0.5
 
 
 class CentralCharge(admission.Charge):
@@ -59,7 +59,7 @@
             return
         self.is_settled = True
         if tokens < self.tokens:
-            self.limits.give_back(self.account, self.tokens - tokens, self.home)
+            self.limits.refund(self.account, self.tokens - tokens, self.home)
 
 
 class CentralLimits(admission.Admission):
@@ -86,17 +86,17 @@
         # What this instance lets pass as a home, and what by itself when it
         # reaches none.
         self.buckets: dict[ids.AccountId, bucket.Bucket] = {}
-        self.own_parts: dict[ids.AccountId, bucket.Bucket] = {}
-        self.numbers = itertools.count(1)
-        self.asked: dict[int, asyncio.Future[messages.Charged]] = {}
+        self.local_buckets: dict[ids.AccountId, bucket.Bucket] = {}
+        self.question_numbers = itertools.count(1)
+        self.pending: dict[int, asyncio.Future[messages.Charged]] = {}
         # Homes that left a question unanswered.
         self.silence = silence.Silence(SILENT_SECONDS)
 
     def start(self) -> None:
         """Begin to answer."""
-        self.transport.handle(messages.AskCharge, self.take_question)
-        self.transport.handle(messages.Charged, self.take_answer)
-        self.transport.handle(messages.GiveBack, self.take_back)
+        self.transport.handle(messages.AskCharge, self.handle_question)
+        self.transport.handle(messages.Charged, self.handle_answer)
+        self.transport.handle(messages.GiveBack, self.handle_refund)
 
     async def admit(
         self, account: ids.AccountId, tokens: float, request: ids.RequestId
@@ -118,30 +118,35 @@
         the first in rank asked, entries would count by their own part at once, which
         refuses each account's second request.
         """
-        self.presence.follow(clock.now())
+        self.presence.refresh(clock.now())
         question = messages.AskCharge(
-            number=next(self.numbers), account=account, tokens=tokens, request=request
+            number=next(self.question_numbers),
+            account=account,
+            tokens=tokens,
+            request=request,
         )
         waits = 0
         for instance in self.presence.ranked(account):
             if instance == self.members.own.instance:
                 return instance, self.decide(question, clock.now())
-            if waits == MOST_WAITS:
+            if waits == MAX_UNANSWERED:
                 break
             # A late answer of the one before must not be taken for this one's.
-            question = msgspec.structs.replace(question, number=next(self.numbers))
-            if not self.send_to(instance, question, clock.now()):
+            question = msgspec.structs.replace(
+                question, number=next(self.question_numbers)
+            )
+            if not self.send_question(instance, question, clock.now()):
                 continue
-            answer = await self.wait_for(question.number)
+            answer = await self.wait_for_reply(question.number)
             if answer is not None:
                 return instance, answer
             waits += 1
             self.silence.note(instance, clock.now())
             extra = {"request": request}
             log.info("home {} of {} is silent", instance, account, extra=extra)
-        return None, self.decide_alone(question, clock.now())
+        return None, self.decide_locally(question, clock.now())
 
-    def send_to(
+    def send_question(
         self, instance: ids.InstanceId, question: messages.AskCharge, now: ids.Instant
     ) -> bool:
         """Send a question; False: it was silent lately, or can't be reached."""
@@ -150,51 +155,51 @@
         peer = self.members.endpoint_of(instance)
         return peer is not None and self.transport.send(peer, question)
 
-    async def wait_for(self, number: int) -> messages.Charged | None:
+    async def wait_for_reply(self, number: int) -> messages.Charged | None:
         """Return the answer to a question; None when it doesn't come in time."""
         answer = asyncio.get_running_loop().create_future()
-        self.asked[number] = answer
+        self.pending[number] = answer
         try:
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(REPLY_TIMEOUT):
                 return await answer
         except TimeoutError:
             return None
         finally:
-            del self.asked[number]
+            del self.pending[number]
 
     def decide(
         self, question: messages.AskCharge, now: ids.Instant
     ) -> messages.Charged:
         """Answer as the home of an account, or in place of one."""
-        self.presence.follow(now)
-        part = self.presence.part(now)
+        self.presence.refresh(now)
+        fraction = self.presence.lendable_fraction(now)
         if self.presence.home(question.account) != self.members.own.instance:
-            part *= STAND_IN_PART
-            return self.take(self.buckets, question, part, part, now)
-        settled = now - self.presence.changed >= SETTLE_SECONDS
-        first = 1.0 if settled else UNSETTLED_PART * part
-        return self.take(self.buckets, question, first, part, now)
+            fraction *= STAND_IN_FRACTION
+            return self.charge(self.buckets, question, fraction, fraction, now)
+        settled = now - self.presence.changed_at >= SETTLE_SECONDS
+        first = 1.0 if settled else UNSETTLED_FRACTION * fraction
+        return self.charge(self.buckets, question, first, fraction, now)
 
-    def decide_alone(
+    def decide_locally(
         self, question: messages.AskCharge, now: ids.Instant
     ) -> messages.Charged:
         """Answer by this instance's equal part of the limit, out of reach of a home."""
-        self.presence.follow(now)
-        others = self.presence.count_lost(now) + self.presence.count_unheard(now)
-        part = 1.0 / (self.presence.count() + others)
-        return self.take(self.own_parts, question, part, part, now)
+        self.presence.refresh(now)
+        others = self.presence.count_lost(now) + self.presence.count_undiscovered(now)
+        fraction = 1.0 / (self.presence.count() + others)
+        return self.charge(self.local_buckets, question, fraction, fraction, now)
 
-    def take(
+    def charge(
         self,
         buckets: dict[ids.AccountId, bucket.Bucket],
         question: messages.AskCharge,
         first: float,
-        part: float,
+        fraction: float,
         now: ids.Instant,
     ) -> messages.Charged:
         """Answer from one of the sets of buckets.
 
-        A new bucket holds a part `first` of the burst; `part` is the part of the
+        A new bucket holds a fraction `first` of the burst; `fraction` is that of the
         limit that the set stands for.
         """
         limit = self.find_limit(question.account)
@@ -206,8 +211,8 @@
         elif held is None:
             held = buckets[question.account] = bucket.Bucket.unsettled(now)
         if first < 1.0:
-            held.open_unsettled(limit.burst, first)
-        after = held.take(question.tokens, limit, part, self.slack, now)
+            held.add_unsettled_burst(limit.burst, first)
+        after = held.take(question.tokens, limit, fraction, self.slack, now)
         log.info(
             "{} of {}: {} for {:.0f} tokens, {:.0f} left, {:.0f} a second, part {:.2f}",
             "passed" if after == 0.0 else "over the limit",
@@ -216,12 +221,12 @@
             question.tokens,
             held.level,
             limit.rate,
-            part,
+            fraction,
             extra={"request": question.request, "final": after > 0.0},
         )
         return messages.Charged(number=question.number, retry_after=after)
 
-    def take_question(
+    def handle_question(
         self, sender: ids.InstanceId, question: messages.AskCharge
     ) -> None:
         """Answer an entry."""
@@ -229,34 +234,34 @@
         if peer is not None:
             self.transport.send(peer, self.decide(question, clock.now()))
 
-    def take_answer(self, sender: ids.InstanceId, answer: messages.Charged) -> None:
+    def handle_answer(self, sender: ids.InstanceId, answer: messages.Charged) -> None:
         """Take a home's answer in."""
         self.silence.end(sender)
-        waiting = self.asked.get(answer.number)
+        waiting = self.pending.get(answer.number)
         if waiting is not None and not waiting.done():
             waiting.set_result(answer)
 
-    def give_back(
+    def refund(
         self, account: ids.AccountId, tokens: float, home: ids.InstanceId | None
     ) -> None:
         """Tell whoever counted a request that it hasn't run."""
         sent = messages.GiveBack(account=account, tokens=tokens)
         if home is None:
-            put_back(self.own_parts, sent)
+            refund_to_bucket(self.local_buckets, sent)
             return
         if home == self.members.own.instance:
-            self.take_back(home, sent)
+            self.handle_refund(home, sent)
             return
         peer = self.members.endpoint_of(home)
         if peer is not None:
             self.transport.send(peer, sent)
 
-    def take_back(self, sender: ids.InstanceId, sent: messages.GiveBack) -> None:
+    def handle_refund(self, sender: ids.InstanceId, sent: messages.GiveBack) -> None:
         """Put tokens back that weren't used."""
-        put_back(self.buckets, sent)
+        refund_to_bucket(self.buckets, sent)
 
 
-def put_back(
+def refund_to_bucket(
     buckets: dict[ids.AccountId, bucket.Bucket], sent: messages.GiveBack
 ) -> None:
     """Put tokens back into an account's bucket, if there still is one."""
--- a/src/tealcove/limits/home.py
+++ b/src/tealcove/limits/home.py
@@ -27,48 +27,48 @@
         self.presence = present
         self.find_limit = find_limit
         self.ledgers: dict[ids.AccountId, ledger.Ledger] = {}
-        self.swept = ids.Instant(0.0)
+        self.swept_at = ids.Instant(0.0)
 
     def answer(
         self, entry: ids.InstanceId, report: messages.UsageReport, now: ids.Instant
     ) -> messages.Lending:
         """Enter a report and return what the entry may spend from now on."""
-        part = self.presence.part(now)
+        fraction = self.presence.lendable_fraction(now)
         shares = []
         for usage in report.usages:
-            share = self.enter(entry, usage, part, now)
+            share = self.record_usage(entry, usage, fraction, now)
             if share is not None:
                 shares.append(share)
         self.sweep(now)
         return messages.Lending(lender=self.lender, shares=tuple(shares))
 
-    def enter(
+    def record_usage(
         self,
         entry: ids.InstanceId,
         usage: messages.Usage,
-        part: float,
+        fraction: float,
         now: ids.Instant,
     ) -> messages.Share | None:
         """Enter the use of one account; None when there's nothing to lend."""
         found = self.find_limit(usage.account)
         if found is None:
             return None
-        held = self.open(usage.account, found, now)
-        held.grow(part, now)
-        held.take(entry, usage, self.lender, now)
-        held.strike_silent(now)
-        held.divide(part)
+        held = self.open_ledger(usage.account, found, now)
+        held.refill(fraction, now)
+        held.record_usage(entry, usage, self.lender, now)
+        held.drop_silent(now)
+        held.divide(fraction)
         if usage.closing:
             return None
         return held.lend(entry, usage.account)
 
-    def open(
+    def open_ledger(
         self, account: ids.AccountId, found: limit.Limit, now: ids.Instant
     ) -> ledger.Ledger:
         """Return the book of an account, with the limit now in force."""
         held = self.ledgers.get(account)
         if held is None:
-            settled = now - self.presence.changed >= SETTLE_SECONDS
+            settled = now - self.presence.changed_at >= SETTLE_SECONDS
             free = found.burst if settled else 0.0
             held = ledger.Ledger(found, free, now, {})
             self.ledgers[account] = held
@@ -77,10 +77,10 @@
 
     def sweep(self, now: ids.Instant) -> None:
         """Close the books that nobody needs."""
-        if now - self.swept < SWEEP_INTERVAL:
+        if now - self.swept_at < SWEEP_INTERVAL:
             return
-        self.swept = now
+        self.swept_at = now
         for account, held in list(self.ledgers.items()):
-            held.strike_silent(now)
+            held.drop_silent(now)
             if held.is_idle(now):
                 del self.ledgers[account]
--- a/src/tealcove/limits/ledger.py
+++ b/src/tealcove/limits/ledger.py
@@ -10,27 +10,27 @@
 # Part of the rate that is shared out evenly; the rest goes by demand. Without
 # it, an entry whose callers come back after a pause would have nothing to start
 # with.
-EVEN_PART = 0.1
+EVEN_FRACTION = 0.1
 # The weight of the latest report in an entry's demand.
 DEMAND_WEIGHT = 0.5
 # Part of the free tokens that goes to an entry in need; the rest is left for
 # the others, which may ask at the same moment.
-LUMP_PART = 0.5
+LUMP_FRACTION = 0.5
 # A debt of the account is paid off in about so many seconds, by at most this
-# part of the rate.
+# fraction of the rate.
 REPAY_SECONDS = 2.0
-MOST_REPAID_PART = 0.5
+MAX_REPAID_FRACTION = 0.5
 # An entry that was silent for so many seconds is struck off.
 SILENT_SECONDS = 10.0
 # Reports closer together than this say nothing of the demand's rate.
-SHORTEST_SPAN = 0.02
+MIN_SPAN_SECONDS = 0.02
 
 
 class Borrower(msgspec.Struct):
     """An entry, by its last report; amounts are in tokens."""
 
     opened: ids.Instant
-    heard: ids.Instant
+    reported_at: ids.Instant
     lent: float
     spent: float
     wanted: float
@@ -55,15 +55,15 @@
     updated: ids.Instant
     borrowers: dict[ids.InstanceId, Borrower]
 
-    def grow(self, part: float, now: ids.Instant) -> None:
+    def refill(self, fraction: float, now: ids.Instant) -> None:
         """Add the tokens of the time since the last call.
 
-        `part` is the part of the limit that this home may lend out. A silent
+        `fraction` is the fraction of the limit that this home may lend out. A silent
         entry is taken to go on with its share, as a cut-off one does.
         """
         span = max(0.0, now - self.updated)
         self.updated = now
-        added = self.limit.rate * part * span
+        added = self.limit.rate * fraction * span
         for borrower in self.borrowers.values():
             borrower.lent += borrower.rate * span
             added -= borrower.rate * span
@@ -71,32 +71,32 @@
         most = max(0.0, self.limit.burst - lent)
         self.free = min(self.free + added, most)
 
-    def take(
+    def record_usage(
         self,
         entry: ids.InstanceId,
         usage: messages.Usage,
         lender: str,
         now: ids.Instant,
     ) -> None:
-        """Enter an entry's report; call `grow` first."""
+        """Enter an entry's report; call `refill` first."""
         known = self.borrowers.get(entry)
         moved = usage.lender not in ("", lender)
         if known is None or known.opened != usage.opened or moved:
-            known = self.admit(entry, usage, lender, now)
+            known = self.add_borrower(entry, usage, lender, now)
         self.free += usage.returned - known.returned
         known.returned = usage.returned
         known.spent = usage.spent
-        span = now - known.heard
-        if span > SHORTEST_SPAN:
+        span = now - known.reported_at
+        if span > MIN_SPAN_SECONDS:
             seen = max(0.0, usage.wanted - known.wanted) / span
             known.demand += DEMAND_WEIGHT * (seen - known.demand)
             known.wanted = usage.wanted
-            known.heard = now
+            known.reported_at = now
         if usage.closing:
             self.free += known.credit()
             del self.borrowers[entry]
 
-    def admit(
+    def add_borrower(
         self,
         entry: ids.InstanceId,
         usage: messages.Usage,
@@ -112,38 +112,38 @@
             # What it spent before it had asked is lent as far as there is any.
             covered = min(max(0.0, usage.spent), max(0.0, self.free))
             self.free -= covered
-            borrower = borrower_of(usage, covered + usage.returned, 0.0, now)
+            borrower = new_borrower(usage, covered + usage.returned, 0.0, now)
         else:
             self.free = min(self.free, 0.0)
-            borrower = borrower_of(usage, usage.lent, usage.rate, now)
+            borrower = new_borrower(usage, usage.lent, usage.rate, now)
         self.borrowers[entry] = borrower
         return borrower
 
-    def divide(self, part: float) -> None:
+    def divide(self, fraction: float) -> None:
         """Divide the rate among the entries by their demand, less any debt."""
-        rate = self.limit.rate * part
+        rate = self.limit.rate * fraction
         if self.free < 0.0:
-            rate -= min(rate * MOST_REPAID_PART, -self.free / REPAY_SECONDS)
+            rate -= min(rate * MAX_REPAID_FRACTION, -self.free / REPAY_SECONDS)
         total = sum(borrower.demand for borrower in self.borrowers.values())
         even = 1.0 / max(1, len(self.borrowers))
         for borrower in self.borrowers.values():
             by_demand = borrower.demand / total if total > 0.0 else even
-            share = EVEN_PART * even + (1.0 - EVEN_PART) * by_demand
+            share = EVEN_FRACTION * even + (1.0 - EVEN_FRACTION) * by_demand
             borrower.rate = rate * share
 
     def lend(self, entry: ids.InstanceId, account: ids.AccountId) -> messages.Share:
         """Return an entry's share, with some of the free tokens if it's short."""
         borrower = self.borrowers[entry]
         if self.free > 0.0 and borrower.credit() < borrower.rate:
-            lump = self.free * LUMP_PART
+            lump = self.free * LUMP_FRACTION
             self.free -= lump
             borrower.lent += lump
         return messages.Share(account, borrower.lent, borrower.rate)
 
-    def strike_silent(self, now: ids.Instant) -> None:
+    def drop_silent(self, now: ids.Instant) -> None:
         """Strike off entries that are long silent; their credit counts as spent."""
         for entry, borrower in list(self.borrowers.items()):
-            if now - borrower.heard > SILENT_SECONDS:
+            if now - borrower.reported_at > SILENT_SECONDS:
                 del self.borrowers[entry]
 
     def is_idle(self, now: ids.Instant) -> bool:
@@ -154,13 +154,13 @@
         return free >= self.limit.burst
 
 
-def borrower_of(
+def new_borrower(
     usage: messages.Usage, lent: float, rate: float, now: ids.Instant
 ) -> Borrower:
     """Return an entry by its first report here."""
     return Borrower(
         opened=usage.opened,
-        heard=now,
+        reported_at=now,
         lent=lent,
         spent=usage.spent,
         wanted=usage.wanted,
--- a/src/tealcove/limits/presence.py
+++ b/src/tealcove/limits/presence.py
@@ -12,16 +12,16 @@
 LOST_SECONDS = 3900.0
 # Up to this part of the instances may be silent and count as dead. More of them
 # are taken to live on beyond a cut, and to have homes of their own there.
-MOST_DEAD_PART = 0.25
+MAX_DEAD_FRACTION = 0.25
 # Seconds from its start for which an instance takes those that the platform lists for
 # living ones that it hasn't heard of yet: some 1.3 s with 87 that all start at once.
-YOUNG_SECONDS = 3.0
+DISCOVERY_SECONDS = 3.0
 # Instances that are asked, in order of rank, before an entry counts by itself. After
 # six of ten died at once, one of so many lives in 95 of 100 cases.
-HOMES = 6
+MAX_CANDIDATES = 6
 # Homes that are remembered between two changes of the set of instances; ranking
 # hashes once for each instance, too often for each account and report.
-MOST_HOMES = 5000
+MAX_CACHED_RANKINGS = 5000
 
 
 class Presence:
@@ -34,14 +34,14 @@
         count_listed: Callable[[], int] | None = None,
     ) -> None:
         self.members = known
-        self.began = now
+        self.started_at = now
         # Returns how many instances the platform lists; 0: not known yet.
         self.count_listed = count_listed
         self.stale = True
         known.listen(self.mark_stale)
-        self.homes: dict[ids.AccountId, tuple[ids.InstanceId, ...]] = {}
+        self.rankings: dict[ids.AccountId, tuple[ids.InstanceId, ...]] = {}
         # When the set of serving instances last changed.
-        self.changed = now
+        self.changed_at = now
         self.serving: set[ids.InstanceId] = set()
         self.lost: dict[ids.InstanceId, ids.Instant] = {}
 
@@ -49,7 +49,7 @@
         """Have the set of serving instances looked at again."""
         self.stale = True
 
-    def follow(self, now: ids.Instant) -> None:
+    def refresh(self, now: ids.Instant) -> None:
         """Take in the set of serving instances, if it has changed."""
         if not self.stale:
             return
@@ -63,8 +63,8 @@
         for instance in serving:
             self.lost.pop(instance, None)
         self.serving = serving
-        self.changed = now
-        self.homes.clear()
+        self.changed_at = now
+        self.rankings.clear()
 
     def fell_silent(self, instance: ids.InstanceId) -> bool:
         """Tell whether an instance went without saying that it would."""
@@ -87,27 +87,27 @@
 
     def ranked(self, account: ids.AccountId) -> tuple[ids.InstanceId, ...]:
         """Return the home of an account and those that stand in for it, in order."""
-        found = self.homes.get(account, ())
+        found = self.rankings.get(account, ())
         if found or not self.serving:
             return found
-        found = tuple(ranking.rank(f"account/{account}", self.serving)[:HOMES])
-        if len(self.homes) >= MOST_HOMES:
-            self.homes.clear()
-        self.homes[account] = found
+        found = tuple(ranking.rank(f"account/{account}", self.serving)[:MAX_CANDIDATES])
+        if len(self.rankings) >= MAX_CACHED_RANKINGS:
+            self.rankings.clear()
+        self.rankings[account] = found
         return found
 
-    def count_unheard(self, now: ids.Instant) -> int:
+    def count_undiscovered(self, now: ids.Instant) -> int:
         """Return the number of instances that one which has just begun may not know.
 
         After all instances were restarted, each knew itself alone for a moment, and was
         the home of every account: 57 of 87 let the requests of one account pass, each
         up to half of a burst and the whole rate.
         """
-        if self.count_listed is None or now - self.began > YOUNG_SECONDS:
+        if self.count_listed is None or now - self.started_at > DISCOVERY_SECONDS:
             return 0
         return max(0, self.count_listed() - self.count())
 
-    def part(self, now: ids.Instant) -> float:
+    def lendable_fraction(self, now: ids.Instant) -> float:
         """Return the part of a limit that homes on this side may lend out.
 
         Were it always the whole, a deployment cut in two would give each account
@@ -115,9 +115,9 @@
         """
         lost = self.count_lost(now)
         total = self.count() + lost
-        unheard = self.count_unheard(now)
+        unheard = self.count_undiscovered(now)
         if unheard > 0:
             return self.count() / (self.count() + unheard)
-        if lost <= MOST_DEAD_PART * total:
+        if lost <= MAX_DEAD_FRACTION * total:
             return 1.0
         return self.count() / total
--- a/src/tealcove/limits/role.py
+++ b/src/tealcove/limits/role.py
@@ -22,7 +22,7 @@
 IDLE_SECONDS = 2.0
 # How long the first request of an account waits for its home's answer. Without
 # it, a burst after a pause would meet an entry that has only a provisional share.
-FIRST_WAIT = 0.2
+FIRST_REPLY_TIMEOUT = 0.2
 
 
 class Limits(admission.Admission):
@@ -38,19 +38,19 @@
         super().__init__(transport, known, find_limit, now)
         self.home = home.Home(known.own.incarnation, self.presence, find_limit)
         self.allowances: dict[ids.AccountId, allowance.Allowance] = {}
-        self.asked: dict[ids.AccountId, ids.Instant] = {}
-        self.answered: dict[ids.AccountId, asyncio.Event] = {}
+        self.reported_at: dict[ids.AccountId, ids.Instant] = {}
+        self.first_replies: dict[ids.AccountId, asyncio.Event] = {}
         self.task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
         """Begin to report and to answer reports."""
         self.transport.handle(
             messages.UsageReport,
-            lambda sender, report: self.take_report(sender, report, clock.now()),
+            lambda sender, report: self.handle_report(sender, report, clock.now()),
         )
         self.transport.handle(
             messages.Lending,
-            lambda sender, lending: self.take_lending(sender, lending, clock.now()),
+            lambda sender, lending: self.handle_lending(sender, lending, clock.now()),
         )
         self.task = tasks.start(self.run(), "reports on accounts")
 
@@ -74,25 +74,27 @@
         a moment, for its home's answer.
         """
         if account not in self.allowances and self.find_limit(account) is not None:
-            self.open(account, clock.now())
-            event = self.answered.setdefault(account, asyncio.Event())
+            self.open_allowance(account, clock.now())
+            event = self.first_replies.setdefault(account, asyncio.Event())
             self.report((account,), clock.now())
-        event = self.answered.get(account)
+        event = self.first_replies.get(account)
         if event is not None:
-            await self.wait_for(account, event)
+            await self.wait_for_lending(account, event)
         try:
             return self.charge(account, tokens, clock.now())
         except admission.OverLimitError as error:
             log.debug("{}: {}", request, error)
             raise
 
-    async def wait_for(self, account: ids.AccountId, event: asyncio.Event) -> None:
+    async def wait_for_lending(
+        self, account: ids.AccountId, event: asyncio.Event
+    ) -> None:
         """Wait a moment for an account's first lending."""
         try:
-            async with asyncio.timeout(FIRST_WAIT):
+            async with asyncio.timeout(FIRST_REPLY_TIMEOUT):
                 await event.wait()
         except TimeoutError:
-            self.answered.pop(account, None)
+            self.first_replies.pop(account, None)
 
     def charge(
         self, account: ids.AccountId, tokens: float, now: ids.Instant
@@ -102,22 +104,27 @@
         if held is None:
             if self.find_limit(account) is None:
                 return admission.Charge(None, 0.0)
-            held = self.open(account, now)
+            held = self.open_allowance(account, now)
         admitted = held.spend(tokens, now)
-        if held.is_low() and now - self.asked.get(account, 0.0) >= URGENT_INTERVAL:
+        if (
+            held.is_low()
+            and now - self.reported_at.get(account, 0.0) >= URGENT_INTERVAL
+        ):
             self.report((account,), now)
         if not admitted:
             raise admission.OverLimitError(account, held.retry_after())
         return admission.Charge(held, tokens)
 
-    def open(self, account: ids.AccountId, now: ids.Instant) -> allowance.Allowance:
+    def open_allowance(
+        self, account: ids.AccountId, now: ids.Instant
+    ) -> allowance.Allowance:
         """Begin to use an account, with an equal share until its home answers."""
         limit = self.find_limit(account)
         rate = limit.rate / self.presence.count()
         held = allowance.Allowance(limit, rate, now, now, now)
         held.lent = rate * allowance.KEEP_SECONDS
         # Low from the start, so that the first request asks the home for more.
-        held.had = held.lent / allowance.LOW_PART
+        held.credit_when_lent = held.lent / allowance.LOW_FRACTION
         self.allowances[account] = held
         return held
 
@@ -131,33 +138,33 @@
 
     def report(self, accounts: tuple[ids.AccountId, ...], now: ids.Instant) -> None:
         """Send each home one message about its accounts among some."""
-        self.presence.follow(now)
+        self.presence.refresh(now)
         by_home = collections.defaultdict(list)
         for account in accounts:
             instance = self.presence.home(account)
             if instance is not None:
-                by_home[instance].append(self.describe(account, now))
+                by_home[instance].append(self.usage_of(account, now))
         for instance, usages in by_home.items():
             peer = self.members.endpoint_of(instance)
             if peer is not None:
                 report = messages.UsageReport(usages=tuple(usages))
                 self.transport.send(peer, report)
 
-    def describe(self, account: ids.AccountId, now: ids.Instant) -> messages.Usage:
+    def usage_of(self, account: ids.AccountId, now: ids.Instant) -> messages.Usage:
         """Return an account's part of a report; forgets it when it's idle."""
         held = self.allowances[account]
         held.limit = self.find_limit(account) or held.limit
-        held.grow(now)
+        held.refill(now)
         # With a debt the account stays: to forget it would be to waive it, and
         # whoever comes back after a pause would get large requests for nothing.
-        closing = now - held.used >= IDLE_SECONDS and held.credit() >= 0.0
-        self.asked[account] = now
+        closing = now - held.used_at >= IDLE_SECONDS and held.credit() >= 0.0
+        self.reported_at[account] = now
         if closing:
             del self.allowances[account]
-            del self.asked[account]
+            del self.reported_at[account]
         return held.report(account, now, closing)
 
-    def take_report(
+    def handle_report(
         self, sender: ids.InstanceId, report: messages.UsageReport, now: ids.Instant
     ) -> None:
         """Answer an entry, if this instance is the home by its own ranking.
@@ -165,7 +172,7 @@
         Two instances that both answered would lend the limit twice. The entry
         that gets no answer goes on with its last share.
         """
-        self.presence.follow(now)
+        self.presence.refresh(now)
         own = self.members.own.instance
         usages = tuple(
             usage for usage in report.usages if self.presence.home(usage.account) == own
@@ -177,14 +184,14 @@
         if peer is not None and lending.shares:
             self.transport.send(peer, lending)
 
-    def take_lending(
+    def handle_lending(
         self, sender: ids.InstanceId, lending: messages.Lending, now: ids.Instant
     ) -> None:
         """Take over what homes lend."""
         for share in lending.shares:
             held = self.allowances.get(share.account)
             if held is not None:
-                held.take(lending.lender, share, now)
-            event = self.answered.pop(share.account, None)
+                held.apply_share(lending.lender, share, now)
+            event = self.first_replies.pop(share.account, None)
             if event is not None:
                 event.set()
--- a/src/tealcove/limits/tests/builders.py
+++ b/src/tealcove/limits/tests/builders.py
@@ -125,9 +125,9 @@
             limits = self.limits[taker]
             instance = ids.InstanceId(f"i{sender}")
             if isinstance(sent, role.messages.UsageReport):
-                limits.take_report(instance, sent, self.now)
+                limits.handle_report(instance, sent, self.now)
             else:
-                limits.take_lending(instance, sent, self.now)
+                limits.handle_lending(instance, sent, self.now)
 
     def ask(self, number: int, tokens: float) -> admission.Charge | None:
         """Send a request to an entry; count what is admitted."""
@@ -189,16 +189,16 @@
     def ranked(self) -> list[int]:
         """Return the numbers of the account's home and its stand-ins, in order."""
         presence = self.limits[0].presence
-        presence.follow(clock.now())
+        presence.refresh(clock.now())
         return [int(name.removeprefix("i")) for name in presence.ranked(ACCOUNT)]
 
     def deliver(self, sender: int, taker: int, sent: message.Message) -> None:
         """Hand over one message."""
         limits = self.limits[taker]
         take = {
-            messages.AskCharge: limits.take_question,
-            messages.Charged: limits.take_answer,
-            messages.GiveBack: limits.take_back,
+            messages.AskCharge: limits.handle_question,
+            messages.Charged: limits.handle_answer,
+            messages.GiveBack: limits.handle_refund,
         }[type(sent)]
         take(ids.InstanceId(f"i{sender}"), sent)
 
--- a/src/tealcove/limits/tests/test_bucket.py
+++ b/src/tealcove/limits/tests/test_bucket.py
@@ -54,7 +54,7 @@
             passed.append(tokens)
     largest = max(passed, default=0.0)
     rate = LIMIT.rate * part
-    spare = rate * (1.5 + bucket.SPARE_PART * now)
+    spare = rate * (1.5 + bucket.SPARE_RATE_FRACTION * now)
     bound = LIMIT.burst * part + rate * now + spare + largest
     assert sum(passed) <= bound + 1e-6
 
@@ -108,7 +108,7 @@
     """
     first = bucket.Bucket(LARGE.burst, ids.Instant(0.0))
     second = bucket.Bucket.unsettled(ids.Instant(30.0))
-    second.open_unsettled(LARGE.burst, 0.5)
+    second.add_unsettled_burst(LARGE.burst, 0.5)
     assert sent_in_windows([first, second], seed) <= allowed()
 
 
--- a/src/tealcove/limits/tests/test_central.py
+++ b/src/tealcove/limits/tests/test_central.py
@@ -46,7 +46,7 @@
     limits: central.CentralLimits, cluster: builders.Cluster, alone: bool = False
 ) -> float:
     """Return how many tokens pass at once, asked for in small requests."""
-    decide = limits.decide_alone if alone else limits.decide
+    decide = limits.decide_locally if alone else limits.decide
     total = 0.0
     while decide(question(50.0), cluster.now).retry_after == 0.0:
         total += 50.0
@@ -71,7 +71,7 @@
     burst; its home dies. Cause: the next home begins with a full bucket.
     """
     limits = new_limits(cluster)
-    part = central.UNSETTLED_PART * LIMIT.burst
+    part = central.UNSETTLED_FRACTION * LIMIT.burst
     assert part <= passed(limits, cluster) <= part + 50.0
 
 
@@ -122,7 +122,7 @@
     with pytest.raises(admission.OverLimitError):
         for _ in range(3):
             await limits.admit(builders.ACCOUNT, 60.0, "r-1")
-    assert len(group.links[entry].sent) == presence.HOMES
+    assert len(group.links[entry].sent) == presence.MAX_CANDIDATES
 
 
 async def test_whoever_stands_in_keeps_to_a_part_of_the_limit() -> None:
@@ -132,7 +132,7 @@
     total = 0.0
     while second.decide(question(50.0), clock.now()).retry_after == 0.0:
         total += 50.0
-    part = central.STAND_IN_PART * LIMIT.burst
+    part = central.STAND_IN_FRACTION * LIMIT.burst
     assert part <= total <= part + 50.0
 
 
@@ -167,13 +167,13 @@
         return total
 
     # 20,000 where none counts those that it doesn't know yet.
-    unsettled = central.UNSETTLED_PART * LIMIT.burst
+    unsettled = central.UNSETTLED_FRACTION * LIMIT.burst
     assert sum(passing(limits) for limits in began) <= unsettled + count * tokens
     for other in known[1:]:
         known[0].hear(other.own, cluster.now)
     home = began[0]
-    home.presence.follow(cluster.now)
-    home.presence.homes[builders.ACCOUNT] = (known[0].own.instance,)
+    home.presence.refresh(cluster.now)
+    home.presence.rankings[builders.ACCOUNT] = (known[0].own.instance,)
     # Who knows all again begins with its half of the burst, and with no more later.
     total = passing(home)
     assert 0.9 * unsettled <= total <= unsettled + tokens
@@ -213,7 +213,7 @@
     passed(limits, cluster)
     assert limits.decide(question(50.0), cluster.now).retry_after > 0.0
     back = messages.GiveBack(account=builders.ACCOUNT, tokens=200.0)
-    limits.take_back(ids.InstanceId("i1"), back)
+    limits.handle_refund(ids.InstanceId("i1"), back)
     assert limits.decide(question(50.0), cluster.now).retry_after == 0.0
 
 
@@ -221,4 +221,4 @@
     cluster.limit = None
     limits = new_limits(cluster)
     assert limits.decide(question(1e9), cluster.now).retry_after == 0.0
-    assert limits.decide_alone(question(1e9), cluster.now).retry_after == 0.0
+    assert limits.decide_locally(question(1e9), cluster.now).retry_after == 0.0
--- a/src/tealcove/limits/tests/test_limits.py
+++ b/src/tealcove/limits/tests/test_limits.py
@@ -107,7 +107,7 @@
     """
     cluster = builders.Cluster(2, LIMIT)
     for limits in cluster.limits:
-        limits.presence.changed = cluster.now
+        limits.presence.changed_at = cluster.now
     assert spend(cluster, 1.0, [50_000.0, 0.0]) <= 2.5 * LIMIT.rate
 
 
@@ -146,7 +146,7 @@
     everywhere = [2000.0] * COUNT
     spend(cluster, 20.0, everywhere)
     spent = spend(cluster, 60.0, everywhere)
-    assert spent <= 60.0 * LIMIT.rate * (1.1 + presence.MOST_DEAD_PART)
+    assert spent <= 60.0 * LIMIT.rate * (1.1 + presence.MAX_DEAD_FRACTION)
     assert spent >= 60.0 * LIMIT.rate * 0.9
 
 
@@ -161,7 +161,7 @@
     used.run(limits_role.IDLE_SECONDS + 60.0)
     for limits in used.limits:
         assert limits.allowances == {}
-        assert limits.asked == {}
+        assert limits.reported_at == {}
         assert limits.home.ledgers == {}
 
 
