--- a/src/tealcove/daemon.py
+++ b/src/tealcove/daemon.py
@@ -168,7 +168,7 @@
             self.spread,
         )
         self.tickets.start()
-        self.tickets.listeners.append(self.quarantine.ended)
+        self.tickets.listeners.append(self.quarantine.record_end)
 
     def start_entry(self) -> None:
         """Make the entry; the listener starts it."""
--- a/src/tealcove/front/instance.py
+++ b/src/tealcove/front/instance.py
@@ -164,7 +164,7 @@
             self.mesh, self.members, found.dispatch.ticket_timeout, self.spread
         )
         self.tickets.start()
-        self.tickets.listeners.append(self.quarantine.ended)
+        self.tickets.listeners.append(self.quarantine.record_end)
         self.figures.watch(
             "tealcove.grants.declined",
             "Grants given back since their backend servers have left.",
--- a/src/tealcove/quarantine/marks.py
+++ b/src/tealcove/quarantine/marks.py
@@ -10,14 +10,14 @@
 from tealcove import ids
 
 # Marks that an instance holds at the most; the one that ends first makes room.
-MOST_MARKS = 1000
+MAX_MARKS = 1000
 # Crashes of one digest that are remembered; two are enough for a quarantine.
-MOST_CRASHES = 16
+MAX_CRASHES = 16
 CRASHES_TO_QUARANTINE = 2
 # A mark that ends sooner than this, in seconds, isn't shared any more. Without
 # it two instances would hand an ending mark to each other for ever: each would
 # have dropped its own just before the other's copy arrives.
-LEAST_SHARED = 5.0
+MIN_SHARED_SECONDS = 5.0
 CHECKSUM_BYTES = 8
 
 
@@ -79,11 +79,11 @@
 
     def has_room(self, crashes: int) -> bool:
         """Tell whether so many crashes more fit in; forgets cleared ones for them."""
-        if len(self.crashes) + crashes > MOST_CRASHES:
+        if len(self.crashes) + crashes > MAX_CRASHES:
             self.crashes = {c for c in self.crashes if c.request_id not in self.cleared}
-        return len(self.crashes) + crashes <= MOST_CRASHES
+        return len(self.crashes) + crashes <= MAX_CRASHES
 
-    def text(self) -> str:
+    def canonical_text(self) -> str:
         """Return what two instances with the same knowledge agree on."""
         crashes = [f"{c.request_id}@{c.server}" for c in sorted(self.crashes)]
         return f"{crashes}{sorted(self.cleared)}"
@@ -131,7 +131,7 @@
         self.version += bool(added)
         return bool(added)
 
-    def holds_against(self, digest: str, run: ids.RequestId) -> bool:
+    def has_crash(self, digest: str, run: ids.RequestId) -> bool:
         """Tell whether a run is counted as a crash of its digest."""
         mark = self.marks.get(digest)
         return mark is not None and any(c.request_id == run for c in mark.crashes)
@@ -158,12 +158,12 @@
         mark.cleared |= cleared
         self.marks[shared.digest] = mark
         self.version += 1
-        self.make_room()
+        self.evict_excess()
         return True
 
-    def make_room(self) -> None:
+    def evict_excess(self) -> None:
         """Drop the mark that ends first when there are too many."""
-        if len(self.marks) > MOST_MARKS:
+        if len(self.marks) > MAX_MARKS:
             first = min(self.marks, key=lambda digest: self.marks[digest].until)
             del self.marks[first]
 
@@ -177,7 +177,7 @@
     def shared(self, digest: str, now: ids.Instant) -> SharedMark | None:
         """Return a mark as it travels; None when it's not worth sharing."""
         mark = self.marks.get(digest)
-        if mark is None or mark.until - now < LEAST_SHARED:
+        if mark is None or mark.until - now < MIN_SHARED_SECONDS:
             return None
         return SharedMark(
             digest=digest,
@@ -190,8 +190,8 @@
         """Return a number that is the same on instances that know the same."""
         found = 0
         for digest, mark in self.marks.items():
-            if mark.until - now >= LEAST_SHARED:
-                text = f"{digest}{mark.text()}".encode()
+            if mark.until - now >= MIN_SHARED_SECONDS:
+                text = f"{digest}{mark.canonical_text()}".encode()
                 part = hashlib.blake2b(text, digest_size=CHECKSUM_BYTES).digest()
                 found ^= int.from_bytes(part)
         return found
--- a/src/tealcove/quarantine/keeping.py
+++ b/src/tealcove/quarantine/persistence.py
@@ -20,10 +20,10 @@
 WRITE_INTERVAL = 0.5
 WRITE_MARKS = 32
 # Marks that wait for the platform at the most; peers know them all anyway.
-MOST_WAITING = 256
+MAX_PENDING = 256
 
 
-class KeptMark(msgspec.Struct, frozen=True):
+class StoredMark(msgspec.Struct, frozen=True):
     """A mark as a row; `ends` is in seconds of the wall clock.
 
     The monotonic clock of one instance means nothing to another. An instance
@@ -35,20 +35,20 @@
     ends: float
 
 
-class Keeper:
+class MarkStore:
     """Loads the marks once, and writes those that change here."""
 
     def __init__(self, rows: table.TableService, held: marks.Marks) -> None:
         self.rows = rows
         self.marks = held
         # Digests to write, in the order of their change.
-        self.waiting: dict[str, None] = {}
+        self.pending: dict[str, None] = {}
         self.loaded = False
 
     def add(self, digest: str) -> None:
         """Have a changed mark written soon."""
-        if len(self.waiting) < MOST_WAITING:
-            self.waiting[digest] = None
+        if len(self.pending) < MAX_PENDING:
+            self.pending[digest] = None
 
     async def run(self) -> None:
         """Load and write whenever the platform allows, until cancelled."""
@@ -67,24 +67,24 @@
         if not self.loaded:
             await self.load(now, wall)
             self.loaded = True
-        digests = list(self.waiting)[:WRITE_MARKS]
+        digests = list(self.pending)[:WRITE_MARKS]
         shared = [self.marks.shared(digest, now) for digest in digests]
         writes = tuple(put(mark, wall) for mark in shared if mark is not None)
         if writes:
             await self.rows.commit(table.Transaction((), writes))
         for digest in digests:
-            self.waiting.pop(digest, None)
+            self.pending.pop(digest, None)
 
     async def load(self, now: ids.Instant, wall: float) -> None:
         """Merge all rows, and delete those whose mark has ended."""
         ended = []
-        for row in await self.rows.scan(TABLE, limit=marks.MOST_MARKS):
-            kept = msgspec.msgpack.decode(row.value, type=KeptMark)
-            remaining = min(kept.ends - wall, self.marks.quarantine_seconds)
+        for row in await self.rows.scan(TABLE, limit=marks.MAX_MARKS):
+            stored = msgspec.msgpack.decode(row.value, type=StoredMark)
+            remaining = min(stored.ends - wall, self.marks.quarantine_seconds)
             if remaining <= 0.0:
                 ended.append(table.Delete(TABLE, row.key))
                 continue
-            mark = msgspec.structs.replace(kept.mark, remaining=remaining)
+            mark = msgspec.structs.replace(stored.mark, remaining=remaining)
             self.marks.merge(mark, now)
         if ended:
             await self.rows.commit(table.Transaction((), tuple(ended)))
@@ -92,5 +92,5 @@
 
 def put(mark: marks.SharedMark, wall: float) -> table.Put:
     """Return the write of a mark."""
-    kept = KeptMark(mark, wall + mark.remaining)
-    return table.Put(TABLE, mark.digest, msgspec.msgpack.encode(kept))
+    stored = StoredMark(mark, wall + mark.remaining)
+    return table.Put(TABLE, mark.digest, msgspec.msgpack.encode(stored))
--- a/src/tealcove/quarantine/role.py
+++ b/src/tealcove/quarantine/role.py
@@ -10,7 +10,7 @@
 from tealcove.dispatch import messages, suspicion
 from tealcove.membership import heart, members
 from tealcove.peers import mesh
-from tealcove.quarantine import keeping, marks, sharing
+from tealcove.quarantine import marks, persistence, sharing
 from tealcove.storage import table
 
 log = logbook.Logger("quarantine")
@@ -23,23 +23,23 @@
         self,
         transport: mesh.Mesh,
         known: members.Members,
-        beating: heart.Heart,
+        heartbeats: heart.Heart,
         rows: table.TableService | None,
         quarantine_seconds: float,
         crashes_to_quarantine: int = marks.CRASHES_TO_QUARANTINE,
     ) -> None:
         self.marks = marks.Marks(quarantine_seconds, crashes_to_quarantine)
-        self.sharer = sharing.Sharer(transport, known, beating, self.marks)
+        self.sharer = sharing.Sharer(transport, known, heartbeats, self.marks)
         # Without a table, marks end with the last instance that knows them.
-        self.keeper = None if rows is None else keeping.Keeper(rows, self.marks)
+        self.store = None if rows is None else persistence.MarkStore(rows, self.marks)
         self.tasks: list[asyncio.Task[None]] = []
 
     def start(self) -> None:
         """Begin to share marks and to keep them in the platform's table."""
         self.sharer.start()
         self.tasks = [tasks.start(self.sharer.run(), "sharing of marks")]
-        if self.keeper is not None:
-            self.tasks.append(tasks.start(self.keeper.run(), "keeping of marks"))
+        if self.store is not None:
+            self.tasks.append(tasks.start(self.store.run(), "persistence of marks"))
 
     async def stop(self) -> None:
         """End all tasks."""
@@ -79,9 +79,9 @@
         if self.marks.add_crash(ticket.digest, crash, now):
             verdict = self.marks.verdict(ticket.digest, now)
             log.warning("{} lost with {}: {}", server, ticket.digest, verdict.value)
-            self.tell(ticket.digest, now)
+            self.publish(ticket.digest, now)
 
-    def ended(
+    def record_end(
         self,
         ticket: messages.Ticket,
         done: messages.Done,
@@ -92,13 +92,13 @@
         if done.outcome is messages.Outcome.CRASHED:
             self.lost(ticket, done.server, alone, now)
         elif done.outcome is messages.Outcome.COMPLETED:
-            survived = self.marks.holds_against(ticket.digest, ticket.request_id)
+            survived = self.marks.has_crash(ticket.digest, ticket.request_id)
             if (alone or survived) and self.marks.clear(ticket.digest, now):
                 log.info("{} is cleared", ticket.digest)
-                self.tell(ticket.digest, now)
+                self.publish(ticket.digest, now)
 
-    def tell(self, digest: str, now: ids.Instant) -> None:
+    def publish(self, digest: str, now: ids.Instant) -> None:
         """Spread a mark that has changed here."""
         self.sharer.publish(digest, now)
-        if self.keeper is not None:
-            self.keeper.add(digest)
+        if self.store is not None:
+            self.store.add(digest)
--- a/src/tealcove/quarantine/sharing.py
+++ b/src/tealcove/quarantine/sharing.py
@@ -27,21 +27,21 @@
         self,
         transport: mesh.Mesh,
         known: members.Members,
-        beating: heart.Heart,
+        heartbeats: heart.Heart,
         held: marks.Marks,
     ) -> None:
         self.transport = transport
         self.members = known
-        self.heart = beating
+        self.heart = heartbeats
         self.marks = held
         # Sendings that each changed mark still gets.
         self.repeats: dict[str, int] = {}
         self.next_sync = ids.Instant(0.0)
-        self.sync_from = 0
+        self.sync_offset = 0
 
     def start(self) -> None:
         """Begin to take in what peers know."""
-        self.transport.handle(messages.MarksChanged, self.take)
+        self.transport.handle(messages.MarksChanged, self.handle_marks)
         self.heart.listeners.append(self.compare)
 
     async def run(self) -> None:
@@ -77,7 +77,9 @@
         if checksum != self.members.own.marks:
             self.members.update_own(marks=checksum)
 
-    def take(self, sender: ids.InstanceId, changed: messages.MarksChanged) -> None:
+    def handle_marks(
+        self, sender: ids.InstanceId, changed: messages.MarksChanged
+    ) -> None:
         """Merge what a peer knows."""
         now = clock.now()
         for mark in changed.marks:
@@ -100,8 +102,8 @@
     def next_digests(self) -> list[str]:
         """Return the digests of one answer; later answers go on from there."""
         digests = sorted(self.marks.marks)
-        if self.sync_from >= len(digests):
-            self.sync_from = 0
-        chosen = digests[self.sync_from : self.sync_from + SYNC_MARKS]
-        self.sync_from += SYNC_MARKS
+        if self.sync_offset >= len(digests):
+            self.sync_offset = 0
+        chosen = digests[self.sync_offset : self.sync_offset + SYNC_MARKS]
+        self.sync_offset += SYNC_MARKS
         return chosen
--- a/src/tealcove/quarantine/tests/test_marks.py
+++ b/src/tealcove/quarantine/tests/test_marks.py
@@ -60,19 +60,19 @@
 
 def test_a_digest_that_is_cleared_often_can_be_suspected_again() -> None:
     found = builders.new_marks()
-    for number in range(3 * marks.MOST_CRASHES):
+    for number in range(3 * marks.MAX_CRASHES):
         assert found.add_crash(D, builders.crash(f"r{number}", "s1"), T0)
         assert found.verdict(D, T0) is SUSPECT
         found.clear(D, T0)
-    assert len(found.marks[D].crashes) <= marks.MOST_CRASHES
+    assert len(found.marks[D].crashes) <= marks.MAX_CRASHES
 
 
 def test_the_number_of_marks_is_bounded() -> None:
     found = builders.new_marks()
-    for number in range(marks.MOST_MARKS + 5):
+    for number in range(marks.MAX_MARKS + 5):
         now = builders.at(T0 + number * 0.01)
         found.add_crash(str(number), builders.crash("r", "s"), now)
-    assert len(found.marks) == marks.MOST_MARKS
+    assert len(found.marks) == marks.MAX_MARKS
     assert "0" not in found.marks
 
 
--- a/src/tealcove/quarantine/tests/test_keeping.py
+++ b/src/tealcove/quarantine/tests/test_persistence.py
@@ -5,7 +5,7 @@
 import pytest
 
 from tealcove import errors
-from tealcove.quarantine import keeping, marks
+from tealcove.quarantine import marks, persistence
 from tealcove.quarantine.tests import builders
 from tealcove.storage import faults, memory
 
@@ -22,13 +22,13 @@
     """
     platform = memory.MemoryPlatform()
     before = builders.new_marks()
-    keeper = keeping.Keeper(platform.table, before)
+    store = persistence.MarkStore(platform.table, before)
     for number, server in enumerate(("s1", "s2")):
         before.add_crash(D, builders.crash(f"r{number}", server), T0)
-    keeper.add(D)
-    await keeper.step(T0, WALL)
+    store.add(D)
+    await store.step(T0, WALL)
     after = builders.new_marks()
-    later = keeping.Keeper(platform.table, after)
+    later = persistence.MarkStore(platform.table, after)
     await later.step(builders.at(7.0), WALL + 100.0)
     assert after.verdict(D, builders.at(7.0)) is marks.Verdict.QUARANTINED
     assert after.remaining(D, builders.at(7.0)) == builders.SECONDS - 100.0
@@ -43,29 +43,31 @@
     """
     platform = memory.MemoryPlatform()
     held = builders.new_marks()
-    keeper = keeping.Keeper(platform.table, held)
-    await keeper.step(T0, WALL)
+    store = persistence.MarkStore(platform.table, held)
+    await store.step(T0, WALL)
     held.add_crash(D, builders.crash("r1", "s1"), T0)
-    keeper.add(D)
+    store.add(D)
     platform.faults = faults.Faults(down=True)
     with pytest.raises(errors.PlatformError):
-        await keeper.step(T0, WALL)
+        await store.step(T0, WALL)
     platform.faults = faults.Faults()
-    await keeper.step(T0, WALL)
-    assert len(await platform.table.scan(keeping.TABLE)) == 1
+    await store.step(T0, WALL)
+    assert len(await platform.table.scan(persistence.TABLE)) == 1
 
 
 async def test_ended_rows_are_deleted_and_idle_keepers_write_nothing() -> None:
     platform = memory.MemoryPlatform()
     held = builders.new_marks()
     held.add_crash(D, builders.crash("r1", "s1"), T0)
-    keeper = keeping.Keeper(platform.table, held)
-    keeper.add(D)
-    await keeper.step(T0, WALL)
+    store = persistence.MarkStore(platform.table, held)
+    store.add(D)
+    await store.step(T0, WALL)
     writes = platform.write_count
-    await keeper.step(T0, WALL)
+    await store.step(T0, WALL)
     assert platform.write_count == writes
     after = builders.new_marks()
-    await keeping.Keeper(platform.table, after).step(T0, WALL + 2 * builders.SECONDS)
+    await persistence.MarkStore(platform.table, after).step(
+        T0, WALL + 2 * builders.SECONDS
+    )
     assert after.marks == {}
-    assert await platform.table.scan(keeping.TABLE) == ()
+    assert await platform.table.scan(persistence.TABLE) == ()
--- a/src/tealcove/quarantine/tests/test_sharing.py
+++ b/src/tealcove/quarantine/tests/test_sharing.py
@@ -17,14 +17,14 @@
 EARLY = clock.now()
 
 
-class Beating:
+class FakeHeart:
     """Stands in for the heart: takes listeners."""
 
     def __init__(self) -> None:
         self.listeners: list[object] = []
 
 
-class Sent:
+class RecordingMesh:
     """Stands in for a mesh: keeps what is sent."""
 
     def __init__(self) -> None:
@@ -36,7 +36,7 @@
         return True
 
 
-def new_quarantine(name: str) -> tuple[role.Quarantine, Sent]:
+def new_quarantine(name: str) -> tuple[role.Quarantine, RecordingMesh]:
     own = membership_messages.Heartbeat(
         instance=ids.InstanceId(name),
         incarnation=ids.Incarnation(name),
@@ -48,9 +48,9 @@
         peer_port=2,
         revision=ids.Revision(1),
     )
-    sent = Sent()
+    sent = RecordingMesh()
     known = members.Members(own, suspect_after=1.0, forget_after=10.0)
-    found = role.Quarantine(sent, known, Beating(), None, builders.SECONDS)
+    found = role.Quarantine(sent, known, FakeHeart(), None, builders.SECONDS)
     return found, sent
 
 
@@ -69,7 +69,7 @@
         one.lost(ticket, server, False, EARLY)
     one.sharer.compare(two.sharer.members.own)
     assert len(sent.messages) == 1
-    two.sharer.take(ids.InstanceId("one"), sent.messages[0])
+    two.sharer.handle_marks(ids.InstanceId("one"), sent.messages[0])
     assert two.marks.verdict(D, EARLY) is marks.Verdict.QUARANTINED
     one.sharer.next_sync = ids.Instant(0.0)
     one.sharer.compare(two.sharer.members.own)
@@ -92,9 +92,9 @@
         first_token_seconds=0.1,
         total_seconds=0.1,
     )
-    found.ended(again, done, False, EARLY)
+    found.record_end(again, done, False, EARLY)
     assert found.marks.verdict(D, EARLY) is marks.Verdict.SUSPECT
-    found.ended(again, done, True, EARLY)
+    found.record_end(again, done, True, EARLY)
     assert found.marks.verdict(D, EARLY) is marks.Verdict.CLEAR
 
 
