--- a/src/tealcove/claims/claim.py
+++ b/src/tealcove/claims/claim.py
@@ -10,7 +10,7 @@
 
 TABLE = "claims"
 # Longer answers aren't kept: the rows of a batch travel in one transaction.
-MOST_KEPT_BYTES = 8 * 1024
+MAX_STORED_BYTES = 8 * 1024
 
 
 class State(enum.Enum):
@@ -23,17 +23,17 @@
     UNKNOWN = "unknown"
 
 
-class KeptAnswer(msgspec.Struct, frozen=True):
+class StoredAnswer(msgspec.Struct, frozen=True):
     """The answer of a completed request, for a caller that sends it again."""
 
     status: int
     headers: tuple[tuple[str, str], ...]
     body: bytes
 
-    def is_short(self) -> bool:
+    def fits_row(self) -> bool:
         """Tell whether the answer may be kept in the row."""
         headers = sum(len(name) + len(value) for name, value in self.headers)
-        return headers + len(self.body) <= MOST_KEPT_BYTES
+        return headers + len(self.body) <= MAX_STORED_BYTES
 
 
 class Claim(msgspec.Struct, frozen=True, kw_only=True):
@@ -56,7 +56,7 @@
     # Seconds of the entry's wall clock, for removing old rows only.
     claimed_at: float
     state: State = State.CLAIMED
-    answer: KeptAnswer | None = None
+    answer: StoredAnswer | None = None
 
 
 def row_key(account: ids.AccountId, key: ids.IdempotencyKey) -> str:
--- a/src/tealcove/claims/claimer.py
+++ b/src/tealcove/claims/claimer.py
@@ -21,9 +21,9 @@
 # A change unanswered for so many seconds goes to the next writer too.
 RESEND_INTERVAL = 0.5
 # Seconds between two tries while the platform can't be used.
-RETRY_PAUSE = 1.0
+RETRY_INTERVAL = 1.0
 # Seconds that one try to record an end may take.
-RECORD_SECONDS = 10.0
+RECORD_TIMEOUT = 10.0
 
 
 class TakenError(errors.TealcoveError):
@@ -40,7 +40,7 @@
     """No claim was taken, so the request may not be dispatched."""
 
 
-class Held(msgspec.Struct, frozen=True):
+class HeldClaim(msgspec.Struct, frozen=True):
     """A claim that is ours, at the version of its row."""
 
     key: str
@@ -62,26 +62,28 @@
         self.members = known
         self.rows = rows
         self.writers = writers
-        self.waiting: dict[str, asyncio.Future[messages.RowVerdict]] = {}
+        self.pending: dict[str, asyncio.Future[messages.RowVerdict]] = {}
         # Nonces of claims that are being taken, are held, or are being recorded.
-        self.live: set[str] = set()
-        self.abandoning: set[asyncio.Task[None]] = set()
+        self.active: set[str] = set()
+        self.cleanups: set[asyncio.Task[None]] = set()
 
     def start(self) -> None:
         """Begin to take verdicts."""
-        self.transport.handle(messages.RowVerdict, self.take_verdict)
+        self.transport.handle(messages.RowVerdict, self.handle_verdict)
 
     async def stop(self) -> None:
         """End the tasks in the background."""
-        await tasks.stop(self.abandoning)
+        await tasks.stop(self.cleanups)
 
-    async def claim(self, key: str, wanted: claim.Claim, deadline: ids.Instant) -> Held:
+    async def claim(
+        self, key: str, wanted: claim.Claim, deadline: ids.Instant
+    ) -> HeldClaim:
         """Take a claim; raises TakenError or UnavailableError.
 
         A claim whose fate isn't known at the deadline is given up: its request
         isn't dispatched, and its row is deleted once it is found.
         """
-        self.live.add(wanted.nonce)
+        self.active.add(wanted.nonce)
         change = messages.RowChange(
             change_id=wanted.nonce, key=key, expected=None, value=claim.encode(wanted)
         )
@@ -91,26 +93,26 @@
             self.abandon(key, wanted.nonce)
             raise
         if found.verdict is messages.Verdict.COMMITTED:
-            return Held(key, wanted, found.version)
+            return HeldClaim(key, wanted, found.version)
         if found.verdict is messages.Verdict.UNSETTLED:
             self.abandon(key, wanted.nonce)
         else:
-            self.live.discard(wanted.nonce)
+            self.active.discard(wanted.nonce)
         if found.verdict is messages.Verdict.CONFLICT:
             raise TakenError(claim.decode(found.value))
         raise UnavailableError(
             "The platform's table didn't take the claim", "Send the request later."
         )
 
-    async def record(self, held: Held, ended: claim.Claim) -> None:
+    async def record(self, held: HeldClaim, ended: claim.Claim) -> None:
         """Write how a held claim's request ended; tries until it's written."""
         await self.write(held, claim.encode(ended))
 
-    async def release(self, held: Held) -> None:
+    async def release(self, held: HeldClaim) -> None:
         """Delete a held claim, whose request never was nor will be dispatched."""
         await self.write(held, None)
 
-    async def write(self, held: Held, value: bytes | None) -> None:
+    async def write(self, held: HeldClaim, value: bytes | None) -> None:
         """Change the row of a held claim; tries until the platform has taken it.
 
         Only requests that held a claim when the platform went down can wait here,
@@ -120,22 +122,22 @@
             change_id=new_nonce(), key=held.key, expected=held.version, value=value
         )
         while True:
-            deadline = ids.Instant(clock.now() + RECORD_SECONDS)
+            deadline = ids.Instant(clock.now() + RECORD_TIMEOUT)
             found = await self.ask(change, deadline)
             if found.verdict is messages.Verdict.COMMITTED:
                 break
             if found.verdict is messages.Verdict.CONFLICT:
                 log.error("another has changed the claim {}", held.key)
                 break
-            await asyncio.sleep(RETRY_PAUSE)
-        self.live.discard(held.claim.nonce)
+            await asyncio.sleep(RETRY_INTERVAL)
+        self.active.discard(held.claim.nonce)
 
     async def ask(
         self, change: messages.RowChange, deadline: ids.Instant
     ) -> messages.RowVerdict:
         """Return a writer's verdict, asking the next one when one is silent."""
         verdict = asyncio.get_running_loop().create_future()
-        self.waiting[change.change_id] = verdict
+        self.pending[change.change_id] = verdict
         attempts = 0
         try:
             while not verdict.done():
@@ -147,7 +149,7 @@
                 pause = min(RESEND_INTERVAL, deadline - now)
                 await asyncio.wait((verdict,), timeout=pause)
         finally:
-            del self.waiting[change.change_id]
+            del self.pending[change.change_id]
         found = verdict.result()
         if found.verdict is messages.Verdict.REFUSED and attempts > 1:
             # Another writer that was asked before may still apply it.
@@ -168,11 +170,11 @@
         if peer is not None:
             self.transport.send(peer, change)
 
-    def take_verdict(
+    def handle_verdict(
         self, sender: ids.InstanceId, verdict: messages.RowVerdict
     ) -> None:
         """Hand a verdict to who waits for it, or undo what nobody wants any more."""
-        waiting = self.waiting.get(verdict.change_id)
+        waiting = self.pending.get(verdict.change_id)
         if waiting is not None:
             if not waiting.done():
                 waiting.set_result(verdict)
@@ -185,7 +187,7 @@
         Its caller was told "not run" and may send again, and would be told
         "unknown" for as long as the row stands.
         """
-        if verdict.value is None or verdict.change_id in self.live:
+        if verdict.value is None or verdict.change_id in self.active:
             return
         if claim.decode(verdict.value).nonce == verdict.change_id:
             self.abandon(verdict.key, verdict.change_id)
@@ -194,8 +196,8 @@
         """Delete a claim of ours, if there is one, without being waited for."""
         work = self.delete_own(key, nonce)
         task = tasks.start(work, f"deletion of the claim {key}")
-        self.abandoning.add(task)
-        task.add_done_callback(self.abandoning.discard)
+        self.cleanups.add(task)
+        task.add_done_callback(self.cleanups.discard)
 
     async def delete_own(self, key: str, nonce: str) -> None:
         """Look for the row of a claim that was given up, and delete it."""
@@ -204,17 +206,17 @@
                 row = await self.rows.read(claim.TABLE, key)
                 break
             except errors.PlatformError:
-                await asyncio.sleep(RETRY_PAUSE)
+                await asyncio.sleep(RETRY_INTERVAL)
         if row is not None:
             found = claim.decode(row.value)
             if self.is_undispatched(found, nonce):
-                await self.release(Held(key, found, row.version))
-        self.live.discard(nonce)
+                await self.release(HeldClaim(key, found, row.version))
+        self.active.discard(nonce)
 
     def is_undispatched(self, found: claim.Claim, nonce: str) -> bool:
         """Tell whether a row is of a claim that was given up here.
 
-        The end of each claim that was used is recorded before it leaves `live`. A
+        The end of each claim that was used is recorded before it leaves `active`. A
         verdict on its first writing may still come after that, from a second
         writer, or come to an instance that was restarted while its request ran;
         were the row deleted then, the request could run again.
@@ -225,12 +227,12 @@
             and found.state is claim.State.CLAIMED
         )
 
-    async def look(self, key: str) -> claim.Claim | None:
+    async def read_claim(self, key: str) -> claim.Claim | None:
         """Return the claim that stands under a key; raises PlatformError."""
         row = await self.rows.read(claim.TABLE, key)
         return None if row is None else claim.decode(row.value)
 
-    def is_running(self, found: claim.Claim, now: ids.Instant) -> bool:
+    def is_entry_alive(self, found: claim.Claim, now: ids.Instant) -> bool:
         """Tell whether the entry that holds a claim is still there."""
         return any(
             (heartbeat.instance, heartbeat.incarnation)
--- a/src/tealcove/claims/tests/builders.py
+++ b/src/tealcove/claims/tests/builders.py
@@ -152,7 +152,7 @@
     def kill(self) -> None:
         """End everything at once; a write that was sent may still be applied."""
         del self.bus.instances[self.number]
-        for task in (self.writer.task, *self.tasks, *self.claimer.abandoning):
+        for task in (self.writer.task, *self.tasks, *self.claimer.cleanups):
             task.cancel()
         self.claimer.abandon = lambda key, nonce: None
 
--- a/src/tealcove/claims/tests/test_claim_machine.py
+++ b/src/tealcove/claims/tests/test_claim_machine.py
@@ -146,7 +146,7 @@
             self.wait(30.0)
             self.dispatched_once_and_remembered()
             for instance in self.bus.instances.values():
-                assert not instance.claimer.live
+                assert not instance.claimer.active
 
 
 ClaimMachine.TestCase.settings = hypothesis.settings(
--- a/src/tealcove/claims/writer.py
+++ b/src/tealcove/claims/writer.py
@@ -15,9 +15,9 @@
 log = logbook.Logger("claims")
 
 # Rows of one transaction at the most.
-MOST_ROWS = 128
+MAX_ROWS = 128
 # Commits of a change whose reply may be lost, before its entry is told so.
-MOST_COMMITS = 3
+MAX_COMMITS = 3
 
 
 class Pending:
@@ -27,7 +27,7 @@
         self.change = change
         self.entry = entry
         # Commits whose reply was lost.
-        self.unsettled = 0
+        self.lost_replies = 0
 
 
 class Writer:
@@ -58,7 +58,7 @@
 
     def start(self) -> None:
         """Begin to take changes."""
-        self.transport.handle(messages.RowChange, self.take)
+        self.transport.handle(messages.RowChange, self.handle_change)
         self.task = tasks.start(self.run(), "batches of claims")
 
     async def stop(self) -> None:
@@ -66,7 +66,7 @@
         if self.task is not None:
             await tasks.stop([self.task])
 
-    def take(self, sender: ids.InstanceId, change: messages.RowChange) -> None:
+    def handle_change(self, sender: ids.InstanceId, change: messages.RowChange) -> None:
         """Put a change into the next batch, once."""
         self.pending.setdefault(change.change_id, Pending(change, sender))
         self.arrived.set()
@@ -87,7 +87,7 @@
 
     async def commit_batch(self) -> None:
         """Commit the oldest changes in one transaction and answer them."""
-        batch = self.choose()
+        batch = self.next_batch()
         if not batch:
             return
         try:
@@ -97,7 +97,7 @@
             # double the rate of writes.
             self.answer_conflicts(batch, error.conflicts)
         except errors.OutcomeUnknownError:
-            self.keep_unsettled(batch)
+            self.retry_unsettled(batch)
         except errors.PlatformError as error:
             log.info("claims are refused: {}", error)
             self.answer_refused(batch)
@@ -106,7 +106,7 @@
             self.committed += len(batch)
             self.answer_committed(batch, committed)
 
-    def choose(self) -> list[Pending]:
+    def next_batch(self) -> list[Pending]:
         """Return the changes of the next batch, one for each row.
 
         Two conditions on one row would both hold before either write is applied:
@@ -114,7 +114,7 @@
         """
         chosen: dict[str, Pending] = {}
         for pending in self.pending.values():
-            if len(chosen) == MOST_ROWS:
+            if len(chosen) == MAX_ROWS:
                 break
             chosen.setdefault(pending.change.key, pending)
         return list(chosen.values())
@@ -126,25 +126,25 @@
         for conflict in conflicts:
             pending = batch[conflict.index]
             row = conflict.row
-            verdict = judge(pending.change, row)
+            verdict = verdict_for(pending.change, row)
             version = 0 if row is None else row.version
             self.answer(pending, verdict, version, None if row is None else row.value)
 
-    def keep_unsettled(self, batch: list[Pending]) -> None:
+    def retry_unsettled(self, batch: list[Pending]) -> None:
         """Leave changes whose reply was lost to the next interval.
 
         If they were applied, their conditions fail then and name the rows, which
         tell whose they are.
         """
         for pending in batch:
-            pending.unsettled += 1
-            if pending.unsettled == MOST_COMMITS:
+            pending.lost_replies += 1
+            if pending.lost_replies == MAX_COMMITS:
                 self.answer(pending, messages.Verdict.UNSETTLED)
 
     def answer_refused(self, batch: list[Pending]) -> None:
         """Answer changes that the platform didn't take this time."""
         for pending in batch:
-            if pending.unsettled:
+            if pending.lost_replies:
                 self.answer(pending, messages.Verdict.UNSETTLED)
             else:
                 self.answer(pending, messages.Verdict.REFUSED)
@@ -182,7 +182,7 @@
         self.transport.send(peer, told)
 
 
-def judge(change: messages.RowChange, row: table.Row | None) -> messages.Verdict:
+def verdict_for(change: messages.RowChange, row: table.Row | None) -> messages.Verdict:
     """Return whether a failed condition means that the change is done already."""
     found = None if row is None else row.value
     if found == change.value:
--- a/src/tealcove/entry/claiming.py
+++ b/src/tealcove/entry/claiming.py
@@ -28,7 +28,7 @@
 class KeptAnswerError(Exception):
     """Ends a request with the answer that its claim records."""
 
-    def __init__(self, answer: claim.KeptAnswer) -> None:
+    def __init__(self, answer: claim.StoredAnswer) -> None:
         super().__init__("the request was completed before")
         self.answer = answer
 
@@ -48,7 +48,7 @@
         self.key = claim.row_key(account, key)
         self.request_id = request_id
         self.fingerprint = fingerprint
-        self.held: claimer.Held | None = None
+        self.held: claimer.HeldClaim | None = None
         self.server = ids.BackendServerId("")
 
     async def take(self, server: ids.BackendServerId, deadline: ids.Instant) -> None:
@@ -89,7 +89,7 @@
             return refusal
         try:
             async with asyncio.timeout(LOOK_SECONDS):
-                found = await self.claims.look(self.key)
+                found = await self.claims.read_claim(self.key)
         except (errors.PlatformError, TimeoutError):
             told = msgspec.structs.replace(refusal.problem, detail=EARLIER_UNKNOWN)
             return problem.ProblemError(told)
@@ -105,14 +105,14 @@
             return KeptAnswerError(found.answer)
         if found.state is claim.State.UNKNOWN:
             return problem.unknown("ended_unknown")
-        if self.claims.is_running(found, clock.now()):
+        if self.claims.is_entry_alive(found, clock.now()):
             return problem.unknown("in_progress", retry_after=RETRY_AFTER)
         return problem.unknown("entry_lost")
 
     async def settle(
         self,
         state: lifecycle.State,
-        whole_answer: Callable[[], claim.KeptAnswer | None],
+        whole_answer: Callable[[], claim.StoredAnswer | None],
     ) -> None:
         """Put into the table how the request ended, after its callers were told.
 
@@ -134,7 +134,7 @@
     def ended(
         self,
         state: lifecycle.State,
-        whole_answer: Callable[[], claim.KeptAnswer | None],
+        whole_answer: Callable[[], claim.StoredAnswer | None],
     ) -> claim.Claim:
         """Return the claim of a request that was dispatched."""
         if state is not lifecycle.State.COMPLETED:
@@ -146,5 +146,5 @@
             self.held.claim,
             server=self.server,
             state=claim.State.COMPLETED,
-            answer=answer if answer is not None and answer.is_short() else None,
+            answer=answer if answer is not None and answer.fits_row() else None,
         )
--- a/src/tealcove/entry/exchange.py
+++ b/src/tealcove/entry/exchange.py
@@ -73,7 +73,7 @@
         """Return the work that was done."""
 
     @abc.abstractmethod
-    def whole_answer(self) -> claim.KeptAnswer | None:
+    def whole_answer(self) -> claim.StoredAnswer | None:
         """Return the answer of a completed request; None when it's too long."""
 
     def predicted_tokens(self) -> int:
--- a/src/tealcove/entry/forward.py
+++ b/src/tealcove/entry/forward.py
@@ -63,7 +63,7 @@
         work = self.request.work
         return engine.Usage(work.prompt_tokens, 0, work.output_tokens)
 
-    def whole_answer(self) -> claim.KeptAnswer | None:
+    def whole_answer(self) -> claim.StoredAnswer | None:
         """See Exchange."""
         found = self.answer
         if found.is_long:
@@ -72,4 +72,4 @@
         if self.call.method == "HEAD" or found.head.status == NOT_MODIFIED:
             # The length is that of the body which a GET would have got.
             headers += fields.length_of(found.head)
-        return claim.KeptAnswer(found.head.status, headers, found.body())
+        return claim.StoredAnswer(found.head.status, headers, found.body())
--- a/src/tealcove/entry/generation.py
+++ b/src/tealcove/entry/generation.py
@@ -195,7 +195,7 @@
         call = self.call
         return openai.Form(self.request.request_id, call.model, call.chat)
 
-    def whole_answer(self) -> claim.KeptAnswer:
+    def whole_answer(self) -> claim.StoredAnswer:
         """See Exchange; of a streamed answer it is the events in one piece."""
         found = self.answer
         form = self.form()
@@ -210,7 +210,7 @@
             ("Content-Type", content_type),
             ("X-Request-Id", self.request.request_id),
         )
-        return claim.KeptAnswer(200, headers, body)
+        return claim.StoredAnswer(200, headers, body)
 
     def predicted_tokens(self) -> int:
         """See Exchange."""
--- a/src/tealcove/entry/sending.py
+++ b/src/tealcove/entry/sending.py
@@ -19,7 +19,7 @@
     return send_whole(running.whole_answer())
 
 
-def send_whole(answer: claim.KeptAnswer) -> web.Response:
+def send_whole(answer: claim.StoredAnswer) -> web.Response:
     """Return the response that carries a whole answer."""
     headers = multidict.CIMultiDict(answer.headers)
     return web.Response(status=answer.status, headers=headers, body=answer.body)
