--- a/src/tealcove/limits/__init__.py
+++ b/src/tealcove/limits/__init__.py
@@ -1,1 +1,1 @@
-"""Limits of client accounts across instances."""
+"""Rate limits of client accounts, enforced across instances."""
--- a/src/tealcove/limits/admission.py
+++ b/src/tealcove/limits/admission.py
@@ -1,4 +1,4 @@
-"""What every way to keep client accounts within their limits has in common."""
+"""The interface of rate limiters for client accounts."""
 
 from __future__ import annotations
 
@@ -12,28 +12,28 @@
 
 
 class OverLimitError(errors.TealcoveError):
-    """The account has used up its limit; `retry_after` is in seconds."""
+    """The account has exhausted its limit; `retry_after` is in seconds."""
 
     def __init__(self, account: ids.AccountId, retry_after: float) -> None:
         super().__init__(
-            f"The limit of {account} is used up",
+            f"The token limit of {account} is exhausted",
             "Send fewer tokens a second, or ask the operator for a higher limit.",
         )
         self.retry_after = retry_after
 
 
 class Charge:
-    """The predicted tokens of one admitted request, until its end is known."""
+    """The predicted tokens of one admitted request, until its actual use is known."""
 
     def __init__(self, held: allowance.Allowance | None, tokens: float) -> None:
         self.allowance = held
         self.tokens = tokens
 
     def settle(self, tokens: float) -> None:
-        """Put what was really used in place of the prediction, once.
+        """Replace the prediction by the tokens actually used.
 
-        A request that was not run has used 0. Later calls do nothing, so that
-        two ways to one end can't both give the tokens back.
+        A request that was not run has used 0. Only the first call has an effect, so
+        that two code paths that end a request can't both refund its tokens.
         """
         if self.allowance is not None:
             self.allowance.correct(tokens - self.tokens)
@@ -41,7 +41,7 @@
 
 
 class Admission(abc.ABC):
-    """Admits requests of limited accounts; one without a limit costs nothing."""
+    """Admits requests; accounts without a limit are not charged."""
 
     def __init__(
         self,
@@ -60,4 +60,4 @@
     async def admit(
         self, account: ids.AccountId, tokens: float, request: ids.RequestId
     ) -> Charge:
-        """Charge an account; raises OverLimitError. The log names the request."""
+        """Charge an account, or raise OverLimitError; `request` is for the log."""
--- a/src/tealcove/limits/allowance.py
+++ b/src/tealcove/limits/allowance.py
@@ -1,4 +1,4 @@
-"""An entry's part of an account's limit, spent without asking anybody."""
+"""An entry's share of an account's limit, spent without a round trip."""
 
 from __future__ import annotations
 
@@ -7,19 +7,21 @@
 from tealcove import ids
 from tealcove.limits import limit, messages
 
-# Seconds of its share that an entry keeps; what is beyond goes back to the
-# home, where the entries that need it get it.
+# Seconds of its rate that an entry keeps; it returns the rest to the home, which lends
+# it to the entries that need it.
 KEEP_SECONDS = 1.0
-# An entry asks for more once it has spent this part of what it had.
+# An entry asks for more once its credit is at most this fraction of what it was after
+# the last lending.
 LOW_FRACTION = 0.5
-# What the home lends beyond its entry's share counts as a lump from here on.
+# The home has free tokens if it lends at least so many seconds of the entry's rate
+# beyond what the entry has accrued.
 MIN_LUMP_SECONDS = 0.25
 MAX_RETRY_SECONDS = 60.0
 MIN_RETRY_SECONDS = 1.0
 
 
 class Allowance(msgspec.Struct):
-    """What an entry may spend of one account; amounts are in tokens."""
+    """The tokens of one account that an entry may spend."""
 
     limit: limit.Limit
     rate: float
@@ -31,20 +33,20 @@
     wanted: float = 0.0
     returned: float = 0.0
     lender: str = ""
-    # The credit at the last lending, which tells when to ask for more.
+    # The credit after the last lending, the reference for asking for more.
     credit_when_lent: float = 0.0
-    # Whether the home may have more: it lent some the last time.
+    # Whether the home may have free tokens: it lent some the last time.
     home_has_more: bool = True
 
     def credit(self) -> float:
-        """Return what may be spent now; below 0 it is a debt."""
+        """Return the tokens that may be spent now; a negative number is a debt."""
         return self.lent - self.returned - self.spent
 
     def refill(self, now: ids.Instant) -> None:
-        """Add the share of the time since the last call.
+        """Add the tokens for the time since the last call.
 
-        Without news from the home this goes on at the last share, up to its
-        part of the burst: an entry that is cut off is never unlimited.
+        Without messages from the home the last rate stays in force, capped at its
+        share of the burst: an entry that is partitioned off is never unlimited.
         """
         added = self.rate * max(0.0, now - self.updated_at)
         most = self.limit.burst * self.rate / self.limit.rate
@@ -53,7 +55,7 @@
         self.updated_at = now
 
     def spend(self, tokens: float, now: ids.Instant) -> bool:
-        """Take tokens if there is any credit; False if there is none.
+        """Spend tokens if there is any credit; return False if there is none.
 
         A request larger than the credit is admitted on debt, since its size is
         only a prediction, and one larger than the whole share would never fit.
@@ -68,11 +70,11 @@
         return True
 
     def correct(self, tokens: float) -> None:
-        """Add tokens to what was spent; a negative number gives them back."""
+        """Add tokens to those spent; a negative number refunds them."""
         self.spent += tokens
 
     def is_low(self) -> bool:
-        """Tell whether it's time to ask for more, and of any use."""
+        """Return whether credit is low and the home may have free tokens."""
         return (
             self.home_has_more and self.credit() <= self.credit_when_lent * LOW_FRACTION
         )
@@ -85,7 +87,7 @@
         return min(MAX_RETRY_SECONDS, max(MIN_RETRY_SECONDS, wait))
 
     def apply_share(self, lender: str, share: messages.Share, now: ids.Instant) -> None:
-        """Take over what the home says; it counts the share's growth too."""
+        """Adopt the home's figures, which include the tokens accrued so far."""
         self.refill(now)
         self.home_has_more = share.lent > self.lent + share.rate * MIN_LUMP_SECONDS
         self.lender = lender
@@ -97,7 +99,7 @@
     def report(
         self, account: ids.AccountId, now: ids.Instant, closing: bool
     ) -> messages.Usage:
-        """Return what the home is told; gives back what isn't needed."""
+        """Return the usage to report to the home, with surplus credit returned."""
         self.refill(now)
         kept = 0.0 if closing else self.rate * KEEP_SECONDS
         self.returned += max(0.0, self.credit() - kept)
--- a/src/tealcove/limits/central.py
+++ b/src/tealcove/limits/central.py
@@ -1,4 +1,4 @@
-"""Limits that are kept at one instance for each account, asked for each request."""
+"""Central rate limiting: each account's home instance decides on every request."""
 
 from __future__ import annotations
 
@@ -16,28 +16,29 @@
 
 log = logbook.Logger("limits")
 
-# Seconds that an entry waits for an account's home. It answers within 5 ms over the
-# links between data centres; one that doesn't is dead, frozen or cut off, and the
-# caller hopes for its first event within some 500 ms.
+# Seconds that an entry waits for an account's home. A home answers within 5 ms over the
+# links between data centres; one that doesn't is dead, frozen or unreachable, and the
+# caller expects its first event within about 500 ms.
 REPLY_TIMEOUT = 0.1
-# Homes that a request waits for, one after the other: more would cost it its goal.
+# Homes that a request waits for, one after the other; with more it would miss its
+# latency goal.
 MAX_UNANSWERED = 3
-# Seconds for which one that didn't answer isn't asked again. A dead one is suspected
-# after 1 s, or 3 s in a large group.
+# Seconds for which an instance that didn't answer isn't asked again. The membership
+# suspects a dead one after 1 s, or 3 s in a large group.
 SILENT_SECONDS = 1.0
-# What an instance keeps of a limit while it stands in for a home that others rank
-# first: that one may live, out of reach of some entries only.
+# Fraction of a limit that an instance grants while it stands in for the home ranked
+# first, which may be alive and unreachable for some entries only.
 STAND_IN_FRACTION = 0.5
-# For so many seconds after the instances have changed, a new bucket begins with
-# only this fraction of the burst: the home before it may have let the rest pass. With a
-# tenth, an eighth of the requests after a restart of everything got 429; with half,
-# two changes of the home within seconds let one burst too much pass.
+# For so many seconds after the set of instances has changed, a new bucket starts with
+# only this fraction of the burst: the previous home may have granted the rest. With a
+# tenth, an eighth of the requests after a full restart got 429; with half, two changes
+# of the home within seconds admit one burst too many.
 SETTLE_SECONDS = 10.0
 UNSETTLED_FRACTION = 0.5
 
 
 class CentralCharge(admission.Charge):
-    """A charge that whoever counted it can take back."""
+    """A charge that the instance which counted it can refund."""
 
     def __init__(
         self,
@@ -49,12 +50,12 @@
         super().__init__(None, tokens)
         self.limits = limits
         self.account = account
-        # Who counted it; None: the entry by itself.
+        # The instance that counted it; None: this entry counted it locally.
         self.home = home
         self.is_settled = False
 
     def settle(self, tokens: float) -> None:
-        """See Charge; only a request that hasn't run gives its tokens back."""
+        """See Charge; refund unused tokens, but charge none in addition."""
         if self.is_settled:
             return
         self.is_settled = True
@@ -63,12 +64,11 @@
 
 
 class CentralLimits(admission.Admission):
-    """Both sides: the entry's, and that of the home.
+    """Asks an account's home for each request, and answers as the home of others.
 
-    Requests of a few accounts that are as large as a whole burst can't be counted on
-    shares that are lent out: many would be refused though hardly any is beyond its
-    account's limit. One question for each request costs some milliseconds and counts
-    exactly.
+    Requests as large as a whole burst don't fit shares that are lent out in advance:
+    many would be refused although their accounts stay within their limits. One round
+    trip for each request costs a few milliseconds and counts exactly.
     """
 
     def __init__(
@@ -81,19 +81,19 @@
         count_listed: Callable[[], int] | None = None,
     ) -> None:
         super().__init__(transport, known, find_limit, now, count_listed)
-        # Tokens beyond a limit that the operators allow in a window.
+        # Tokens beyond a limit that the operators allow in a time window.
         self.slack = slack
-        # What this instance lets pass as a home, and what by itself when it
-        # reaches none.
+        # Buckets of accounts that this instance counts as a home, and those it uses
+        # for its own requests when it reaches no home.
         self.buckets: dict[ids.AccountId, bucket.Bucket] = {}
         self.local_buckets: dict[ids.AccountId, bucket.Bucket] = {}
         self.question_numbers = itertools.count(1)
         self.pending: dict[int, asyncio.Future[messages.Charged]] = {}
-        # Homes that left a question unanswered.
+        # Homes that didn't answer in time.
         self.silence = silence.Silence(SILENT_SECONDS)
 
     def start(self) -> None:
-        """Begin to answer."""
+        """Register the message handlers."""
         self.transport.handle(messages.AskCharge, self.handle_question)
         self.transport.handle(messages.Charged, self.handle_answer)
         self.transport.handle(messages.GiveBack, self.handle_refund)
@@ -101,7 +101,7 @@
     async def admit(
         self, account: ids.AccountId, tokens: float, request: ids.RequestId
     ) -> admission.Charge:
-        """Charge an account; see the base class."""
+        """Charge an account; see Admission."""
         if self.find_limit(account) is None:
             return admission.Charge(None, 0.0)
         home, answer = await self.ask(account, tokens, request)
@@ -112,11 +112,11 @@
     async def ask(
         self, account: ids.AccountId, tokens: float, request: ids.RequestId
     ) -> tuple[ids.InstanceId | None, messages.Charged]:
-        """Return who counted, and the answer; None: no home is in reach.
+        """Return the home that counted, or None if none was reached, and its answer.
 
-        When many instances die at once, nobody suspects them for a while. Were only
-        the first in rank asked, entries would count by their own part at once, which
-        refuses each account's second request.
+        When many instances die at once, none of them is suspected for a while. If only
+        the one ranked first were asked, entries would fall back to their local share
+        at once, which refuses each account's second request.
         """
         self.presence.refresh(clock.now())
         question = messages.AskCharge(
@@ -131,7 +131,7 @@
                 return instance, self.decide(question, clock.now())
             if waits == MAX_UNANSWERED:
                 break
-            # A late answer of the one before must not be taken for this one's.
+            # A late answer of the previous home must not match this question.
             question = msgspec.structs.replace(
                 question, number=next(self.question_numbers)
             )
@@ -143,20 +143,20 @@
             waits += 1
             self.silence.note(instance, clock.now())
             extra = {"request": request}
-            log.info("home {} of {} is silent", instance, account, extra=extra)
+            log.info("no answer from home {} of {}", instance, account, extra=extra)
         return None, self.decide_locally(question, clock.now())
 
     def send_question(
         self, instance: ids.InstanceId, question: messages.AskCharge, now: ids.Instant
     ) -> bool:
-        """Send a question; False: it was silent lately, or can't be reached."""
+        """Send a question; return False if the home is silent or can't be reached."""
         if self.silence.is_silent(instance, now):
             return False
         peer = self.members.endpoint_of(instance)
         return peer is not None and self.transport.send(peer, question)
 
     async def wait_for_reply(self, number: int) -> messages.Charged | None:
-        """Return the answer to a question; None when it doesn't come in time."""
+        """Return the answer to a question, or None on a timeout."""
         answer = asyncio.get_running_loop().create_future()
         self.pending[number] = answer
         try:
@@ -170,7 +170,7 @@
     def decide(
         self, question: messages.AskCharge, now: ids.Instant
     ) -> messages.Charged:
-        """Answer as the home of an account, or in place of one."""
+        """Decide on a request as the home of its account, or as a stand-in for it."""
         self.presence.refresh(now)
         fraction = self.presence.lendable_fraction(now)
         if self.presence.home(question.account) != self.members.own.instance:
@@ -183,7 +183,7 @@
     def decide_locally(
         self, question: messages.AskCharge, now: ids.Instant
     ) -> messages.Charged:
-        """Answer by this instance's equal part of the limit, out of reach of a home."""
+        """Decide by this entry's equal share of the limit, when no home answers."""
         self.presence.refresh(now)
         others = self.presence.count_lost(now) + self.presence.count_undiscovered(now)
         fraction = 1.0 / (self.presence.count() + others)
@@ -197,10 +197,10 @@
         fraction: float,
         now: ids.Instant,
     ) -> messages.Charged:
-        """Answer from one of the sets of buckets.
+        """Charge the account's bucket in one of the two sets of buckets.
 
-        A new bucket holds a fraction `first` of the burst; `fraction` is that of the
-        limit that the set stands for.
+        A new bucket starts with a fraction `first` of the burst; `fraction` is the
+        share of the limit that the set enforces.
         """
         limit = self.find_limit(question.account)
         if limit is None:
@@ -214,7 +214,7 @@
             held.add_unsettled_burst(limit.burst, first)
         after = held.take(question.tokens, limit, fraction, self.slack, now)
         log.info(
-            "{} of {}: {} for {:.0f} tokens, {:.0f} left, {:.0f} a second, part {:.2f}",
+            "{} of {}: {} for {:.0f} tokens, {:.0f} left, {:.0f}/s, fraction {:.2f}",
             "passed" if after == 0.0 else "over the limit",
             question.account,
             "spare" if held.level < 0.0 and after == 0.0 else "bucket",
@@ -229,13 +229,13 @@
     def handle_question(
         self, sender: ids.InstanceId, question: messages.AskCharge
     ) -> None:
-        """Answer an entry."""
+        """Answer an entry's question."""
         peer = self.members.endpoint_of(sender)
         if peer is not None:
             self.transport.send(peer, self.decide(question, clock.now()))
 
     def handle_answer(self, sender: ids.InstanceId, answer: messages.Charged) -> None:
-        """Take a home's answer in."""
+        """Pass a home's answer to the request that waits for it."""
         self.silence.end(sender)
         waiting = self.pending.get(answer.number)
         if waiting is not None and not waiting.done():
@@ -244,7 +244,7 @@
     def refund(
         self, account: ids.AccountId, tokens: float, home: ids.InstanceId | None
     ) -> None:
-        """Tell whoever counted a request that it hasn't run."""
+        """Return unused tokens to the bucket of the instance that counted them."""
         sent = messages.GiveBack(account=account, tokens=tokens)
         if home is None:
             refund_to_bucket(self.local_buckets, sent)
@@ -257,14 +257,14 @@
             self.transport.send(peer, sent)
 
     def handle_refund(self, sender: ids.InstanceId, sent: messages.GiveBack) -> None:
-        """Put tokens back that weren't used."""
+        """Credit refunded tokens to the account's bucket at this home."""
         refund_to_bucket(self.buckets, sent)
 
 
 def refund_to_bucket(
     buckets: dict[ids.AccountId, bucket.Bucket], sent: messages.GiveBack
 ) -> None:
-    """Put tokens back into an account's bucket, if there still is one."""
+    """Credit refunded tokens to an account's bucket, if it still exists."""
     held = buckets.get(sent.account)
     if held is not None:
         held.level += sent.tokens
--- a/src/tealcove/limits/home.py
+++ b/src/tealcove/limits/home.py
@@ -1,4 +1,4 @@
-"""The books of all accounts whose home this instance is."""
+"""The ledgers of all accounts whose home is this instance."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 from tealcove import ids
 from tealcove.limits import ledger, limit, messages, presence
 
-# For so many seconds after the set of serving instances has changed, a new book
-# begins with nothing to lend: the former home may have lent the burst already,
-# and its entries have yet to tell.
+# For so many seconds after the set of serving instances has changed, a new ledger
+# starts with no free tokens: the former home may have lent the burst already, and its
+# entries have yet to report it.
 SETTLE_SECONDS = 10.0
-# Seconds between two looks for books that can be closed.
+# Seconds between two searches for idle ledgers.
 SWEEP_INTERVAL = 5.0
 
 FindLimit = Callable[[ids.AccountId], limit.Limit | None]
@@ -32,7 +32,7 @@
     def answer(
         self, entry: ids.InstanceId, report: messages.UsageReport, now: ids.Instant
     ) -> messages.Lending:
-        """Enter a report and return what the entry may spend from now on."""
+        """Record a report and return what the entry may spend from now on."""
         fraction = self.presence.lendable_fraction(now)
         shares = []
         for usage in report.usages:
@@ -49,7 +49,7 @@
         fraction: float,
         now: ids.Instant,
     ) -> messages.Share | None:
-        """Enter the use of one account; None when there's nothing to lend."""
+        """Record the use of one account; return None if there is nothing to lend."""
         found = self.find_limit(usage.account)
         if found is None:
             return None
@@ -65,7 +65,7 @@
     def open_ledger(
         self, account: ids.AccountId, found: limit.Limit, now: ids.Instant
     ) -> ledger.Ledger:
-        """Return the book of an account, with the limit now in force."""
+        """Return the ledger of an account, with the limit now in force."""
         held = self.ledgers.get(account)
         if held is None:
             settled = now - self.presence.changed_at >= SETTLE_SECONDS
@@ -76,7 +76,7 @@
         return held
 
     def sweep(self, now: ids.Instant) -> None:
-        """Close the books that nobody needs."""
+        """Delete idle ledgers."""
         if now - self.swept_at < SWEEP_INTERVAL:
             return
         self.swept_at = now
--- a/src/tealcove/limits/ledger.py
+++ b/src/tealcove/limits/ledger.py
@@ -1,4 +1,4 @@
-"""The home's book of an account: what each entry was lent and has spent."""
+"""The home's ledger of an account: what each entry was lent and has spent."""
 
 from __future__ import annotations
 
@@ -7,27 +7,26 @@
 from tealcove import ids
 from tealcove.limits import limit, messages
 
-# Part of the rate that is shared out evenly; the rest goes by demand. Without
-# it, an entry whose callers come back after a pause would have nothing to start
-# with.
+# Fraction of the rate that is divided evenly; the rest is divided by demand. Without
+# it, an entry whose callers resume after a pause would have no tokens to start with.
 EVEN_FRACTION = 0.1
-# The weight of the latest report in an entry's demand.
+# The weight of the latest report in the moving average of an entry's demand.
 DEMAND_WEIGHT = 0.5
-# Part of the free tokens that goes to an entry in need; the rest is left for
-# the others, which may ask at the same moment.
+# Fraction of the free tokens lent to an entry that runs low; the rest stays for the
+# others, which may ask at the same moment.
 LUMP_FRACTION = 0.5
-# A debt of the account is paid off in about so many seconds, by at most this
-# fraction of the rate.
+# A debt of the account is repaid in about so many seconds, by at most this fraction of
+# the rate.
 REPAY_SECONDS = 2.0
 MAX_REPAID_FRACTION = 0.5
-# An entry that was silent for so many seconds is struck off.
+# An entry that hasn't reported for so many seconds is removed.
 SILENT_SECONDS = 10.0
-# Reports closer together than this say nothing of the demand's rate.
+# Reports closer together than this are too close to estimate the demand's rate.
 MIN_SPAN_SECONDS = 0.02
 
 
 class Borrower(msgspec.Struct):
-    """An entry, by its last report; amounts are in tokens."""
+    """An entry's figures, in tokens, as of its last report."""
 
     opened: ids.Instant
     reported_at: ids.Instant
@@ -39,15 +38,15 @@
     demand: float
 
     def credit(self) -> float:
-        """Return what the entry may still spend."""
+        """Return the tokens that the entry may still spend."""
         return self.lent - self.returned - self.spent
 
 
 class Ledger(msgspec.Struct):
-    """An account at its home.
+    """The tokens of an account at its home.
 
-    The tokens are either free here or lent, and together never grow faster than
-    the limit's rate nor beyond its burst.
+    They are either free or lent, and together accrue no faster than the limit's rate
+    and never exceed its burst.
     """
 
     limit: limit.Limit
@@ -56,10 +55,10 @@
     borrowers: dict[ids.InstanceId, Borrower]
 
     def refill(self, fraction: float, now: ids.Instant) -> None:
-        """Add the tokens of the time since the last call.
+        """Add the tokens for the time since the last call.
 
         `fraction` is the fraction of the limit that this home may lend out. A silent
-        entry is taken to go on with its share, as a cut-off one does.
+        entry is assumed to keep spending its share, as a partitioned one does.
         """
         span = max(0.0, now - self.updated)
         self.updated = now
@@ -78,7 +77,7 @@
         lender: str,
         now: ids.Instant,
     ) -> None:
-        """Enter an entry's report; call `refill` first."""
+        """Record an entry's report; call `refill` first."""
         known = self.borrowers.get(entry)
         moved = usage.lender not in ("", lender)
         if known is None or known.opened != usage.opened or moved:
@@ -103,13 +102,13 @@
         lender: str,
         now: ids.Instant,
     ) -> Borrower:
-        """Enter a new entry, or one that another home has lent to.
+        """Add an entry that is new, or that another home has lent to.
 
-        What another home lent stands: were it lent anew, each death of a home
-        would double the burst.
+        What another home lent is carried over: if it were lent again, each failure of
+        a home would double the burst.
         """
         if usage.lender in ("", lender):
-            # What it spent before it had asked is lent as far as there is any.
+            # Lend the tokens it spent before its first report, as far as available.
             covered = min(max(0.0, usage.spent), max(0.0, self.free))
             self.free -= covered
             borrower = new_borrower(usage, covered + usage.returned, 0.0, now)
@@ -120,7 +119,7 @@
         return borrower
 
     def divide(self, fraction: float) -> None:
-        """Divide the rate among the entries by their demand, less any debt."""
+        """Divide the rate, less debt repayment, among the entries by their demand."""
         rate = self.limit.rate * fraction
         if self.free < 0.0:
             rate -= min(rate * MAX_REPAID_FRACTION, -self.free / REPAY_SECONDS)
@@ -132,7 +131,7 @@
             borrower.rate = rate * share
 
     def lend(self, entry: ids.InstanceId, account: ids.AccountId) -> messages.Share:
-        """Return an entry's share, with some of the free tokens if it's short."""
+        """Return an entry's share, with some of the free tokens if it runs low."""
         borrower = self.borrowers[entry]
         if self.free > 0.0 and borrower.credit() < borrower.rate:
             lump = self.free * LUMP_FRACTION
@@ -141,13 +140,13 @@
         return messages.Share(account, borrower.lent, borrower.rate)
 
     def drop_silent(self, now: ids.Instant) -> None:
-        """Strike off entries that are long silent; their credit counts as spent."""
+        """Remove entries that stopped reporting; their credit counts as spent."""
         for entry, borrower in list(self.borrowers.items()):
             if now - borrower.reported_at > SILENT_SECONDS:
                 del self.borrowers[entry]
 
     def is_idle(self, now: ids.Instant) -> bool:
-        """Tell whether a new book would say the same."""
+        """Return whether the ledger equals a new one: no borrowers and a full burst."""
         if self.borrowers:
             return False
         free = self.free + self.limit.rate * (now - self.updated)
@@ -157,7 +156,7 @@
 def new_borrower(
     usage: messages.Usage, lent: float, rate: float, now: ids.Instant
 ) -> Borrower:
-    """Return an entry by its first report here."""
+    """Return the borrower for an entry's first report to this home."""
     return Borrower(
         opened=usage.opened,
         reported_at=now,
--- a/src/tealcove/limits/limit.py
+++ b/src/tealcove/limits/limit.py
@@ -6,19 +6,19 @@
 
 from tealcove.resources import kinds
 
-# The burst of an account whose spec names none, in seconds of its rate.
+# The default burst, in seconds of the account's rate.
 DEFAULT_BURST_SECONDS = 10.0
 
 
 class Limit(msgspec.Struct, frozen=True):
-    """Tokens a second in the long run, and tokens at once after a pause."""
+    """A sustained rate in tokens a second, and a burst in tokens."""
 
     rate: float
     burst: float
 
 
 def of_spec(spec: kinds.ClientAccountSpec) -> Limit | None:
-    """Return the limit of an account; None when it has none."""
+    """Return the limit of an account, or None when it has none."""
     rate = spec.tokens_per_second
     if rate is None:
         return None
--- a/src/tealcove/limits/messages.py
+++ b/src/tealcove/limits/messages.py
@@ -1,7 +1,7 @@
 """Messages between entries and the home instances of client accounts.
 
-All amounts are tokens counted since the entry began to use the account, so that
-a lost message is made up for by the next one.
+All amounts are cumulative, in tokens since the entry opened the account, so that the
+next message makes up for a lost one.
 """
 
 from __future__ import annotations
@@ -16,21 +16,21 @@
     """An entry's use of one account."""
 
     account: ids.AccountId
-    # The entry's clock when it began to use the account; tells a fresh count.
+    # The entry's clock when it opened the account; a change means a new count.
     opened: ids.Instant
-    # Admitted, by prediction or, once it's known, as it was.
+    # Admitted: the prediction or, once known, the actual number.
     spent: float
-    # Asked for, the refused ones included.
+    # Requested, including refused requests.
     wanted: float
-    # Given back to the home unused.
+    # Returned to the home unused.
     returned: float
-    # The home whose lending the entry knows; empty: none yet.
+    # The home that lent last, by incarnation; empty: none yet.
     lender: str
-    # What that home has lent, with the share's growth up to now.
+    # Lent by that home, including the tokens accrued up to now.
     lent: float
     # The entry's share in tokens a second.
     rate: float
-    # The entry has no more use for the account.
+    # Whether the entry closes the account.
     closing: bool
 
 
@@ -41,7 +41,7 @@
 
 
 class Share(msgspec.Struct, frozen=True, array_like=True):
-    """What a home lends an entry: tokens in all so far, and a second."""
+    """What a home lends an entry: the total so far, and the rate a second."""
 
     account: ids.AccountId
     lent: float
@@ -56,24 +56,24 @@
 
 
 class AskCharge(message.Message):
-    """Asks an account's home to let a request pass."""
+    """Asks an account's home to admit a request."""
 
     number: int
     account: ids.AccountId
     tokens: float
-    # For the home's log, which tells why a request was refused.
+    # For the home's log, which says why a request was refused.
     request: ids.RequestId = ids.RequestId("")
 
 
 class Charged(message.Message):
-    """The home's answer; 0 seconds: the request may pass."""
+    """The home's answer; 0 seconds means that the request is admitted."""
 
     number: int
     retry_after: float
 
 
 class GiveBack(message.Message):
-    """Tells an account's home of tokens that were charged and not used."""
+    """Refunds tokens that were charged and not used to an account's home."""
 
     account: ids.AccountId
     tokens: float
--- a/src/tealcove/limits/presence.py
+++ b/src/tealcove/limits/presence.py
@@ -1,4 +1,4 @@
-"""Which instances serve: the homes of accounts, and how many are out of reach."""
+"""The serving instances: homes of accounts, and how many may be unreachable."""
 
 from __future__ import annotations
 
@@ -7,25 +7,25 @@
 from tealcove import ids
 from tealcove.membership import members, messages, ranking
 
-# Seconds for which instances that fell silent count as cut off: regions lose
-# each other for an hour now and then.
+# Seconds for which instances that stopped responding count as partitioned: network
+# partitions between regions can last an hour.
 LOST_SECONDS = 3900.0
-# Up to this part of the instances may be silent and count as dead. More of them
-# are taken to live on beyond a cut, and to have homes of their own there.
+# Up to this fraction of the instances may be silent and count as dead. If more are
+# silent, they are assumed to be alive beyond a network partition, with homes there.
 MAX_DEAD_FRACTION = 0.25
-# Seconds from its start for which an instance takes those that the platform lists for
-# living ones that it hasn't heard of yet: some 1.3 s with 87 that all start at once.
+# Seconds from its start for which an instance counts those that the platform lists as
+# alive and not yet discovered: discovery takes 1.3 s with 87 that all start at once.
 DISCOVERY_SECONDS = 3.0
-# Instances that are asked, in order of rank, before an entry counts by itself. After
-# six of ten died at once, one of so many lives in 95 of 100 cases.
+# Instances that are asked, in order of rank, before an entry counts locally. After six
+# of ten have died at once, one of so many is alive in 95 of 100 cases.
 MAX_CANDIDATES = 6
-# Homes that are remembered between two changes of the set of instances; ranking
-# hashes once for each instance, too often for each account and report.
+# Accounts whose ranking is cached until the set of instances changes; ranking computes
+# one hash for each instance, too costly for each account and report.
 MAX_CACHED_RANKINGS = 5000
 
 
 class Presence:
-    """The serving instances, as the limits need to know them."""
+    """Tracks the serving instances and ranks them for each account."""
 
     def __init__(
         self,
@@ -35,7 +35,7 @@
     ) -> None:
         self.members = known
         self.started_at = now
-        # Returns how many instances the platform lists; 0: not known yet.
+        # Returns the number of instances the platform lists; 0: not known yet.
         self.count_listed = count_listed
         self.stale = True
         known.listen(self.mark_stale)
@@ -46,11 +46,11 @@
         self.lost: dict[ids.InstanceId, ids.Instant] = {}
 
     def mark_stale(self) -> None:
-        """Have the set of serving instances looked at again."""
+        """Have the next `refresh` read the set of serving instances."""
         self.stale = True
 
     def refresh(self, now: ids.Instant) -> None:
-        """Take in the set of serving instances, if it has changed."""
+        """Update the set of serving instances, if it has changed."""
         if not self.stale:
             return
         self.stale = False
@@ -67,7 +67,7 @@
         self.rankings.clear()
 
     def fell_silent(self, instance: ids.InstanceId) -> bool:
-        """Tell whether an instance went without saying that it would."""
+        """Return whether an instance vanished without announcing that it leaves."""
         heartbeat = self.members.find(instance)
         if heartbeat is None:
             return True
@@ -78,15 +78,15 @@
         return max(1, len(self.serving))
 
     def count_lost(self, now: ids.Instant) -> int:
-        """Return the number of instances that may live on beyond a cut."""
+        """Return the number of instances that may be alive beyond a partition."""
         return sum(1 for since in self.lost.values() if now - since < LOST_SECONDS)
 
     def home(self, account: ids.AccountId) -> ids.InstanceId | None:
-        """Return the home of an account; None when no instance serves."""
+        """Return the home of an account, or None when no instance serves."""
         return next(iter(self.ranked(account)), None)
 
     def ranked(self, account: ids.AccountId) -> tuple[ids.InstanceId, ...]:
-        """Return the home of an account and those that stand in for it, in order."""
+        """Return the home of an account and its stand-ins, in order of rank."""
         found = self.rankings.get(account, ())
         if found or not self.serving:
             return found
@@ -97,10 +97,10 @@
         return found
 
     def count_undiscovered(self, now: ids.Instant) -> int:
-        """Return the number of instances that one which has just begun may not know.
+        """Return the number of listed instances not discovered yet after a start.
 
-        After all instances were restarted, each knew itself alone for a moment, and was
-        the home of every account: 57 of 87 let the requests of one account pass, each
+        After a restart of all instances, each knows only itself for a moment and is
+        the home of every account: 57 of 87 admitted the requests of one account, each
         up to half of a burst and the whole rate.
         """
         if self.count_listed is None or now - self.started_at > DISCOVERY_SECONDS:
@@ -108,16 +108,16 @@
         return max(0, self.count_listed() - self.count())
 
     def lendable_fraction(self, now: ids.Instant) -> float:
-        """Return the part of a limit that homes on this side may lend out.
+        """Return the fraction of a limit that homes on this side may grant.
 
-        Were it always the whole, a deployment cut in two would give each account
+        If it were always 1, a deployment partitioned in two would give each account
         twice its limit.
         """
         lost = self.count_lost(now)
         total = self.count() + lost
-        unheard = self.count_undiscovered(now)
-        if unheard > 0:
-            return self.count() / (self.count() + unheard)
+        undiscovered = self.count_undiscovered(now)
+        if undiscovered > 0:
+            return self.count() / (self.count() + undiscovered)
         if lost <= MAX_DEAD_FRACTION * total:
             return 1.0
         return self.count() / total
--- a/src/tealcove/limits/role.py
+++ b/src/tealcove/limits/role.py
@@ -1,4 +1,4 @@
-"""The limits of client accounts, as an entry uses them."""
+"""Rate limiting by shares that homes lend to entries in advance."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
 
 log = logbook.Logger("limits")
 
-# Seconds between two reports on the accounts in use, all those of one home in
-# one message; and the least between two reports on one account that runs low.
+# Seconds between two reports on the accounts in use, one message for each home, and
+# the minimum between two reports on one account whose credit is low.
 REPORT_INTERVAL = 1.0
 URGENT_INTERVAL = 0.1
-# An account that wasn't used for so long is closed, at entry and home.
+# An account unused for so long is closed at the entry and at its home.
 IDLE_SECONDS = 2.0
-# How long the first request of an account waits for its home's answer. Without
-# it, a burst after a pause would meet an entry that has only a provisional share.
+# Seconds that the first request of an account waits for its home's answer. Without
+# the wait, a burst after a pause would find only the entry's provisional share.
 FIRST_REPLY_TIMEOUT = 0.2
 
 
 class Limits(admission.Admission):
-    """Shares limits out in advance, by what each entry has used lately."""
+    """Divides limits among entries in advance, by their recent use."""
 
     def __init__(
         self,
@@ -43,7 +43,7 @@
         self.task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Begin to report and to answer reports."""
+        """Register the message handlers and start the periodic reports."""
         self.transport.handle(
             messages.UsageReport,
             lambda sender, report: self.handle_report(sender, report, clock.now()),
@@ -55,12 +55,12 @@
         self.task = tasks.start(self.run(), "reports on accounts")
 
     async def stop(self) -> None:
-        """End the task."""
+        """Stop the periodic reports."""
         if self.task is not None:
             await tasks.stop([self.task])
 
     async def run(self) -> None:
-        """Report again and again, until cancelled."""
+        """Report periodically, until cancelled."""
         while True:
             await asyncio.sleep(REPORT_INTERVAL)
             self.report_all(clock.now())
@@ -68,10 +68,10 @@
     async def admit(
         self, account: ids.AccountId, tokens: float, request: ids.RequestId
     ) -> admission.Charge:
-        """Charge an account; see the base class.
+        """Charge an account; see Admission.
 
-        Only the first request after a pause of the account waits, and only for
-        a moment, for its home's answer.
+        Only the first request after a pause of the account waits, for at most
+        FIRST_REPLY_TIMEOUT, for its home's answer.
         """
         if account not in self.allowances and self.find_limit(account) is not None:
             self.open_allowance(account, clock.now())
@@ -89,7 +89,7 @@
     async def wait_for_lending(
         self, account: ids.AccountId, event: asyncio.Event
     ) -> None:
-        """Wait a moment for an account's first lending."""
+        """Wait up to FIRST_REPLY_TIMEOUT for an account's first lending."""
         try:
             async with asyncio.timeout(FIRST_REPLY_TIMEOUT):
                 await event.wait()
@@ -99,7 +99,7 @@
     def charge(
         self, account: ids.AccountId, tokens: float, now: ids.Instant
     ) -> admission.Charge:
-        """Charge an account without waiting; raises OverLimitError."""
+        """Charge an account without waiting, or raise OverLimitError."""
         held = self.allowances.get(account)
         if held is None:
             if self.find_limit(account) is None:
@@ -118,7 +118,7 @@
     def open_allowance(
         self, account: ids.AccountId, now: ids.Instant
     ) -> allowance.Allowance:
-        """Begin to use an account, with an equal share until its home answers."""
+        """Open an account with an equal share of its limit until its home answers."""
         limit = self.find_limit(account)
         rate = limit.rate / self.presence.count()
         held = allowance.Allowance(limit, rate, now, now, now)
@@ -129,7 +129,7 @@
         return held
 
     def report_all(self, now: ids.Instant) -> None:
-        """Report on all accounts in use, and close those that are idle."""
+        """Report on all open accounts, and close those that are idle."""
         for account in list(self.allowances):
             if self.find_limit(account) is None:
                 del self.allowances[account]
@@ -137,7 +137,7 @@
         self.home.sweep(now)
 
     def report(self, accounts: tuple[ids.AccountId, ...], now: ids.Instant) -> None:
-        """Send each home one message about its accounts among some."""
+        """Report the given accounts, in one message to each home."""
         self.presence.refresh(now)
         by_home = collections.defaultdict(list)
         for account in accounts:
@@ -151,12 +151,12 @@
                 self.transport.send(peer, report)
 
     def usage_of(self, account: ids.AccountId, now: ids.Instant) -> messages.Usage:
-        """Return an account's part of a report; forgets it when it's idle."""
+        """Return an account's usage for a report; close it if it is idle."""
         held = self.allowances[account]
         held.limit = self.find_limit(account) or held.limit
         held.refill(now)
-        # With a debt the account stays: to forget it would be to waive it, and
-        # whoever comes back after a pause would get large requests for nothing.
+        # An account in debt stays open: closing it would waive the debt, and large
+        # requests with pauses between them would be free.
         closing = now - held.used_at >= IDLE_SECONDS and held.credit() >= 0.0
         self.reported_at[account] = now
         if closing:
@@ -169,8 +169,8 @@
     ) -> None:
         """Answer an entry, if this instance is the home by its own ranking.
 
-        Two instances that both answered would lend the limit twice. The entry
-        that gets no answer goes on with its last share.
+        If two instances answered, the limit would be lent twice. An entry without
+        an answer keeps its last share.
         """
         self.presence.refresh(now)
         own = self.members.own.instance
@@ -187,7 +187,7 @@
     def handle_lending(
         self, sender: ids.InstanceId, lending: messages.Lending, now: ids.Instant
     ) -> None:
-        """Take over what homes lend."""
+        """Apply the shares that a home lends, and wake the requests that wait."""
         for share in lending.shares:
             held = self.allowances.get(share.account)
             if held is not None:
--- a/src/tealcove/limits/tests/builders.py
+++ b/src/tealcove/limits/tests/builders.py
@@ -1,4 +1,4 @@
-"""Instances' limits, linked in memory, under a clock that tests move."""
+"""Limits of several instances, linked in memory, with a clock that tests control."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 ACCOUNT = ids.AccountId("acme")
 HOST = "127.0.0.1"
 BEAT = 0.25
-# Seconds, longer than any test.
+# Seconds; longer than any test runs.
 FAR = 1000.0
 STEP = 0.05
-# Tokens beyond a limit that are allowed in a window, as for the limits of these tests.
+# Tokens that are allowed beyond a limit in a window.
 SLACK = 140_000.0
 
 
 class Link:
-    """Stands in for a mesh: hands messages over unless they are cut off."""
+    """A fake mesh that queues messages for delivery by the cluster."""
 
     def __init__(self, cluster: Cluster, number: int) -> None:
         self.cluster = cluster
@@ -30,17 +30,17 @@
         self.sent = 0
 
     def handle(self, message_type: type, handler: Callable) -> None:
-        """Take no handlers: the cluster knows them."""
+        """Ignore the handler: the cluster calls the limits directly."""
 
     def send(self, peer: endpoint.Endpoint, sent: message.Message) -> bool:
-        """Hand a message over at the next step."""
+        """Queue a message for the next step."""
         self.sent += 1
         self.cluster.under_way.append((self.number, peer.port, sent))
         return True
 
 
 class Cluster:
-    """Instances by number, each with members and limits of its own."""
+    """Simulated instances by number, each with its own members and limits."""
 
     def __init__(self, count: int, found: limit.Limit | None) -> None:
         self.now = ids.Instant(1000.0)
@@ -62,7 +62,7 @@
         self.run(2 * role.home.SETTLE_SECONDS)
 
     def new_members(self, number: int) -> members.Members:
-        """Return the membership of an instance, which knows itself only."""
+        """Return the members of an instance that knows only itself."""
         own = membership_messages.Heartbeat(
             instance=ids.InstanceId(f"i{number}"),
             incarnation=ids.Incarnation(f"inc-{number}"),
@@ -81,7 +81,7 @@
         return self.limit
 
     def reaches(self, one: int, other: int) -> bool:
-        """Tell whether messages pass between two instances."""
+        """Return whether two instances can exchange messages."""
         living = not self.dead & {one, other}
         return living and frozenset((one, other)) not in self.cut
 
@@ -92,7 +92,7 @@
     def run(
         self, seconds: float, load: Callable[[Cluster, float], None] | None = None
     ) -> None:
-        """Let time pass; `load` is called at each step with its length."""
+        """Advance the clock; call `load` at each step with the step's length."""
         end = self.now + seconds
         while self.now < end:
             self.now = ids.Instant(self.now + STEP)
@@ -106,7 +106,7 @@
                 load(self, STEP)
 
     def beat(self) -> None:
-        """Let all hear all that they can reach."""
+        """Deliver the heartbeats of all instances that can reach each other."""
         if self.now < self.beaten + BEAT:
             return
         self.beaten = self.now
@@ -117,7 +117,7 @@
             known.sweep(self.now)
 
     def deliver(self) -> None:
-        """Hand over the messages that were under way."""
+        """Deliver the queued messages."""
         under_way, self.under_way = self.under_way, []
         for sender, taker, sent in under_way:
             if not self.reaches(sender, taker):
@@ -130,7 +130,7 @@
                 limits.handle_lending(instance, sent, self.now)
 
     def ask(self, number: int, tokens: float) -> admission.Charge | None:
-        """Send a request to an entry; count what is admitted."""
+        """Send a request to an entry, and count what is admitted or refused."""
         if number in self.dead:
             return None
         try:
@@ -143,7 +143,7 @@
 
 
 class CentralLink:
-    """Stands in for a mesh between limits that ask: hands messages over at once."""
+    """A fake mesh between central limits that delivers messages at once."""
 
     def __init__(self, group: CentralGroup, number: int) -> None:
         self.group = group
@@ -151,10 +151,10 @@
         self.sent: list[int] = []
 
     def handle(self, message_type: type, handler: Callable) -> None:
-        """Take no handlers: the group knows them."""
+        """Ignore the handler: the group calls the limits directly."""
 
     def send(self, peer: endpoint.Endpoint, sent: message.Message) -> bool:
-        """Hand a message over; what is sent to the dead is lost without a word."""
+        """Send a message; one to a dead instance is dropped without an error."""
         if peer.port in self.group.unconnected:
             return False
         self.sent.append(peer.port)
@@ -163,17 +163,17 @@
         return True
 
     def hand_over(self, peer: int, sent: message.Message) -> None:
-        """Hand a message over at the next turn."""
+        """Deliver a message at the next turn of the event loop."""
         loop = asyncio.get_running_loop()
         loop.call_soon(self.group.deliver, self.number, peer, sent)
 
 
 class CentralGroup:
-    """Instances whose limits ask each other, in real time."""
+    """Instances with central limits, in real time."""
 
     def __init__(self, count: int, found: limit.Limit) -> None:
         cluster = Cluster(count, found)
-        # Nobody has noticed yet that these are dead, or have no connection.
+        # Instances that are dead or have no connection, before any is suspected.
         self.dead: set[int] = set()
         self.unconnected: set[int] = set()
         self.links = [CentralLink(self, number) for number in range(count)]
@@ -187,13 +187,13 @@
                 member.heard = ids.Instant(now + FAR)
 
     def ranked(self) -> list[int]:
-        """Return the numbers of the account's home and its stand-ins, in order."""
+        """Return the numbers of the account's home and its stand-ins, by rank."""
         presence = self.limits[0].presence
         presence.refresh(clock.now())
         return [int(name.removeprefix("i")) for name in presence.ranked(ACCOUNT)]
 
     def deliver(self, sender: int, taker: int, sent: message.Message) -> None:
-        """Hand over one message."""
+        """Deliver one message."""
         limits = self.limits[taker]
         take = {
             messages.AskCharge: limits.handle_question,
@@ -204,7 +204,7 @@
 
 
 def uneven(rates: list[float], tokens: float) -> Callable[[Cluster, float], None]:
-    """Return a load of requests of a size, in tokens a second by entry."""
+    """Return a load of equal requests, with a rate in tokens a second by entry."""
     owed = [0.0] * len(rates)
 
     def load(cluster: Cluster, seconds: float) -> None:
--- a/src/tealcove/limits/tests/test_bucket.py
+++ b/src/tealcove/limits/tests/test_bucket.py
@@ -1,4 +1,4 @@
-"""A bucket that lets large requests pass on debt, and keeps its rate."""
+"""Buckets: large requests on debt, the enforced rate and the spare bucket."""
 
 from __future__ import annotations
 
@@ -14,20 +14,19 @@
 
 LIMIT = limit.Limit(1000.0, 2000.0)
 SLACK = 2000.0
-# An account of the grown traslada deployment, and what its operators allow beyond a
-# limit in a window.
+# The limit of a large account of the traslada deployment, and the tokens that its
+# operators allow beyond a limit in a window.
 LARGE = limit.Limit(169_290.0, 169_290.0)
 LARGE_SLACK = 140_000.0
 WINDOW_SECONDS = 8.0
 OVER = 0.1
 
 
-def test_a_request_larger_than_the_burst_passes_on_debt():
-    """Requests of an account are refused though it's within its limit.
+def test_a_request_larger_than_the_burst_is_admitted_on_debt():
+    """Guard against 429 for a large request, however long the account was idle.
 
-    Symptom: 429 for a large request, however long the account was idle.
-    Sequence: one request's tokens are more than the burst. Cause: a bucket that
-    lets pass only what it holds.
+    The request's tokens are more than the burst, so a bucket that admits only what it
+    holds would never admit it.
     """
     held = bucket.Bucket(2000.0, ids.Instant(0.0))
     assert held.take(5000.0, LIMIT, 1.0, SLACK, ids.Instant(0.0)) == 0.0
@@ -42,7 +41,7 @@
     ),
     st.sampled_from((1.0, 0.25)),
 )
-def test_what_passes_stays_within_the_limit(
+def test_admitted_tokens_stay_within_the_limit(
     asked: list[tuple[float, float]], part: float
 ) -> None:
     held = bucket.Bucket(LIMIT.burst * part, ids.Instant(0.0))
@@ -60,9 +59,9 @@
 
 
 def sent_in_windows(held: list[bucket.Bucket], seed: int) -> float:
-    """Return the most tokens that pass in a window; each bucket has its turn of 30 s.
+    """Return the most tokens admitted in a window; each bucket is used for 30 s.
 
-    Less than the limit is sent for 25 s, then three times as much.
+    Half of the limit is sent for 25 s, then three times the limit.
     """
     source = random.Random(seed)
     passed: list[tuple[float, float]] = []
@@ -81,19 +80,18 @@
 
 
 def allowed() -> float:
-    """Return what the operators allow in a window."""
+    """Return the tokens that the operators allow in a window."""
     limited = LARGE.rate * WINDOW_SECONDS + LARGE.burst
     return limited * (1.0 + OVER) + LARGE_SLACK
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_no_window_has_more_than_the_operators_allow(seed: int) -> None:
-    """An account gets more than its limit and all that is allowed beyond it.
+    """Guard against more tokens in 8 s than the limit, a tenth of it and the slack.
 
-    Symptom: in some 8 s more tokens run than the limit, a tenth of it and the slack.
-    Sequence: an account of a large limit sends less than it for a while, then three
-    times as much, with long prompts among it. Cause: what the spare bucket holds grows
-    with the rate, the slack doesn't.
+    An account with a large limit stays below it for a while, then sends three times as
+    much, including long prompts. A spare bucket whose capacity grows with the rate
+    exceeds the slack, which doesn't.
     """
     held = bucket.Bucket(LARGE.burst, ids.Instant(0.0))
     assert sent_in_windows([held], seed) <= allowed()
@@ -101,10 +99,10 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_no_window_has_more_when_the_home_dies_in_it(seed: int) -> None:
-    """An account gets half a burst for nothing when its home dies.
+    """Guard against an extra half burst when the home dies.
 
-    Symptom and sequence as above, and the home dies meanwhile. Cause: the next home
-    can't know what has passed, begins with half of the burst, and adds the spare to it.
+    The load is as above, and the home dies meanwhile. The next home can't know what was
+    admitted: it starts with half of the burst, and would add the spare to it.
     """
     first = bucket.Bucket(LARGE.burst, ids.Instant(0.0))
     second = bucket.Bucket.unsettled(ids.Instant(30.0))
@@ -112,13 +110,12 @@
     assert sent_in_windows([first, second], seed) <= allowed()
 
 
-def test_large_requests_pass_as_often_as_small_ones():
-    """Large requests of an account beyond its limit hardly ever pass.
+def test_large_requests_are_admitted_as_often_as_small_ones():
+    """Guard against refusing nearly all large requests of an account over its limit.
 
-    Symptom: the largest tenth of a kind is served less than its other requests.
-    Sequence: an account sends three times its limit, in requests of several sizes.
-    Cause: what falls just beyond the limit passes if it fits into the spare bucket,
-    which is nearly empty all the time.
+    An account sends three times its limit, in requests of several sizes. If those just
+    beyond the limit must fit into the spare bucket, which is nearly empty all the time,
+    the largest tenth is served less often than the others.
     """
     source = random.Random(1)
     held = bucket.Bucket(LIMIT.burst, ids.Instant(0.0))
--- a/src/tealcove/limits/tests/test_central.py
+++ b/src/tealcove/limits/tests/test_central.py
@@ -1,4 +1,4 @@
-"""Limits that are asked for at one home, as that home decides."""
+"""Central limits: decisions of a home, of its stand-ins and of a lone entry."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 def question(tokens: float, number: int = 1) -> messages.AskCharge:
-    """Return what an entry asks."""
+    """Return an entry's question."""
     return messages.AskCharge(
         number=number,
         account=builders.ACCOUNT,
@@ -45,7 +45,7 @@
 def passed(
     limits: central.CentralLimits, cluster: builders.Cluster, alone: bool = False
 ) -> float:
-    """Return how many tokens pass at once, asked for in small requests."""
+    """Return how many tokens are admitted at once, in small requests."""
     decide = limits.decide_locally if alone else limits.decide
     total = 0.0
     while decide(question(50.0), cluster.now).retry_after == 0.0:
@@ -53,7 +53,7 @@
     return total
 
 
-def test_a_settled_home_lets_a_burst_pass_and_says_when_to_come_back(
+def test_a_settled_home_admits_a_burst_and_returns_a_retry_delay(
     cluster: builders.Cluster,
 ) -> None:
     limits = new_limits(cluster)
@@ -64,31 +64,31 @@
     assert limits.decide(question(50.0), cluster.now).retry_after > 0.0
 
 
-def test_a_new_home_lets_a_part_of_the_burst_pass(cluster: builders.Cluster) -> None:
-    """An account gets its whole burst again at each change of its home.
+def test_a_new_home_admits_a_fraction_of_the_burst(cluster: builders.Cluster) -> None:
+    """Guard against a full burst for an account at each change of its home.
 
-    Symptom: more tokens run than the limit allows. Sequence: an account uses its
-    burst; its home dies. Cause: the next home begins with a full bucket.
+    An account uses its burst and its home dies. If the next home starts with a full
+    bucket, more tokens are admitted than the limit allows.
     """
     limits = new_limits(cluster)
     part = central.UNSETTLED_FRACTION * LIMIT.burst
     assert part <= passed(limits, cluster) <= part + 50.0
 
 
-def test_instances_that_reach_no_home_keep_the_limit_together(
+def test_instances_that_reach_no_home_share_the_limit(
     cluster: builders.Cluster,
 ) -> None:
-    """Each of many instances that are cut off lets the whole limit pass."""
+    """Guard against partitioned instances that each admit the whole limit."""
     total = passed(new_limits(cluster), cluster, alone=True)
     assert LIMIT.burst / 3 <= total <= LIMIT.burst / 3 + 50.0
 
 
 async def test_requests_within_the_limit_pass_while_many_homes_are_dead() -> None:
-    """Callers well within their limit get 429 after a mass kill.
+    """Guard against 429 for callers within their limit after a mass failure.
 
-    Symptom: a quarter of all requests get 429 for 2 s. Sequence: six of ten instances
-    lose power, and nobody suspects them yet. Cause: an entry that doesn't reach the
-    home of an account counts by its own equal part at once, a tenth of the limit here.
+    Six of ten instances lose power and aren't suspected yet. If an entry that doesn't
+    reach the home counts locally at once, by a tenth of the limit here, a quarter of
+    all requests get 429 for 2 s.
     """
     group = builders.CentralGroup(10, LIMIT)
     ranked = group.ranked()
@@ -97,11 +97,11 @@
     for _ in range(4):
         charge = await group.limits[entry].admit(builders.ACCOUNT, 100.0, "r-1")
         assert charge.home == f"i{ranked[2]}"
-    # The dead ones were asked once, not by each request.
+    # The dead homes were asked once, not for each request.
     assert [group.links[entry].sent.count(n) for n in ranked[:3]] == [1, 1, 4]
 
 
-async def test_homes_without_a_connection_are_passed_over_at_once() -> None:
+async def test_homes_without_a_connection_are_skipped_without_waiting() -> None:
     group = builders.CentralGroup(10, LIMIT)
     ranked = group.ranked()
     group.unconnected.update(ranked[:4])
@@ -110,8 +110,8 @@
     assert charge.home == f"i{ranked[4]}"
 
 
-async def test_an_entry_that_reaches_nobody_counts_by_itself() -> None:
-    """Each request at an entry that is cut off waits for every home anew."""
+async def test_an_entry_that_reaches_no_home_counts_locally() -> None:
+    """Guard against waiting for every home at each request of a partitioned entry."""
     group = builders.CentralGroup(10, LIMIT)
     entry = next(n for n in range(10) if n not in group.ranked())
     group.dead.update(set(range(10)) - {entry})
@@ -125,8 +125,8 @@
     assert len(group.links[entry].sent) == presence.MAX_CANDIDATES
 
 
-async def test_whoever_stands_in_keeps_to_a_part_of_the_limit() -> None:
-    """An account gets its limit twice while some entries can't reach its home."""
+async def test_a_stand_in_admits_a_fraction_of_the_limit() -> None:
+    """Guard against twice the limit while some entries can't reach the home."""
     group = builders.CentralGroup(10, LIMIT)
     second = group.limits[group.ranked()[1]]
     total = 0.0
@@ -136,15 +136,14 @@
     assert part <= total <= part + 50.0
 
 
-def test_instances_that_all_begin_at_once_keep_to_one_limit(
+def test_instances_that_all_start_at_once_enforce_one_limit(
     cluster: builders.Cluster,
 ) -> None:
-    """An account gets its burst many times after a restart of everything.
+    """Guard against many bursts for an account after a full restart.
 
-    Symptom: in the 8 s after it, more tokens run than operators allow; 57 of 87
-    instances let one account's requests pass as its home. Sequence: all instances end
-    at once and begin again. Cause: each knows itself alone at first, so that it's the
-    home of every account, with the whole limit.
+    All instances restart at once. Each knows only itself at first and is the home of
+    every account, with the whole limit: 57 of 87 admitted one account's requests as
+    its home, more tokens in the 8 s after the restart than operators allow.
     """
     count, tokens = 40, 5.0
     known = [cluster.new_members(number) for number in range(count)]
@@ -166,7 +165,7 @@
             total += tokens
         return total
 
-    # 20,000 where none counts those that it doesn't know yet.
+    # 20,000 if no instance accounts for those not discovered yet.
     unsettled = central.UNSETTLED_FRACTION * LIMIT.burst
     assert sum(passing(limits) for limits in began) <= unsettled + count * tokens
     for other in known[1:]:
@@ -174,13 +173,13 @@
     home = began[0]
     home.presence.refresh(cluster.now)
     home.presence.rankings[builders.ACCOUNT] = (known[0].own.instance,)
-    # Who knows all again begins with its half of the burst, and with no more later.
+    # A home that has discovered all starts with half of the burst, and gets no more.
     total = passing(home)
     assert 0.9 * unsettled <= total <= unsettled + tokens
     assert passing(home) == 0.0
 
 
-async def test_tokens_go_back_to_whoever_counted_them() -> None:
+async def test_tokens_are_refunded_to_the_instance_that_counted_them() -> None:
     group = builders.CentralGroup(10, LIMIT)
     ranked = group.ranked()
     group.dead.add(ranked[0])
@@ -194,11 +193,11 @@
 
 
 def test_the_home_log_names_the_request(cluster: builders.Cluster) -> None:
-    """Nobody can tell why a request got 429.
+    """Guard against a 429 whose reason can't be found in the logs.
 
-    Symptom: its id leads to the entry's line only, which doesn't show the bucket.
-    Sequence: the home of its account is another instance. Cause: the question
-    didn't say which request it was about.
+    The home of the account is another instance than the entry. If the question
+    doesn't name the request, its id leads only to the entry's log line, which doesn't
+    show the bucket.
     """
     limits = new_limits(cluster)
     with logbook.TestHandler() as lines:
@@ -206,7 +205,7 @@
     assert lines.records[-1].extra["request"] == "r-7"
 
 
-def test_tokens_of_a_request_that_has_not_run_come_back(
+def test_tokens_of_a_request_that_has_not_run_are_refunded(
     cluster: builders.Cluster,
 ) -> None:
     limits = new_limits(cluster)
@@ -217,7 +216,9 @@
     assert limits.decide(question(50.0), cluster.now).retry_after == 0.0
 
 
-def test_an_account_without_a_limit_always_passes(cluster: builders.Cluster) -> None:
+def test_an_account_without_a_limit_is_always_admitted(
+    cluster: builders.Cluster,
+) -> None:
     cluster.limit = None
     limits = new_limits(cluster)
     assert limits.decide(question(1e9), cluster.now).retry_after == 0.0
--- a/src/tealcove/limits/tests/test_central_load.py
+++ b/src/tealcove/limits/tests/test_central_load.py
@@ -1,4 +1,4 @@
-"""Limits that are asked for, under load and over links that lose packets."""
+"""Central limits under load and over links that lose packets."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 SECONDS = 8.0
 TOKENS = 3500.0
 LIMIT = limit.Limit(rate=60_000.0, burst=70_000.0)
-# A packet that is lost is sent again after so long.
+# Seconds until a lost packet is sent again.
 RESENT_SECONDS = 0.2
 
 
 class LossyLink(builders.CentralLink):
-    """Delays a share of the messages as a lost packet does."""
+    """A link that delays a share of the messages as packet loss does."""
 
     def __init__(self, group: builders.CentralGroup, number: int, share: float) -> None:
         super().__init__(group, number)
@@ -29,7 +29,7 @@
         self.source = random.Random(f"{number}/{share}")
 
     def hand_over(self, peer: int, sent: object) -> None:
-        """Hand a message over, late if its packet is lost."""
+        """Deliver a message, late if its packet is lost."""
         delay = RESENT_SECONDS if self.source.random() < self.share else 0.0
         loop = asyncio.get_running_loop()
         loop.call_later(delay + 0.002, self.group.deliver, self.number, peer, sent)
@@ -38,9 +38,9 @@
 async def ask_at(
     entries: list[central.CentralLimits], wanted: float, seed: int
 ) -> list[float]:
-    """Ask at any of some entries for so many times the limit.
+    """Send `wanted` times the limit to random entries.
 
-    Returns the tokens that passed, for each request.
+    Returns the admitted tokens of each request.
     """
     source = random.Random(seed)
     loop = asyncio.get_running_loop()
@@ -53,7 +53,7 @@
 
 
 async def ask(entry: admission.Admission) -> float:
-    """Return the tokens of one request if it passes."""
+    """Return the tokens of one request if it is admitted, or 0."""
     try:
         await entry.admit(builders.ACCOUNT, TOKENS, "r-1")
     except admission.OverLimitError:
@@ -62,14 +62,14 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_a_hot_account_keeps_to_its_limit_while_packets_are_lost(
+def test_a_busy_account_stays_within_its_limit_despite_packet_loss(
     seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """An account gets more than its limit since some of its home's answers are late.
+    """Guard against exceeding a limit because some of the home's answers are late.
 
-    Symptom: more tokens run in some seconds than the limit and its allowance are.
-    Sequence: a packet in forty is lost, an account asks for three times its limit.
-    Cause: whoever waited in vain asks an instance that stands in for the home.
+    A packet in forty is lost, and an account asks for three times its limit. An entry
+    that gets no answer in time asks a stand-in, so that more tokens may be admitted
+    within some seconds than the limit and its allowance.
     """
 
     async def play() -> None:
@@ -78,20 +78,20 @@
             limits.transport = LossyLink(group, number, 0.025)
         passed = sum(await ask_at(group.limits, 3.0, seed))
         allowed = LIMIT.rate * SECONDS + LIMIT.burst
-        # 1.15 in the mean, and 1.10 where an entry counts by its own part at once,
-        # which refuses requests within the limit after a mass kill.
+        # 1.15 in the mean, and 1.10 if an entry counts locally at once, which refuses
+        # requests within the limit after a mass failure.
         assert 0.95 * allowed < passed < 1.18 * allowed
 
     virtual.run(monkeypatch, play())
 
 
-def test_an_account_within_its_limit_passes_while_most_instances_are_dead(
+def test_an_account_within_its_limit_is_admitted_while_most_instances_are_dead(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Requests get 429 for as long as nobody suspects the dead instances.
+    """Guard against 429 until the dead instances are suspected.
 
-    Symptom: an account that asks for half of its limit is refused. Sequence: 24 of 40
-    instances die, its home among them. Cause: as in
+    24 of 40 instances die, among them the home of an account that asks for half of its
+    limit. The cause of a refusal is that of
     `test_requests_within_the_limit_pass_while_many_homes_are_dead`.
     """
 
@@ -100,8 +100,8 @@
         others = random.Random(1).sample(range(MANY), DEAD)
         group.dead.update({group.ranked()[0], *others})
         living = [group.limits[n] for n in range(MANY) if n not in group.dead]
-        # .61 where an entry counts by its own part at once, .90 with stand-ins, which
-        # keep half a limit.
+        # .61 if an entry counts locally at once, .90 with stand-ins, which admit half
+        # a limit.
         passed = await ask_at(living, 0.45, 1)
         assert sum(passed) / TOKENS > 0.85 * len(passed)
 
--- a/src/tealcove/limits/tests/test_limits.py
+++ b/src/tealcove/limits/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""Limits over linked instances, under a clock that the tests move."""
+"""Lent limits over linked instances, with a clock that the tests control."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
     assert within_a_tenth(spend(cluster, 60.0, UNEVEN), 60.0 * LIMIT.rate)
 
 
-def test_load_that_moves_to_other_entries_gets_the_limit() -> None:
+def test_load_that_shifts_to_other_entries_gets_the_limit() -> None:
     cluster = builders.Cluster(COUNT, LIMIT)
     spend(cluster, 20.0, UNEVEN)
     spend(cluster, 5.0, UNEVEN[::-1])
@@ -46,7 +46,7 @@
     assert cluster.refused == 0
 
 
-def test_a_burst_after_a_pause_is_had_by_a_single_entry() -> None:
+def test_a_single_entry_gets_the_burst_after_a_pause() -> None:
     cluster = builders.Cluster(COUNT, LIMIT)
     spent = spend(cluster, 1.0, [0.0] * 3 + [50_000.0] + [0.0] * 4)
     assert LIMIT.burst * 0.9 <= spent <= LIMIT.burst + 1.2 * LIMIT.rate
@@ -61,7 +61,7 @@
     assert within_a_tenth(cluster.spent - before, 400.0 * LIMIT.rate)
 
 
-def test_tokens_that_werent_used_come_back_once() -> None:
+def test_unused_tokens_are_refunded_once() -> None:
     cluster = builders.Cluster(1, LIMIT)
     charge = cluster.ask(0, 100.0)
     held = cluster.limits[0].allowances[builders.ACCOUNT]
@@ -70,7 +70,7 @@
     assert held.spent == 40.0
 
 
-def test_a_refusal_tells_when_to_come_back() -> None:
+def test_a_refusal_says_when_to_retry() -> None:
     cluster = builders.Cluster(1, LIMIT)
     cluster.ask(0, 12_000.0)
     cluster.run(1.0)
@@ -81,12 +81,11 @@
     assert cluster.ask(0, 1.0) is not None
 
 
-def test_the_death_of_the_home_neither_stops_nor_doubles_the_limit() -> None:
-    """A burst for each home.
+def test_failure_of_the_home_neither_stops_nor_doubles_the_limit() -> None:
+    """Guard against another burst whenever an account's home dies.
 
-    Symptom: an account gets its burst again whenever an instance dies.
-    Sequence: the home dies, the next in rank takes over. Cause: the new home
-    begins with a full bucket, while the entries still have what they were lent.
+    The next in rank takes over. If it starts with a full ledger, it lends again what
+    the entries still have from the former home.
     """
     cluster = builders.Cluster(COUNT, LIMIT)
     spend(cluster, 20.0, UNEVEN)
@@ -98,12 +97,11 @@
     assert within_a_tenth(spend(cluster, 60.0, everywhere), 60.0 * LIMIT.rate)
 
 
-def test_a_new_home_lends_no_burst_before_others_can_have_told_of_theirs() -> None:
-    """A burst from each of two homes.
+def test_a_new_home_lends_no_burst_before_all_entries_can_have_reported() -> None:
+    """Guard against a burst from each of two homes when the instances change.
 
-    Symptom: an account gets its burst again when the instances change. Sequence: an
-    entry asks the new home before the others have told what they were lent. Cause:
-    a new book begins with a full burst.
+    An entry asks the new home before the others have reported what they were lent. A
+    new ledger with a full burst would lend it again.
     """
     cluster = builders.Cluster(2, LIMIT)
     for limits in cluster.limits:
@@ -111,12 +109,11 @@
     assert spend(cluster, 1.0, [50_000.0, 0.0]) <= 2.5 * LIMIT.rate
 
 
-def test_an_entry_cut_off_from_its_home_alone_goes_on_with_its_share() -> None:
-    """Twice the limit beyond a cut.
+def test_an_entry_that_alone_cannot_reach_the_home_keeps_its_share() -> None:
+    """Guard against twice the limit while one link is down.
 
-    Symptom: an account spends twice its limit while one link is down.
-    Sequence: an entry can't reach the account's home, but all other instances.
-    Cause: the entry asks the next in rank, which lends the whole limit again.
+    An entry reaches all instances but the account's home. If it asks the next in rank,
+    that instance lends the whole limit again.
     """
     cluster = builders.Cluster(COUNT, LIMIT)
     spend(cluster, 20.0, UNEVEN)
@@ -132,11 +129,11 @@
 
 
 @pytest.mark.parametrize("size", [1, 4])
-def test_both_sides_of_a_cut_together_keep_near_the_limit(size: int) -> None:
-    """A limit for each side of a cut.
+def test_both_sides_of_a_partition_together_stay_near_the_limit(size: int) -> None:
+    """Guard against twice the limit for as long as a partition lasts, an hour.
 
-    Symptom: an account gets twice its limit for an hour. Sequence: two groups of
-    instances lose each other, and each has a home. Cause: both lend the whole limit.
+    Two groups of instances are partitioned, and each has a home. Both would lend the
+    whole limit.
     """
     cluster = builders.Cluster(COUNT, LIMIT)
     spend(cluster, 20.0, UNEVEN)
@@ -150,7 +147,7 @@
     assert spent >= 60.0 * LIMIT.rate * 0.9
 
 
-def test_accounts_without_limit_or_use_leave_nothing() -> None:
+def test_accounts_without_limit_or_use_hold_no_state() -> None:
     free = builders.Cluster(2, None)
     free.ask(0, 1e9)
     assert free.spent == 1e9
@@ -165,7 +162,7 @@
         assert limits.home.ledgers == {}
 
 
-def test_a_limit_by_default_bursts_for_ten_seconds() -> None:
+def test_the_default_burst_is_ten_seconds_of_the_rate() -> None:
     spec = kinds.ClientAccountSpec(tier="t", tokens_per_second=50.0)
     assert limit.of_spec(spec) == limit.Limit(50.0, 500.0)
     assert limit.of_spec(kinds.ClientAccountSpec(tier="t")) is None
@@ -189,10 +186,10 @@
 def test_no_load_gets_more_than_the_bound(
     loads: list[tuple[int, list[float], float]],
 ) -> None:
-    """Spent <= burst + rate * t + slack, at every moment.
+    """Check that spent <= burst + rate * t + slack at every moment.
 
-    The slack is one request on debt for each entry, and the provisional share
-    of a second with which each entry begins.
+    The slack is one request on debt for each entry, and the provisional share of one
+    second with which each entry starts.
     """
     cluster = builders.Cluster(4, LIMIT)
     start = cluster.now
@@ -205,12 +202,11 @@
         assert cluster.spent <= bound
 
 
-def test_closing_the_account_pays_no_debts() -> None:
-    """Large requests for nothing.
+def test_closing_an_account_waives_no_debt() -> None:
+    """Guard against many times the limit for an account of few, large requests.
 
-    Symptom: an account of few and large requests gets many times its limit.
-    Sequence: a request is admitted on debt; the entry forgets the idle account;
-    the next request finds a fresh start. Cause: the debt goes with the entry.
+    A request is admitted on debt, and the entry closes the idle account. If the debt is
+    dropped with it, the next request starts without one.
     """
     cluster = builders.Cluster(COUNT, limit.Limit(rate=100.0, burst=100.0))
     for _ in range(20):
