--- a/src/tealcove/limits/allowance.py
+++ b/src/tealcove/limits/allowance.py
@@ -39,7 +39,7 @@
     home_has_more: bool = True
 
     def credit(self) -> float:
-        """Return the tokens that may be spent now; a negative number is a debt."""
+        """Return the tokens that may be spent now; below 0 it is a debt."""
         return self.lent - self.returned - self.spent
 
     def refill(self, now: ids.Instant) -> None:
--- a/src/tealcove/quarantine/__init__.py
+++ b/src/tealcove/quarantine/__init__.py
@@ -1,1 +1,1 @@
-"""Marks against requests that crash backend servers."""
+"""Quarantine of requests that crash backend servers."""
--- a/src/tealcove/quarantine/content.py
+++ b/src/tealcove/quarantine/content.py
@@ -1,11 +1,11 @@
-"""Digests of the content of requests, alike at every entry."""
+"""Digests of request content, the same at every entry."""
 
 from __future__ import annotations
 
 import hashlib
 
 DIGEST_BYTES = 16
-# Stands between method, path and body, none of which can make up for it.
+# Separates method, path and body, so that their concatenation is unambiguous.
 SEPARATOR = b"\0"
 
 
@@ -20,5 +20,5 @@
 
 
 def digest(content: bytes) -> str:
-    """Return the digest of bytes in hex."""
+    """Return the digest of some bytes, in hex."""
     return hashlib.blake2b(content, digest_size=DIGEST_BYTES).hexdigest()
--- a/src/tealcove/quarantine/marks.py
+++ b/src/tealcove/quarantine/marks.py
@@ -1,4 +1,4 @@
-"""What is known of requests whose backend server crashed, by digest."""
+"""Marks: records of the crashes that a request may have caused, by digest."""
 
 from __future__ import annotations
 
@@ -9,43 +9,43 @@
 
 from tealcove import ids
 
-# Marks that an instance holds at the most; the one that ends first makes room.
+# The maximum of marks at an instance; beyond it, the one that ends first is evicted.
 MAX_MARKS = 1000
-# Crashes of one digest that are remembered; two are enough for a quarantine.
+# The maximum of crashes recorded for one digest; two suffice for a quarantine.
 MAX_CRASHES = 16
 CRASHES_TO_QUARANTINE = 2
-# A mark that ends sooner than this, in seconds, isn't shared any more. Without
-# it two instances would hand an ending mark to each other for ever: each would
-# have dropped its own just before the other's copy arrives.
+# A mark with fewer seconds left than this isn't shared any more. Without the limit, two
+# instances would send an ending mark to each other for ever: each would have dropped
+# its own just before the other's copy arrives.
 MIN_SHARED_SECONDS = 5.0
 CHECKSUM_BYTES = 8
 
 
 class Verdict(enum.Enum):
-    """What is held of a digest."""
+    """How a scheduler treats requests with a digest."""
 
     CLEAR = "clear"
-    # It may have crashed a backend server: it runs alone.
+    # It may have crashed a backend server: it runs alone on a server.
     SUSPECT = "suspect"
-    # It crashed two backend servers: it doesn't run.
+    # It crashed two backend servers: it isn't run.
     QUARANTINED = "quarantined"
 
 
 class Crash(msgspec.Struct, frozen=True, order=True):
-    """A run of a digest during which its backend server crashed.
+    """A run of a request during which its backend server crashed.
 
-    The request id names the run, so that a crash which both the entry and the
-    dispatcher notice counts once.
+    The request id identifies the run, so that a crash which both the entry and the
+    dispatcher detect counts once.
     """
 
     request_id: ids.RequestId
     server: ids.BackendServerId
-    # Whether nothing else ran on the server.
+    # Whether no other request ran on the server.
     alone: bool = False
 
 
 class SharedMark(msgspec.Struct, frozen=True):
-    """A mark as it travels; `remaining` is in seconds."""
+    """A mark as sent to peers and stored; `remaining` is in seconds."""
 
     digest: str
     crashes: tuple[Crash, ...]
@@ -54,43 +54,43 @@
 
 
 class Mark(msgspec.Struct):
-    """The crashes of a digest, and those that a whole run alone has cleared."""
+    """The crashes of a digest, and those cleared by a complete run alone."""
 
     crashes: set[Crash]
     cleared: set[ids.RequestId]
     until: ids.Instant
 
     def verdict(self, crashes_to_quarantine: int) -> Verdict:
-        """Judge the digest by the crashes that aren't cleared."""
+        """Return the verdict by the number of crashes that aren't cleared."""
         count = self.count()
         if count >= crashes_to_quarantine:
             return Verdict.QUARANTINED
         return Verdict.SUSPECT if count else Verdict.CLEAR
 
     def count(self) -> int:
-        """Count the crashes that may be this digest's doing.
+        """Count the uncleared crashes that the request may have caused.
 
-        Copies that ran side by side on one server saw the same crash. Counted
-        twice, one crash would quarantine every prompt that is sent often.
+        Copies that ran concurrently on one server saw the same crash. If it were
+        counted twice, one crash would quarantine every prompt that is sent often.
         """
         open_ones = [c for c in self.crashes if c.request_id not in self.cleared]
         alone = sum(1 for crash in open_ones if crash.alone)
         return alone + len({crash.server for crash in open_ones if not crash.alone})
 
     def has_room(self, crashes: int) -> bool:
-        """Tell whether so many crashes more fit in; forgets cleared ones for them."""
+        """Return whether more crashes fit in; drop cleared ones if necessary."""
         if len(self.crashes) + crashes > MAX_CRASHES:
             self.crashes = {c for c in self.crashes if c.request_id not in self.cleared}
         return len(self.crashes) + crashes <= MAX_CRASHES
 
     def canonical_text(self) -> str:
-        """Return what two instances with the same knowledge agree on."""
+        """Return a text that is equal for two marks with the same content."""
         crashes = [f"{c.request_id}@{c.server}" for c in sorted(self.crashes)]
         return f"{crashes}{sorted(self.cleared)}"
 
 
 class Marks:
-    """The marks that an instance knows; merging in any order ends alike."""
+    """The marks of an instance; the order of merges doesn't change the result."""
 
     def __init__(
         self,
@@ -100,11 +100,11 @@
         self.quarantine_seconds = quarantine_seconds
         self.crashes_to_quarantine = crashes_to_quarantine
         self.marks: dict[str, Mark] = {}
-        # Changes with every mark.
+        # Incremented when any mark changes.
         self.version = 0
 
     def verdict(self, digest: str, now: ids.Instant) -> Verdict:
-        """Judge a digest."""
+        """Return the verdict on a digest."""
         mark = self.marks.get(digest)
         if mark is None or mark.until <= now:
             return Verdict.CLEAR
@@ -116,13 +116,13 @@
         return 0.0 if mark is None else max(0.0, mark.until - now)
 
     def add_crash(self, digest: str, crash: Crash, now: ids.Instant) -> bool:
-        """Take in a crash that was seen here; False when it was known."""
+        """Record a crash detected here; return False if it was known."""
         return self.merge(
             SharedMark(digest, (crash,), (), self.quarantine_seconds), now
         )
 
     def clear(self, digest: str, now: ids.Instant) -> bool:
-        """Clear a digest that ran whole alone; False when nothing was open."""
+        """Clear a digest after a complete run; return False if it was clear already."""
         mark = self.marks.get(digest)
         if mark is None or mark.until <= now:
             return False
@@ -132,16 +132,16 @@
         return bool(added)
 
     def has_crash(self, digest: str, run: ids.RequestId) -> bool:
-        """Tell whether a run is counted as a crash of its digest."""
+        """Return whether a run is recorded as a crash of its digest."""
         mark = self.marks.get(digest)
         return mark is not None and any(c.request_id == run for c in mark.crashes)
 
     def merge(self, shared: SharedMark, now: ids.Instant) -> bool:
-        """Take in what a peer or the platform knows; False when it was known.
+        """Merge a mark of a peer or a row; return False if it added nothing.
 
-        Only a crash that is new here moves the end of a mark. If any message
-        did, the delay of each would prolong the mark, and instances that repeat
-        it to each other would keep it for ever.
+        Only a crash that is new here extends a mark. If every message did, its delay
+        would prolong the mark, and instances that repeat it to each other would keep
+        it for ever.
         """
         mark = self.marks.get(shared.digest)
         if mark is None or mark.until <= now:
@@ -162,20 +162,20 @@
         return True
 
     def evict_excess(self) -> None:
-        """Drop the mark that ends first when there are too many."""
+        """Drop the mark that ends first if there are too many."""
         if len(self.marks) > MAX_MARKS:
             first = min(self.marks, key=lambda digest: self.marks[digest].until)
             del self.marks[first]
 
     def sweep(self, now: ids.Instant) -> None:
-        """Forget the marks that have ended."""
+        """Remove the marks that have ended."""
         for digest, mark in list(self.marks.items()):
             if mark.until <= now:
                 del self.marks[digest]
                 self.version += 1
 
     def shared(self, digest: str, now: ids.Instant) -> SharedMark | None:
-        """Return a mark as it travels; None when it's not worth sharing."""
+        """Return a mark to send or store, or None if it is absent or ends soon."""
         mark = self.marks.get(digest)
         if mark is None or mark.until - now < MIN_SHARED_SECONDS:
             return None
@@ -187,7 +187,7 @@
         )
 
     def checksum(self, now: ids.Instant) -> int:
-        """Return a number that is the same on instances that know the same."""
+        """Return a checksum that is equal on instances with the same marks."""
         found = 0
         for digest, mark in self.marks.items():
             if mark.until - now >= MIN_SHARED_SECONDS:
--- a/src/tealcove/quarantine/messages.py
+++ b/src/tealcove/quarantine/messages.py
@@ -1,4 +1,4 @@
-"""Messages of the quarantine between instances."""
+"""Messages between instances about quarantine marks."""
 
 from __future__ import annotations
 
@@ -7,6 +7,6 @@
 
 
 class MarksChanged(message.Message):
-    """Marks that the sender knows; sent on a change and to whoever differs."""
+    """Marks of the sender, sent on a change and to peers whose marks differ."""
 
     marks: tuple[marks.SharedMark, ...]
--- a/src/tealcove/quarantine/persistence.py
+++ b/src/tealcove/quarantine/persistence.py
@@ -1,4 +1,4 @@
-"""Marks in the platform's table, so that they outlast a restart of everything."""
+"""Storage of marks in the platform's table, where they survive a full restart."""
 
 from __future__ import annotations
 
@@ -15,20 +15,20 @@
 log = logbook.Logger("quarantine")
 
 TABLE = "quarantine"
-# Seconds between two transactions, and the marks in one: at most two writes a
-# second from each instance that sees crashes, whatever happens.
+# Seconds between two transactions, and the maximum of marks in one. They limit each
+# instance that detects crashes to two writes a second.
 WRITE_INTERVAL = 0.5
 WRITE_MARKS = 32
-# Marks that wait for the platform at the most; peers know them all anyway.
+# The maximum of marks that wait to be written; further ones are known to the peers.
 MAX_PENDING = 256
 
 
 class StoredMark(msgspec.Struct, frozen=True):
-    """A mark as a row; `ends` is in seconds of the wall clock.
+    """A mark as stored in a row; `ends` is in seconds of the wall clock.
 
-    The monotonic clock of one instance means nothing to another. An instance
-    whose wall clock is wrong by some seconds ends the mark so much too early
-    or too late, which does no harm.
+    Monotonic clocks of different instances can't be compared. An instance whose wall
+    clock is off by some seconds ends the mark early or late by as much, which is
+    harmless.
     """
 
     mark: marks.SharedMark
@@ -36,33 +36,33 @@
 
 
 class MarkStore:
-    """Loads the marks once, and writes those that change here."""
+    """Loads the stored marks once, and writes those that change here."""
 
     def __init__(self, rows: table.TableService, held: marks.Marks) -> None:
         self.rows = rows
         self.marks = held
-        # Digests to write, in the order of their change.
+        # Digests to write, in the order in which they changed.
         self.pending: dict[str, None] = {}
         self.loaded = False
 
     def add(self, digest: str) -> None:
-        """Have a changed mark written soon."""
+        """Queue a changed mark to be written."""
         if len(self.pending) < MAX_PENDING:
             self.pending[digest] = None
 
     async def run(self) -> None:
-        """Load and write whenever the platform allows, until cancelled."""
+        """Load and write marks periodically, until cancelled."""
         while True:
             try:
                 await self.step(clock.now(), time.time())
             except errors.PlatformError as error:
-                log.debug("marks can't be kept: {}", error)
+                log.debug("marks can't be stored: {}", error)
             await asyncio.sleep(WRITE_INTERVAL)
 
     async def step(self, now: ids.Instant, wall: float) -> None:
-        """Load if that is still to be done, and write some changes.
+        """Load the marks unless that is done, and write some queued changes.
 
-        Raises errors.PlatformError; what wasn't written is written later.
+        Raises errors.PlatformError; changes that weren't written stay queued.
         """
         if not self.loaded:
             await self.load(now, wall)
@@ -76,7 +76,7 @@
             self.pending.pop(digest, None)
 
     async def load(self, now: ids.Instant, wall: float) -> None:
-        """Merge all rows, and delete those whose mark has ended."""
+        """Merge the marks of all rows, and delete rows whose mark has ended."""
         ended = []
         for row in await self.rows.scan(TABLE, limit=marks.MAX_MARKS):
             stored = msgspec.msgpack.decode(row.value, type=StoredMark)
@@ -91,6 +91,6 @@
 
 
 def put(mark: marks.SharedMark, wall: float) -> table.Put:
-    """Return the write of a mark."""
+    """Return the write that stores a mark."""
     stored = StoredMark(mark, wall + mark.remaining)
     return table.Put(TABLE, mark.digest, msgspec.msgpack.encode(stored))
--- a/src/tealcove/quarantine/role.py
+++ b/src/tealcove/quarantine/role.py
@@ -1,4 +1,4 @@
-"""The quarantine of an instance, as its entry and its dispatcher use it."""
+"""The quarantine of an instance, for its entry and its dispatcher."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Quarantine(suspicion.Suspicion):
-    """Marks requests that crashed a server, and keeps all instances told."""
+    """Marks requests that crashed a server, and shares the marks with all instances."""
 
     def __init__(
         self,
@@ -30,19 +30,19 @@
     ) -> None:
         self.marks = marks.Marks(quarantine_seconds, crashes_to_quarantine)
         self.sharer = sharing.Sharer(transport, known, heartbeats, self.marks)
-        # Without a table, marks end with the last instance that knows them.
+        # Without a table, marks are lost when the last instance that has them stops.
         self.store = None if rows is None else persistence.MarkStore(rows, self.marks)
         self.tasks: list[asyncio.Task[None]] = []
 
     def start(self) -> None:
-        """Begin to share marks and to keep them in the platform's table."""
+        """Start to share marks and to store them in the platform's table."""
         self.sharer.start()
         self.tasks = [tasks.start(self.sharer.run(), "sharing of marks")]
         if self.store is not None:
             self.tasks.append(tasks.start(self.store.run(), "persistence of marks"))
 
     async def stop(self) -> None:
-        """End all tasks."""
+        """Stop all tasks."""
         await tasks.stop(self.tasks)
 
     @property
@@ -71,14 +71,16 @@
     ) -> None:
         """See Suspicion.
 
-        The entry calls this as soon as the server refuses connections, long
-        before it gives the request up: in the meantime the caller may send the
-        same request to another entry.
+        The entry calls this as soon as the server refuses connections, long before it
+        fails the request: in the meantime the caller may send the same request to
+        another entry.
         """
         crash = marks.Crash(ticket.request_id, server, alone)
         if self.marks.add_crash(ticket.digest, crash, now):
             verdict = self.marks.verdict(ticket.digest, now)
-            log.warning("{} lost with {}: {}", server, ticket.digest, verdict.value)
+            log.warning(
+                "{} lost while running {}: {}", server, ticket.digest, verdict.value
+            )
             self.publish(ticket.digest, now)
 
     def record_end(
@@ -88,17 +90,17 @@
         alone: bool,
         now: ids.Instant,
     ) -> None:
-        """Learn how a dispatched request ended, at its entry."""
+        """Record at the entry how a dispatched request ended."""
         if done.outcome is messages.Outcome.CRASHED:
             self.lost(ticket, done.server, alone, now)
         elif done.outcome is messages.Outcome.COMPLETED:
             survived = self.marks.has_crash(ticket.digest, ticket.request_id)
             if (alone or survived) and self.marks.clear(ticket.digest, now):
-                log.info("{} is cleared", ticket.digest)
+                log.info("{} cleared", ticket.digest)
                 self.publish(ticket.digest, now)
 
     def publish(self, digest: str, now: ids.Instant) -> None:
-        """Spread a mark that has changed here."""
+        """Share and store a mark that has changed here."""
         self.sharer.publish(digest, now)
         if self.store is not None:
             self.store.add(digest)
--- a/src/tealcove/quarantine/sharing.py
+++ b/src/tealcove/quarantine/sharing.py
@@ -1,4 +1,4 @@
-"""The spread of marks among instances, by message and by heartbeat."""
+"""Replication of marks among instances, by messages and heartbeat checksums."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 from tealcove.peers import mesh
 from tealcove.quarantine import marks, messages
 
-# Seconds between two sendings of a changed mark, and their number. A message
-# that is lost would leave an instance that still runs a crashing request.
+# Seconds between two sends of a changed mark, and the number of sends. With a single
+# send, an instance that misses it would still run a crashing request.
 REPEAT_INTERVAL = 0.25
 REPEATS = 3
-# Seconds between two answers to peers that know other marks, and the marks in
-# one; together they bound the bytes that differing instances may cost.
+# Seconds between two messages to peers whose marks differ, and the maximum of marks in
+# one; together they bound the traffic between instances that differ.
 SYNC_INTERVAL = 1.0
 SYNC_MARKS = 64
 
 
 class Sharer:
-    """Tells peers of changed marks, and notices by heartbeat who differs."""
+    """Sends changed marks to peers, and detects differing peers by heartbeat."""
 
     def __init__(
         self,
@@ -34,18 +34,18 @@
         self.members = known
         self.heart = heartbeats
         self.marks = held
-        # Sendings that each changed mark still gets.
+        # The remaining sends of each changed mark.
         self.repeats: dict[str, int] = {}
         self.next_sync = ids.Instant(0.0)
         self.sync_offset = 0
 
     def start(self) -> None:
-        """Begin to take in what peers know."""
+        """Register the handlers of messages and heartbeats."""
         self.transport.handle(messages.MarksChanged, self.handle_marks)
         self.heart.listeners.append(self.compare)
 
     async def run(self) -> None:
-        """Repeat changed marks and forget ended ones, until cancelled."""
+        """Repeat changed marks and remove ended ones, until cancelled."""
         while True:
             await asyncio.sleep(REPEAT_INTERVAL)
             now = clock.now()
@@ -54,13 +54,13 @@
             self.update_heartbeat(now)
 
     def publish(self, digest: str, now: ids.Instant) -> None:
-        """Tell all peers of a mark that has changed here."""
+        """Send a mark that has changed here to all peers."""
         self.repeats[digest] = REPEATS
         self.repeat(now)
         self.update_heartbeat(now)
 
     def repeat(self, now: ids.Instant) -> None:
-        """Send every mark that still has sendings left to all peers."""
+        """Send every mark with remaining sends to all peers."""
         due = [self.marks.shared(digest, now) for digest in self.repeats]
         self.repeats = {d: left - 1 for d, left in self.repeats.items() if left > 1}
         changed = tuple(mark for mark in due if mark is not None)
@@ -72,7 +72,7 @@
                 self.transport.send(heartbeat.endpoint, sent)
 
     def update_heartbeat(self, now: ids.Instant) -> None:
-        """Let the heartbeats say which marks are known here."""
+        """Put the checksum of the marks into this instance's heartbeat."""
         checksum = self.marks.checksum(now)
         if checksum != self.members.own.marks:
             self.members.update_own(marks=checksum)
@@ -80,14 +80,14 @@
     def handle_marks(
         self, sender: ids.InstanceId, changed: messages.MarksChanged
     ) -> None:
-        """Merge what a peer knows."""
+        """Merge a peer's marks."""
         now = clock.now()
         for mark in changed.marks:
             self.marks.merge(mark, now)
         self.update_heartbeat(now)
 
     def compare(self, heartbeat: membership_messages.Heartbeat) -> None:
-        """Send marks to a peer that knows others; it does the same in turn."""
+        """Send marks to a peer whose checksum differs; the peer does the same."""
         now = clock.now()
         if heartbeat.marks == self.members.own.marks or now < self.next_sync:
             return
@@ -100,7 +100,7 @@
             self.transport.send(heartbeat.endpoint, sent)
 
     def next_digests(self) -> list[str]:
-        """Return the digests of one answer; later answers go on from there."""
+        """Return the digests of the next message, in rotation."""
         digests = sorted(self.marks.marks)
         if self.sync_offset >= len(digests):
             self.sync_offset = 0
--- a/src/tealcove/quarantine/tests/builders.py
+++ b/src/tealcove/quarantine/tests/builders.py
@@ -1,4 +1,4 @@
-"""Test data of the quarantine."""
+"""Test data for the quarantine."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 
 
 def crash(run: str, server: str, alone: bool = False) -> marks.Crash:
-    """Return a crash of a server under a run."""
+    """Return a crash of a server during a run."""
     return marks.Crash(ids.RequestId(run), ids.BackendServerId(server), alone)
 
 
 def new_marks() -> marks.Marks:
-    """Return marks that last as long as by default."""
+    """Return empty marks with a quarantine of SECONDS."""
     return marks.Marks(SECONDS)
--- a/src/tealcove/quarantine/tests/test_marks.py
+++ b/src/tealcove/quarantine/tests/test_marks.py
@@ -1,4 +1,4 @@
-"""Marks: how crashes are counted, cleared, merged and forgotten."""
+"""Marks: how crashes are counted, cleared, merged and removed."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 T0 = builders.at(1000.0)
 
 
-def test_two_crashes_quarantine_for_a_time() -> None:
+def test_two_crashes_quarantine_a_digest_until_the_mark_ends() -> None:
     found = builders.new_marks()
     found.add_crash(D, builders.crash("r1", "s1"), T0)
     assert found.verdict(D, T0) is SUSPECT
@@ -27,12 +27,11 @@
     assert found.marks == {}
 
 
-def test_one_crash_counts_once_however_many_copies_and_witnesses() -> None:
-    """A quarantine of the innocent.
+def test_one_crash_counts_once_for_any_number_of_copies_and_reports() -> None:
+    """Guard against a quarantine of a common prompt after a single crash.
 
-    Symptom: a common prompt is refused everywhere after one crash. Sequence: copies
-    of it ran on the server; entry and dispatcher both notice the crash. Cause: what
-    is counted is reports, not crashes.
+    Copies of it ran on the server, and both entry and dispatcher detect the crash. If
+    reports were counted in place of crashes, the prompt would be refused everywhere.
     """
     found = builders.new_marks()
     assert found.add_crash(D, builders.crash("r1", "s1"), T0)
@@ -41,14 +40,14 @@
     assert found.verdict(D, T0) is SUSPECT
 
 
-def test_a_server_that_came_back_and_crashes_alone_counts_again() -> None:
+def test_a_second_crash_of_a_server_with_the_run_alone_counts_again() -> None:
     found = builders.new_marks()
     found.add_crash(D, builders.crash("r1", "s1"), T0)
     found.add_crash(D, builders.crash("r2", "s1", alone=True), T0)
     assert found.verdict(D, T0) is QUARANTINED
 
 
-def test_a_whole_run_clears_until_the_next_crash() -> None:
+def test_clearing_lasts_until_the_next_crash() -> None:
     found = builders.new_marks()
     found.add_crash(D, builders.crash("r1", "s1"), T0)
     assert found.clear(D, T0)
@@ -77,11 +76,10 @@
 
 
 def test_instances_that_repeat_a_mark_to_each_other_let_it_end() -> None:
-    """A mark that never ends.
+    """Guard against a mark that never ends, so that a request is refused for ever.
 
-    Symptom: a quarantined request is refused for ever. Sequence: two instances
-    hand the mark to each other, each message arrives a little later than it was
-    sent. Cause: the end is reckoned from the arrival, again and again.
+    Two instances send the mark to each other, and each message arrives a little later
+    than it was sent. If each arrival extended the mark, it would never end.
     """
     one, two = builders.new_marks(), builders.new_marks()
     one.add_crash(D, builders.crash("r1", "s1"), T0)
@@ -106,7 +104,7 @@
 
 
 @hypothesis.given(EVENTS)
-def test_instances_agree_once_all_have_heard_all(
+def test_instances_agree_once_all_have_exchanged_their_marks(
     events: list[tuple[str, int, int]],
 ) -> None:
     instances = [builders.new_marks() for _ in range(3)]
@@ -132,7 +130,7 @@
         taker.merge(shared, T0)
 
 
-def test_digests_tell_calls_apart() -> None:
+def test_digests_of_different_calls_differ() -> None:
     assert content.digest_prompt("a") == content.digest_prompt("a")
     calls = {
         content.digest_call("POST", "/a", b"b"),
--- a/src/tealcove/quarantine/tests/test_persistence.py
+++ b/src/tealcove/quarantine/tests/test_persistence.py
@@ -1,4 +1,4 @@
-"""Marks in the platform's table."""
+"""Storage of marks in the platform's table."""
 
 from __future__ import annotations
 
@@ -14,11 +14,10 @@
 WALL = 5e8
 
 
-async def test_marks_outlast_a_restart_of_every_instance() -> None:
-    """Forgotten marks.
+async def test_marks_survive_a_restart_of_every_instance() -> None:
+    """Guard against marks that are lost when all instances are restarted.
 
-    Symptom: a quarantined request crashes servers again. Sequence: it crashed two,
-    then all instances are restarted. Cause: marks are in memory only.
+    If marks were in memory only, a quarantined request would crash servers again.
     """
     platform = memory.MemoryPlatform()
     before = builders.new_marks()
@@ -34,12 +33,11 @@
     assert after.remaining(D, builders.at(7.0)) == builders.SECONDS - 100.0
 
 
-async def test_what_an_outage_kept_back_is_written_later() -> None:
-    """Lost marks.
+async def test_marks_that_an_outage_delayed_are_written_later() -> None:
+    """Guard against marks that are lost because they are written only once.
 
-    Symptom: a crashing request runs again after all instances were replaced.
-    Sequence: the platform is down when the request crashes its servers, and
-    comes back. Cause: the mark was written once only.
+    The platform is down when a request crashes its servers, and recovers. Without a
+    retry, the request would run again after all instances were replaced.
     """
     platform = memory.MemoryPlatform()
     held = builders.new_marks()
@@ -55,7 +53,7 @@
     assert len(await platform.table.scan(persistence.TABLE)) == 1
 
 
-async def test_ended_rows_are_deleted_and_idle_keepers_write_nothing() -> None:
+async def test_rows_of_ended_marks_are_deleted_and_idle_stores_write_nothing() -> None:
     platform = memory.MemoryPlatform()
     held = builders.new_marks()
     held.add_crash(D, builders.crash("r1", "s1"), T0)
--- a/src/tealcove/quarantine/tests/test_sharing.py
+++ b/src/tealcove/quarantine/tests/test_sharing.py
@@ -1,4 +1,4 @@
-"""Marks between instances, and what a scheduler does by them."""
+"""Replication of marks, and how a scheduler applies them."""
 
 from __future__ import annotations
 
@@ -18,20 +18,20 @@
 
 
 class FakeHeart:
-    """Stands in for the heart: takes listeners."""
+    """A fake heart that only holds listeners."""
 
     def __init__(self) -> None:
         self.listeners: list[object] = []
 
 
 class RecordingMesh:
-    """Stands in for a mesh: keeps what is sent."""
+    """A fake mesh that records the messages sent."""
 
     def __init__(self) -> None:
         self.messages: list[quarantine_messages.MarksChanged] = []
 
     def send(self, peer: object, sent: quarantine_messages.MarksChanged) -> bool:
-        """Keep a message."""
+        """Record a message."""
         self.messages.append(sent)
         return True
 
@@ -54,12 +54,11 @@
     return found, sent
 
 
-def test_an_instance_that_missed_every_message_learns_by_heartbeat() -> None:
-    """An instance that runs what all others refuse.
+def test_an_instance_that_missed_every_message_gets_marks_by_heartbeat() -> None:
+    """Guard against an entry that runs a request which all others refuse.
 
-    Symptom: a quarantined request runs at one entry. Sequence: that entry was
-    frozen or started later, and got none of the messages about the crashes.
-    Cause: marks are told only when they change.
+    The entry was frozen or started later, and got none of the messages about the
+    crashes. Marks that are sent only on a change would never reach it.
     """
     one, sent = new_quarantine("one")
     two, _ = new_quarantine("two")
@@ -76,7 +75,7 @@
     assert len(sent.messages) == 1
 
 
-def test_a_whole_run_alone_clears_and_one_beside_others_does_not() -> None:
+def test_a_complete_run_clears_a_digest_only_if_it_ran_alone() -> None:
     found, _ = new_quarantine("one")
     ticket = dispatch_builders.ticket(digest=D)
     found.lost(ticket, ids.BackendServerId("s1"), False, EARLY)
@@ -110,11 +109,10 @@
 
 
 def test_copies_in_the_queue_are_refused_after_the_second_crash() -> None:
-    """A third server lost.
+    """Guard against a third server that crashes of a quarantined request.
 
-    Symptom: a request that crashed two servers crashes a third. Sequence: copies
-    of it wait in the queue while the first two run. Cause: a ticket is judged
-    only when it comes.
+    Copies of it wait in the queue while the first two run. If the verdict were checked
+    only on arrival of a ticket, a copy would still be dispatched.
     """
     scheduler, found = busy_scheduler()
     scheduler.enqueue(dispatch_builders.ticket(), EARLY)
@@ -129,12 +127,11 @@
     ]
 
 
-def test_a_crash_is_noticed_although_the_entry_died_with_it() -> None:
-    """A request that kills its server and leaves no witness.
+def test_a_crash_is_detected_even_if_the_entry_dies_with_the_server() -> None:
+    """Guard against more than two crashes by a request whose entries die as well.
 
-    Symptom: more than two servers die of one request. Sequence: its entry is
-    killed while the server crashes, and the caller sends it elsewhere. Cause:
-    nobody is left who saw the connection break.
+    The entry is killed while the server crashes, and the caller sends the request
+    elsewhere. No instance is left that saw the connection break.
     """
     scheduler, found = busy_scheduler()
     scheduler.enqueue(dispatch_builders.ticket(digest=D), EARLY)
