--- a/src/tealcove/claims/__init__.py
+++ b/src/tealcove/claims/__init__.py
@@ -1,1 +1,1 @@
-"""Durable claims that keep non-idempotent work at most once."""
+"""Durable claims, by which non-idempotent requests run at most once."""
--- a/src/tealcove/claims/claimer.py
+++ b/src/tealcove/claims/claimer.py
@@ -1,4 +1,4 @@
-"""The entry's side of claims: takes them, records their ends, gives them back."""
+"""The entry's side of claims: takes, completes and releases them."""
 
 from __future__ import annotations
 
@@ -16,32 +16,32 @@
 
 log = logbook.Logger("claims")
 
-# The instances that write claims are those ranked first for this key.
+# The instances ranked first for this key write the claims.
 WRITERS_KEY = "claim-writers"
-# A change unanswered for so many seconds goes to the next writer too.
+# A change without an answer for so many seconds is sent to the next writer too.
 RESEND_INTERVAL = 0.5
-# Seconds between two tries while the platform can't be used.
+# Seconds between two attempts while the platform is unavailable.
 RETRY_INTERVAL = 1.0
-# Seconds that one try to record an end may take.
+# The timeout of one attempt to change a held claim, in seconds.
 RECORD_TIMEOUT = 10.0
 
 
 class TakenError(errors.TealcoveError):
-    """Another request holds the claim; `found` is what its row says."""
+    """Another request holds the claim; `found` is the content of its row."""
 
     def __init__(self, found: claim.Claim) -> None:
         super().__init__(
-            f"{found.entry} holds the claim", "Answer by what the claim says."
+            f"{found.entry} holds the claim", "Answer as recorded in the claim."
         )
         self.found = found
 
 
 class UnavailableError(errors.TealcoveError):
-    """No claim was taken, so the request may not be dispatched."""
+    """No claim was taken, so the request must not be dispatched."""
 
 
 class HeldClaim(msgspec.Struct, frozen=True):
-    """A claim that is ours, at the version of its row."""
+    """A claim that this entry holds, with the version of its row."""
 
     key: str
     claim: claim.Claim
@@ -49,7 +49,7 @@
 
 
 class Claimer:
-    """All claims of this entry."""
+    """Takes, records and releases the claims of this entry."""
 
     def __init__(
         self,
@@ -63,25 +63,25 @@
         self.rows = rows
         self.writers = writers
         self.pending: dict[str, asyncio.Future[messages.RowVerdict]] = {}
-        # Nonces of claims that are being taken, are held, or are being recorded.
+        # Nonces of claims that are being taken, held or recorded.
         self.active: set[str] = set()
         self.cleanups: set[asyncio.Task[None]] = set()
 
     def start(self) -> None:
-        """Begin to take verdicts."""
+        """Register the handler of verdicts."""
         self.transport.handle(messages.RowVerdict, self.handle_verdict)
 
     async def stop(self) -> None:
-        """End the tasks in the background."""
+        """Cancel the background deletions."""
         await tasks.stop(self.cleanups)
 
     async def claim(
         self, key: str, wanted: claim.Claim, deadline: ids.Instant
     ) -> HeldClaim:
-        """Take a claim; raises TakenError or UnavailableError.
+        """Take a claim, or raise TakenError or UnavailableError.
 
-        A claim whose fate isn't known at the deadline is given up: its request
-        isn't dispatched, and its row is deleted once it is found.
+        A claim whose outcome isn't known at the deadline is abandoned: its request
+        isn't dispatched, and its row is deleted if one is found.
         """
         self.active.add(wanted.nonce)
         change = messages.RowChange(
@@ -101,22 +101,22 @@
         if found.verdict is messages.Verdict.CONFLICT:
             raise TakenError(claim.decode(found.value))
         raise UnavailableError(
-            "The platform's table didn't take the claim", "Send the request later."
+            "The claim could not be written to the table", "Send the request later."
         )
 
     async def record(self, held: HeldClaim, ended: claim.Claim) -> None:
-        """Write how a held claim's request ended; tries until it's written."""
+        """Write how a held claim's request ended; retry until it is written."""
         await self.write(held, claim.encode(ended))
 
     async def release(self, held: HeldClaim) -> None:
-        """Delete a held claim, whose request never was nor will be dispatched."""
+        """Delete a held claim whose request was not and will not be dispatched."""
         await self.write(held, None)
 
     async def write(self, held: HeldClaim, value: bytes | None) -> None:
-        """Change the row of a held claim; tries until the platform has taken it.
+        """Change the row of a held claim; retry until the change is committed.
 
-        Only requests that held a claim when the platform went down can wait here,
-        so an outage doesn't pile them up.
+        Only requests that held a claim when the platform went down can wait here, so
+        they don't accumulate during an outage.
         """
         change = messages.RowChange(
             change_id=new_nonce(), key=held.key, expected=held.version, value=value
@@ -127,7 +127,7 @@
             if found.verdict is messages.Verdict.COMMITTED:
                 break
             if found.verdict is messages.Verdict.CONFLICT:
-                log.error("another has changed the claim {}", held.key)
+                log.error("claim {} was changed by another instance", held.key)
                 break
             await asyncio.sleep(RETRY_INTERVAL)
         self.active.discard(held.claim.nonce)
@@ -135,7 +135,7 @@
     async def ask(
         self, change: messages.RowChange, deadline: ids.Instant
     ) -> messages.RowVerdict:
-        """Return a writer's verdict, asking the next one when one is silent."""
+        """Return a writer's verdict; ask the next writer when one doesn't answer."""
         verdict = asyncio.get_running_loop().create_future()
         self.pending[change.change_id] = verdict
         attempts = 0
@@ -152,16 +152,16 @@
             del self.pending[change.change_id]
         found = verdict.result()
         if found.verdict is messages.Verdict.REFUSED and attempts > 1:
-            # Another writer that was asked before may still apply it.
+            # A writer that was asked earlier may still apply the change.
             return unsettled(change)
         return found
 
     def send(self, change: messages.RowChange, attempts: int, now: ids.Instant) -> None:
         """Send a change to one of the writers.
 
-        Keys go to different writers, so that all of them share the work. Only
-        the first in rank are asked, however often, since their number is what
-        bounds the rate of writes.
+        Keys are hashed to different writers, so that they share the work. Only the
+        first in rank are used, also by retries, since their number bounds the rate of
+        writes.
         """
         ranked = self.members.rank(WRITERS_KEY, now) or [self.members.own.instance]
         writers = ranked[: self.writers]
@@ -173,7 +173,7 @@
     def handle_verdict(
         self, sender: ids.InstanceId, verdict: messages.RowVerdict
     ) -> None:
-        """Hand a verdict to who waits for it, or undo what nobody wants any more."""
+        """Pass a verdict to its waiting request, or undo an abandoned claim."""
         waiting = self.pending.get(verdict.change_id)
         if waiting is not None:
             if not waiting.done():
@@ -182,10 +182,10 @@
             self.undo_late(verdict)
 
     def undo_late(self, verdict: messages.RowVerdict) -> None:
-        """Delete a claim that was written after its request had been given up.
+        """Delete a claim that was written after its request had been abandoned.
 
-        Its caller was told "not run" and may send again, and would be told
-        "unknown" for as long as the row stands.
+        Its caller got "not run" and may retry, and would get "unknown" for as long as
+        the row exists.
         """
         if verdict.value is None or verdict.change_id in self.active:
             return
@@ -193,14 +193,14 @@
             self.abandon(verdict.key, verdict.change_id)
 
     def abandon(self, key: str, nonce: str) -> None:
-        """Delete a claim of ours, if there is one, without being waited for."""
+        """Delete a claim of this entry, if there is one, in the background."""
         work = self.delete_own(key, nonce)
         task = tasks.start(work, f"deletion of the claim {key}")
         self.cleanups.add(task)
         task.add_done_callback(self.cleanups.discard)
 
     async def delete_own(self, key: str, nonce: str) -> None:
-        """Look for the row of a claim that was given up, and delete it."""
+        """Read the row of an abandoned claim, and delete it if it is this entry's."""
         while True:
             try:
                 row = await self.rows.read(claim.TABLE, key)
@@ -214,12 +214,12 @@
         self.active.discard(nonce)
 
     def is_undispatched(self, found: claim.Claim, nonce: str) -> bool:
-        """Tell whether a row is of a claim that was given up here.
+        """Return whether a row belongs to a claim that was abandoned here.
 
         The end of each claim that was used is recorded before it leaves `active`. A
-        verdict on its first writing may still come after that, from a second
-        writer, or come to an instance that was restarted while its request ran;
-        were the row deleted then, the request could run again.
+        verdict on its first write may still arrive after that, from a second writer, or
+        arrive at an instance that was restarted while its request ran; if the row were
+        deleted then, the request could run again.
         """
         return (
             found.nonce == nonce
@@ -228,12 +228,12 @@
         )
 
     async def read_claim(self, key: str) -> claim.Claim | None:
-        """Return the claim that stands under a key; raises PlatformError."""
+        """Return the claim stored under a key, or None; raises PlatformError."""
         row = await self.rows.read(claim.TABLE, key)
         return None if row is None else claim.decode(row.value)
 
     def is_entry_alive(self, found: claim.Claim, now: ids.Instant) -> bool:
-        """Tell whether the entry that holds a claim is still there."""
+        """Return whether the incarnation that holds a claim is still alive."""
         return any(
             (heartbeat.instance, heartbeat.incarnation)
             == (found.entry, found.incarnation)
@@ -242,12 +242,12 @@
 
 
 def new_nonce() -> str:
-    """Draw an id that no other claim or change has."""
+    """Return a unique id for a claim or a change."""
     return str(ids.new_incarnation())
 
 
 def unsettled(change: messages.RowChange) -> messages.RowVerdict:
-    """Return the verdict that nobody knows what became of a change."""
+    """Return the verdict that a change's outcome is unknown."""
     return messages.RowVerdict(
         change_id=change.change_id,
         key=change.key,
--- a/src/tealcove/claims/messages.py
+++ b/src/tealcove/claims/messages.py
@@ -8,30 +8,30 @@
 
 
 class RowChange(message.Message):
-    """A conditional change of one row; `change_id` makes a repeat harmless."""
+    """A conditional change of one row; `change_id` makes retries idempotent."""
 
     change_id: str
     key: str
-    # The version that the row must have; None: there must be no row.
+    # The version that the row must have; None: the row must not exist.
     expected: int | None
     # None: delete the row.
     value: bytes | None
 
 
 class Verdict(enum.Enum):
-    """What became of a change."""
+    """The outcome of a change."""
 
     COMMITTED = "committed"
-    # Another row stands there.
+    # The row isn't in the expected state.
     CONFLICT = "conflict"
-    # The platform took nothing of it from this writer.
+    # The platform applied nothing of it for this writer.
     REFUSED = "refused"
-    # It may have been applied, or may still be.
+    # It may have been applied, or may still be applied.
     UNSETTLED = "unsettled"
 
 
 class RowVerdict(message.Message):
-    """The writer's answer; the row as it stands now, where it's known."""
+    """The writer's answer, with the current version and value of the row if known."""
 
     change_id: str
     key: str
--- a/src/tealcove/claims/tests/__init__.py
+++ b/src/tealcove/claims/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of claims."""
+"""Tests for claims."""
--- a/src/tealcove/claims/tests/builders.py
+++ b/src/tealcove/claims/tests/builders.py
@@ -1,4 +1,4 @@
-"""Instances that claim over one platform in memory, in virtual time."""
+"""Instances that take claims in one in-memory platform, in virtual time."""
 
 from __future__ import annotations
 
@@ -21,24 +21,24 @@
 DEADLINE = 5.0
 CALL_TIMEOUT = 2.0
 DELAY = 0.001
-# A doubled message comes a second time when its request has long ended.
+# Seconds until a duplicate is delivered; its request has long ended by then.
 DOUBLE_AFTER = 0.7
 
 
 class JumpingSelector(selectors.SelectSelector):
-    """Lets the time of its loop jump ahead in place of waiting."""
+    """A selector that advances the loop's clock in place of waiting."""
 
     now = 0.0
 
     def select(self, timeout: float | None = None) -> list[Any]:
         if timeout is None:
-            raise RuntimeError("nothing is left that could happen")
+            raise RuntimeError("deadlock: no events and no timers are left")
         self.now += max(0.0, timeout)
         return super().select(0)
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """An event loop whose clock passes only when nothing is left to do."""
+    """An event loop whose clock advances only when no callback is ready."""
 
     def __init__(self) -> None:
         self.jumping = JumpingSelector()
@@ -61,7 +61,7 @@
 
 
 class Bus:
-    """Carries messages between instances, and loses or doubles them."""
+    """Delivers messages between instances, and loses or duplicates them."""
 
     def __init__(self) -> None:
         self.instances: dict[int, Instance] = {}
@@ -84,13 +84,13 @@
 
 
 def retrieve(applied: asyncio.Task[table.Committed]) -> None:
-    """Look at the error of a write that nobody may wait for any more."""
+    """Retrieve the exception of a write that may no longer be awaited."""
     if not applied.cancelled():
         applied.exception()
 
 
 class LateTable(table.TableService):
-    """Gives a write up after a while; it may still be applied later."""
+    """A table whose commits time out and may still be applied later."""
 
     def __init__(self, inner: table.TableService) -> None:
         self.inner = inner
@@ -113,7 +113,7 @@
 
 
 class Instance:
-    """The claims of one run of an instance: writer and entry side."""
+    """The writer and claimer of one incarnation of an instance."""
 
     def __init__(self, bus: Bus, number: int, rows: table.TableService) -> None:
         self.bus = bus
@@ -150,7 +150,7 @@
         self.tasks.add(task)
 
     def kill(self) -> None:
-        """End everything at once; a write that was sent may still be applied."""
+        """Cancel all tasks at once; a write that was sent may still be applied."""
         del self.bus.instances[self.number]
         for task in (self.writer.task, *self.tasks, *self.claimer.cleanups):
             task.cancel()
@@ -158,7 +158,7 @@
 
 
 def claim_of(instance: Instance, number: int = 0) -> claim.Claim:
-    """Return a new claim of an instance."""
+    """Return a new claim by an instance."""
     return claim.Claim(
         nonce=claimer.new_nonce(),
         entry=instance.heartbeat.instance,
@@ -171,7 +171,7 @@
 
 
 async def pass_time(bus: Bus, seconds: float) -> None:
-    """Let time pass; instances that aren't cut off hear each other."""
+    """Advance the clock; instances that aren't cut off exchange heartbeats."""
     until = clock.now() + seconds
     while clock.now() < until:
         alive = [i for n, i in bus.instances.items() if n not in bus.cut]
@@ -182,5 +182,5 @@
 
 
 def platform_in(loop: VirtualLoop) -> memory.MemoryPlatform:
-    """Return a platform whose clock is the loop's."""
+    """Return a platform that uses the loop's clock."""
     return memory.MemoryPlatform(clock=loop.time)
--- a/src/tealcove/claims/tests/test_claim_machine.py
+++ b/src/tealcove/claims/tests/test_claim_machine.py
@@ -1,4 +1,4 @@
-"""Claims under lost replies, outages, cuts, doubled messages and deaths."""
+"""Claims under lost replies, outages, partitions, duplicate messages and crashes."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class ClaimMachine(stateful.RuleBasedStateMachine):
-    """Any order of events; a key is dispatched once at most, and never forgotten."""
+    """Check that each key is dispatched at most once and its row is never lost."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -35,7 +35,7 @@
         self.rows = builders.LateTable(self.platform.table)
         self.bus = builders.Bus()
         self.dispatches: collections.Counter[str] = collections.Counter()
-        # Whether a claim was ever taken for another's after a lost reply.
+        # Whether a claim was ever mistaken for another request's after a lost reply.
         self.taken_from_itself = False
         for number in INSTANCES:
             self.start(number)
@@ -53,7 +53,7 @@
     async def request(
         self, instance: builders.Instance, key: str, ending: str, seconds: float
     ) -> None:
-        """Live as a request does at its entry."""
+        """Run a request as its entry does."""
         wanted = builders.claim_of(instance)
         deadline = ids.Instant(clock.now() + builders.DEADLINE)
         try:
@@ -128,7 +128,7 @@
 
     @stateful.rule(number=st.sampled_from(INSTANCES))
     def replace(self, number: int) -> None:
-        """Kill an instance; another run of it starts under the same name."""
+        """Kill an instance and start a new incarnation with the same name."""
         self.bus.instances[number].kill()
         self.start(number)
 
@@ -140,7 +140,7 @@
         assert not self.taken_from_itself
 
     def teardown(self) -> None:
-        """Once all faults are over, each request that lives has been settled."""
+        """Check that no claim is active any more once all faults are over."""
         with self.resources:
             self.heal()
             self.wait(30.0)
@@ -154,7 +154,7 @@
     stateful_step_count=30,
     deadline=None,
     derandomize=True,
-    # Each example takes milliseconds, but making one smaller takes thousands.
+    # An example runs in milliseconds, but shrinking one takes thousands of runs.
     phases=(hypothesis.Phase.explicit, hypothesis.Phase.generate),
 )
 TestClaims = ClaimMachine.TestCase
--- a/src/tealcove/claims/tests/test_writing.py
+++ b/src/tealcove/claims/tests/test_writing.py
@@ -1,4 +1,4 @@
-"""The rate of writes, and claims that meet in one batch."""
+"""The rate of writes, and two claims of one key in the same batch."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 async def claim(instance: builders.Instance, key: str) -> bool:
-    """Take a claim; whether it's ours."""
+    """Take a claim; return whether this instance got it."""
     deadline = ids.Instant(clock.now() + builders.DEADLINE)
     try:
         await instance.claimer.claim(key, builders.claim_of(instance), deadline)
@@ -24,7 +24,7 @@
 
 
 async def flood(load: int, loop: builders.VirtualLoop) -> tuple[int, int]:
-    """Claim at a rate for some seconds; return claims taken and writes."""
+    """Take claims at a rate for SECONDS; return the claims taken and the writes."""
     platform = builders.platform_in(loop)
     bus = builders.Bus()
     instances = [builders.Instance(bus, n, platform.table) for n in range(1, 5)]
@@ -40,25 +40,25 @@
 
 
 @pytest.mark.parametrize("load", [50, 500, 5000])
-def test_the_rate_of_writes_is_that_of_the_writers(load: int) -> None:
-    """Symptom: the platform's several hundred writes a second are used up by claims.
+def test_the_rate_of_writes_is_bounded_by_the_number_of_writers(load: int) -> None:
+    """Guard against claims that use up the platform's several hundred writes a second.
 
-    Events: the load grows to some thousand non-idempotent requests a second.
-    Cause: each claim is a write of its own, so that the rate grows with the load.
+    The load grows to some thousand non-idempotent requests a second. If each claim were
+    a write of its own, the rate of writes would grow with the load.
     """
     with builders.virtual_time() as loop:
         taken, writes = loop.run_until_complete(flood(load, loop))
     assert taken == load * SECONDS
-    # One interval more at each writer for the claims of the last moment.
+    # Each writer may use another interval for the last claims.
     assert writes <= builders.WRITERS * (SECONDS / builders.BATCH_INTERVAL + 2)
 
 
-def test_two_claims_of_one_key_in_one_batch() -> None:
-    """Symptom: two entries run one request, each with the writer's word for it.
+def test_only_one_of_two_claims_of_a_key_in_one_batch_is_granted() -> None:
+    """Guard against two entries that run one request, each with a granted claim.
 
-    Events: a caller sends it to both at once, and both claims come into one batch.
-    Cause: both rows are absent when the batch is committed, so the conditions
-    hold, and the second write goes over the first.
+    A caller sends it to both at once, and both claims get into one batch. The row is
+    absent when the batch is committed, so both conditions would hold, and the second
+    write would overwrite the first.
     """
 
     async def race(loop: builders.VirtualLoop) -> list[bool]:
--- a/src/tealcove/claims/writer.py
+++ b/src/tealcove/claims/writer.py
@@ -1,4 +1,4 @@
-"""The role that gathers changes of claims and commits them in batches."""
+"""The writer role: collects changes of claims and commits them in batches."""
 
 from __future__ import annotations
 
@@ -14,28 +14,28 @@
 
 log = logbook.Logger("claims")
 
-# Rows of one transaction at the most.
+# The maximum of rows in one transaction.
 MAX_ROWS = 128
-# Commits of a change whose reply may be lost, before its entry is told so.
+# Commits of a change without a reply, after which the entry gets UNSETTLED.
 MAX_COMMITS = 3
 
 
 class Pending:
-    """A change that isn't answered yet."""
+    """A change that hasn't been answered yet."""
 
     def __init__(self, change: messages.RowChange, entry: ids.InstanceId) -> None:
         self.change = change
         self.entry = entry
-        # Commits whose reply was lost.
+        # The number of commits whose reply was lost.
         self.lost_replies = 0
 
 
 class Writer:
-    """Commits once in a batch interval at the most, however many changes come.
+    """Commits pending changes at most once in each batch interval.
 
-    Any number of writers may work at a time, and get the same change: the row's
-    condition decides, and a row that already holds the wanted bytes counts as
-    written, since the nonce in them is drawn for one request.
+    Any number of writers may run at once and get the same change: the row's condition
+    decides, and a row that already holds the intended bytes counts as written, since
+    the nonce in them is unique to one request.
     """
 
     def __init__(
@@ -51,55 +51,55 @@
         self.batch_interval = batch_interval
         self.pending: dict[str, Pending] = {}
         self.arrived = asyncio.Event()
-        # For the metrics: transactions, and changes in them.
+        # For the metrics: transactions, and changes committed by them.
         self.batches = 0
         self.committed = 0
         self.task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Begin to take changes."""
+        """Register the handler of changes and start to commit them."""
         self.transport.handle(messages.RowChange, self.handle_change)
         self.task = tasks.start(self.run(), "batches of claims")
 
     async def stop(self) -> None:
-        """End the task; what isn't answered goes to another writer."""
+        """Stop the task; entries send unanswered changes to another writer."""
         if self.task is not None:
             await tasks.stop([self.task])
 
     def handle_change(self, sender: ids.InstanceId, change: messages.RowChange) -> None:
-        """Put a change into the next batch, once."""
+        """Add a change to the pending ones, unless it is pending already."""
         self.pending.setdefault(change.change_id, Pending(change, sender))
         self.arrived.set()
 
     async def run(self) -> None:
-        """Commit a batch in each interval in which there is one."""
+        """Commit a batch in each interval that has pending changes."""
         while True:
             await self.arrived.wait()
             await asyncio.sleep(self.batch_interval)
             try:
                 await self.commit_batch()
             except Exception:
-                # Without this task the instance stays in the ranking and takes
-                # changes that it never answers.
+                # If this task ended, the instance would stay in the ranking and
+                # accept changes that it never answers.
                 log.exception("a batch of claims failed")
             if not self.pending:
                 self.arrived.clear()
 
     async def commit_batch(self) -> None:
-        """Commit the oldest changes in one transaction and answer them."""
+        """Commit the oldest changes in one transaction, and answer them."""
         batch = self.next_batch()
         if not batch:
             return
         try:
             committed = await self.rows.commit(transaction(batch))
         except table.ConditionFailedError as error:
-            # The rest stays for the next interval: trying again at once would
+            # The other changes wait for the next interval: an immediate retry would
             # double the rate of writes.
             self.answer_conflicts(batch, error.conflicts)
         except errors.OutcomeUnknownError:
             self.retry_unsettled(batch)
         except errors.PlatformError as error:
-            log.info("claims are refused: {}", error)
+            log.info("platform refused a batch of claims: {}", error)
             self.answer_refused(batch)
         else:
             self.batches += 1
@@ -107,10 +107,10 @@
             self.answer_committed(batch, committed)
 
     def next_batch(self) -> list[Pending]:
-        """Return the changes of the next batch, one for each row.
+        """Return the changes of the next batch, at most one for each row.
 
-        Two conditions on one row would both hold before either write is applied:
-        two entries would be told that the same claim is theirs.
+        Two conditions on one row would both hold before either write is applied, and
+        two entries would each be granted the same claim.
         """
         chosen: dict[str, Pending] = {}
         for pending in self.pending.values():
@@ -131,10 +131,10 @@
             self.answer(pending, verdict, version, None if row is None else row.value)
 
     def retry_unsettled(self, batch: list[Pending]) -> None:
-        """Leave changes whose reply was lost to the next interval.
+        """Retry changes whose reply was lost in the next interval.
 
-        If they were applied, their conditions fail then and name the rows, which
-        tell whose they are.
+        If they were applied, their conditions fail then, and the rows in the conflicts
+        show which request owns them.
         """
         for pending in batch:
             pending.lost_replies += 1
@@ -142,7 +142,7 @@
                 self.answer(pending, messages.Verdict.UNSETTLED)
 
     def answer_refused(self, batch: list[Pending]) -> None:
-        """Answer changes that the platform didn't take this time."""
+        """Answer refused changes, as unsettled where an earlier reply was lost."""
         for pending in batch:
             if pending.lost_replies:
                 self.answer(pending, messages.Verdict.UNSETTLED)
@@ -152,7 +152,7 @@
     def answer_committed(
         self, batch: list[Pending], committed: table.Committed
     ) -> None:
-        """Answer changes that were applied."""
+        """Answer changes that were committed."""
         for pending in batch:
             value = pending.change.value
             version = committed.version
@@ -165,12 +165,12 @@
         version: int = 0,
         value: bytes | None = None,
     ) -> None:
-        """Tell the entry what became of its change."""
+        """Send the entry the verdict on its change."""
         change_id = pending.change.change_id
         del self.pending[change_id]
         peer = self.members.endpoint_of(pending.entry)
         if peer is None:
-            log.warning("no address of {} for {}", pending.entry, change_id)
+            log.warning("no address of {} to answer {}", pending.entry, change_id)
             return
         told = messages.RowVerdict(
             change_id=change_id,
@@ -183,7 +183,7 @@
 
 
 def verdict_for(change: messages.RowChange, row: table.Row | None) -> messages.Verdict:
-    """Return whether a failed condition means that the change is done already."""
+    """Return COMMITTED if a failed condition shows the change already applied."""
     found = None if row is None else row.value
     if found == change.value:
         return messages.Verdict.COMMITTED
@@ -191,7 +191,7 @@
 
 
 def transaction(batch: list[Pending]) -> table.Transaction:
-    """Return the transaction of a batch; condition n is of change n."""
+    """Return the transaction of a batch; condition n belongs to change n."""
     changes = [pending.change for pending in batch]
     return table.Transaction(
         conditions=tuple(condition(change) for change in changes),
