--- a/src/tealcove/claims/claimer.py
+++ b/src/tealcove/claims/claimer.py
@@ -101,7 +101,7 @@
         if found.verdict is messages.Verdict.CONFLICT:
             raise TakenError(claim.decode(found.value))
         raise UnavailableError(
-            "The claim could not be written to the table", "Send the request later."
+            "The platform's table did not confirm the claim", "Send the request later."
         )
 
     async def record(self, held: HeldClaim, ended: claim.Claim) -> None:
@@ -127,7 +127,7 @@
             if found.verdict is messages.Verdict.COMMITTED:
                 break
             if found.verdict is messages.Verdict.CONFLICT:
-                log.error("claim {} was changed by another instance", held.key)
+                log.error("row of claim {} has changed unexpectedly", held.key)
                 break
             await asyncio.sleep(RETRY_INTERVAL)
         self.active.discard(held.claim.nonce)
--- a/src/tealcove/claims/tests/builders.py
+++ b/src/tealcove/claims/tests/builders.py
@@ -15,17 +15,17 @@
 from tealcove.peers import endpoint, message
 from tealcove.storage import memory, table
 
-BEAT = 0.25
+HEARTBEAT_SECONDS = 0.25
 BATCH_INTERVAL = 0.02
 WRITERS = 2
 DEADLINE = 5.0
 CALL_TIMEOUT = 2.0
 DELAY = 0.001
 # Seconds until a duplicate is delivered; its request has long ended by then.
-DOUBLE_AFTER = 0.7
+DUPLICATE_DELAY = 0.7
 
 
-class JumpingSelector(selectors.SelectSelector):
+class VirtualSelector(selectors.SelectSelector):
     """A selector that advances the loop's clock in place of waiting."""
 
     now = 0.0
@@ -41,15 +41,16 @@
     """An event loop whose clock advances only when no callback is ready."""
 
     def __init__(self) -> None:
-        self.jumping = JumpingSelector()
-        super().__init__(self.jumping)
+        self.virtual_selector = VirtualSelector()
+        super().__init__(self.virtual_selector)
 
     def time(self) -> float:
-        return self.jumping.now
+        return self.virtual_selector.now
 
 
 @contextlib.contextmanager
 def virtual_time() -> Iterator[VirtualLoop]:
+    """Provide a virtual loop whose clock replaces `clock.now`."""
     loop = VirtualLoop()
     with mock.patch.object(clock, "now", loop.time):
         yield loop
@@ -65,7 +66,7 @@
 
     def __init__(self) -> None:
         self.instances: dict[int, Instance] = {}
-        self.doubling = False
+        self.duplicating = False
         self.delay = DELAY
         self.cut: set[int] = set()
 
@@ -74,8 +75,8 @@
             return
         loop = asyncio.get_running_loop()
         loop.call_later(self.delay, self.deliver, source, target, sent)
-        if self.doubling:
-            loop.call_later(DOUBLE_AFTER, self.deliver, source, target, sent)
+        if self.duplicating:
+            loop.call_later(DUPLICATE_DELAY, self.deliver, source, target, sent)
 
     def deliver(self, source: int, target: int, sent: message.Message) -> None:
         found = self.instances.get(target)
@@ -130,7 +131,9 @@
             peer_port=number,
             revision=ids.Revision(1),
         )
-        self.members = members.Members(self.heartbeat, 4 * BEAT, 40 * BEAT)
+        self.members = members.Members(
+            self.heartbeat, 4 * HEARTBEAT_SECONDS, 40 * HEARTBEAT_SECONDS
+        )
         self.writer = writer.Writer(self, self.members, rows, BATCH_INTERVAL)
         self.claimer = claimer.Claimer(self, self.members, rows, WRITERS)
         self.tasks: set[asyncio.Task[None]] = set()
@@ -178,7 +181,7 @@
         for one in alive:
             for other in alive:
                 one.members.hear(other.heartbeat, clock.now())
-        await asyncio.sleep(min(BEAT, until - clock.now()))
+        await asyncio.sleep(min(HEARTBEAT_SECONDS, until - clock.now()))
 
 
 def platform_in(loop: VirtualLoop) -> memory.MemoryPlatform:
--- a/src/tealcove/claims/tests/test_claim_machine.py
+++ b/src/tealcove/claims/tests/test_claim_machine.py
@@ -20,7 +20,7 @@
 KEYS = tuple(f"a/{number}" for number in range(5))
 SHORT = (0.001, 0.021, 0.2)
 LONG = (0.8, 3.0, 12.0)
-SELDOM = (False, False, False, True)
+RARELY = (False, False, False, True)
 ENDINGS = ("complete", "refused", "unknown")
 
 
@@ -36,7 +36,7 @@
         self.bus = builders.Bus()
         self.dispatches: collections.Counter[str] = collections.Counter()
         # Whether a claim was ever mistaken for another request's after a lost reply.
-        self.taken_from_itself = False
+        self.mistook_own_claim = False
         for number in INSTANCES:
             self.start(number)
         self.wait(1.0)
@@ -59,7 +59,7 @@
         try:
             held = await instance.claimer.claim(key, wanted, deadline)
         except claimer.TakenError as error:
-            self.taken_from_itself |= error.found.nonce == wanted.nonce
+            self.mistook_own_claim |= error.found.nonce == wanted.nonce
             return
         except claimer.UnavailableError:
             return
@@ -103,7 +103,7 @@
         self.wait(seconds)
 
     @stateful.rule(
-        down=st.sampled_from(SELDOM),
+        down=st.sampled_from(RARELY),
         slow=st.sampled_from([0.0, 0.0, 0.1, 2.5]),
         lost=st.integers(0, 4),
     )
@@ -111,12 +111,14 @@
         self.platform.faults = faults.Faults(down=down, slow=slow, lose_replies=lost)
 
     @stateful.rule(
-        doubling=st.booleans(),
+        duplicating=st.booleans(),
         delay=st.sampled_from([builders.DELAY, builders.DELAY, 0.3, 0.6]),
         cut=st.sampled_from([None, None, *INSTANCES]),
     )
-    def disturb_messages(self, doubling: bool, delay: float, cut: int | None) -> None:
-        self.bus.doubling = doubling
+    def disturb_messages(
+        self, duplicating: bool, delay: float, cut: int | None
+    ) -> None:
+        self.bus.duplicating = duplicating
         self.bus.delay = delay
         self.bus.cut = set() if cut is None else {cut}
 
@@ -137,7 +139,7 @@
         for key, count in self.dispatches.items():
             assert count == 1
             assert (claim.TABLE, key) in self.platform.table.rows
-        assert not self.taken_from_itself
+        assert not self.mistook_own_claim
 
     def teardown(self) -> None:
         """Check that no claim is active any more once all faults are over."""
--- a/src/tealcove/claims/tests/test_writing.py
+++ b/src/tealcove/claims/tests/test_writing.py
@@ -29,13 +29,13 @@
     bus = builders.Bus()
     instances = [builders.Instance(bus, n, platform.table) for n in range(1, 5)]
     await builders.pass_time(bus, 1.0)
-    beating = asyncio.create_task(builders.pass_time(bus, 10 * SECONDS))
+    heartbeats = asyncio.create_task(builders.pass_time(bus, 10 * SECONDS))
     taking = []
     for number in range(int(load * SECONDS)):
         taking.append(asyncio.create_task(claim(instances[number % 4], f"a/{number}")))
         await asyncio.sleep(1 / load)
     found = await asyncio.gather(*taking)
-    beating.cancel()
+    heartbeats.cancel()
     return sum(found), platform.write_count
 
 
--- a/src/tealcove/claims/writer.py
+++ b/src/tealcove/claims/writer.py
@@ -99,7 +99,7 @@
         except errors.OutcomeUnknownError:
             self.retry_unsettled(batch)
         except errors.PlatformError as error:
-            log.info("platform refused a batch of claims: {}", error)
+            log.info("a batch of claims was refused: {}", error)
             self.answer_refused(batch)
         else:
             self.batches += 1
@@ -172,14 +172,14 @@
         if peer is None:
             log.warning("no address of {} to answer {}", pending.entry, change_id)
             return
-        told = messages.RowVerdict(
+        sent = messages.RowVerdict(
             change_id=change_id,
             key=pending.change.key,
             verdict=verdict,
             version=version,
             value=value,
         )
-        self.transport.send(peer, told)
+        self.transport.send(peer, sent)
 
 
 def verdict_for(change: messages.RowChange, row: table.Row | None) -> messages.Verdict:
--- a/src/tealcove/limits/allowance.py
+++ b/src/tealcove/limits/allowance.py
@@ -13,7 +13,7 @@
 # An entry asks for more once its credit is at most this fraction of what it was after
 # the last lending.
 LOW_FRACTION = 0.5
-# The home has free tokens if it lends at least so many seconds of the entry's rate
+# The home has free tokens if it lends more than so many seconds of the entry's rate
 # beyond what the entry has accrued.
 MIN_LUMP_SECONDS = 0.25
 MAX_RETRY_SECONDS = 60.0
@@ -49,8 +49,8 @@
         share of the burst: an entry that is partitioned off is never unlimited.
         """
         added = self.rate * max(0.0, now - self.updated_at)
-        most = self.limit.burst * self.rate / self.limit.rate
-        room = max(0.0, most - self.credit())
+        capacity = self.limit.burst * self.rate / self.limit.rate
+        room = max(0.0, capacity - self.credit())
         self.lent += min(added, room)
         self.updated_at = now
 
--- a/src/tealcove/limits/bucket.py
+++ b/src/tealcove/limits/bucket.py
@@ -92,6 +92,6 @@
         """Add the tokens for the time since the last call."""
         added = rate * max(0.0, now - self.updated)
         self.level = min(burst, self.level + added)
-        most = slack * SPARE_SLACK_FRACTION
-        self.spare = min(most, self.spare + SPARE_RATE_FRACTION * added)
+        capacity = slack * SPARE_SLACK_FRACTION
+        self.spare = min(capacity, self.spare + SPARE_RATE_FRACTION * added)
         self.updated = now
--- a/src/tealcove/limits/central.py
+++ b/src/tealcove/limits/central.py
@@ -125,11 +125,11 @@
             tokens=tokens,
             request=request,
         )
-        waits = 0
+        unanswered = 0
         for instance in self.presence.ranked(account):
             if instance == self.members.own.instance:
                 return instance, self.decide(question, clock.now())
-            if waits == MAX_UNANSWERED:
+            if unanswered == MAX_UNANSWERED:
                 break
             # A late answer of the previous home must not match this question.
             question = msgspec.structs.replace(
@@ -140,7 +140,7 @@
             answer = await self.wait_for_reply(question.number)
             if answer is not None:
                 return instance, answer
-            waits += 1
+            unanswered += 1
             self.silence.note(instance, clock.now())
             extra = {"request": request}
             log.info("no answer from home {} of {}", instance, account, extra=extra)
@@ -212,19 +212,19 @@
             held = buckets[question.account] = bucket.Bucket.unsettled(now)
         if first < 1.0:
             held.add_unsettled_burst(limit.burst, first)
-        after = held.take(question.tokens, limit, fraction, self.slack, now)
+        retry_after = held.take(question.tokens, limit, fraction, self.slack, now)
         log.info(
             "{} of {}: {} for {:.0f} tokens, {:.0f} left, {:.0f}/s, fraction {:.2f}",
-            "passed" if after == 0.0 else "over the limit",
+            "passed" if retry_after == 0.0 else "over the limit",
             question.account,
-            "spare" if held.level < 0.0 and after == 0.0 else "bucket",
+            "spare" if held.level < 0.0 and retry_after == 0.0 else "bucket",
             question.tokens,
             held.level,
             limit.rate,
             fraction,
-            extra={"request": question.request, "final": after > 0.0},
+            extra={"request": question.request, "final": retry_after > 0.0},
         )
-        return messages.Charged(number=question.number, retry_after=after)
+        return messages.Charged(number=question.number, retry_after=retry_after)
 
     def handle_question(
         self, sender: ids.InstanceId, question: messages.AskCharge
--- a/src/tealcove/limits/ledger.py
+++ b/src/tealcove/limits/ledger.py
@@ -67,8 +67,8 @@
             borrower.lent += borrower.rate * span
             added -= borrower.rate * span
         lent = sum(max(0.0, b.credit()) for b in self.borrowers.values())
-        most = max(0.0, self.limit.burst - lent)
-        self.free = min(self.free + added, most)
+        capacity = max(0.0, self.limit.burst - lent)
+        self.free = min(self.free + added, capacity)
 
     def record_usage(
         self,
@@ -79,16 +79,16 @@
     ) -> None:
         """Record an entry's report; call `refill` first."""
         known = self.borrowers.get(entry)
-        moved = usage.lender not in ("", lender)
-        if known is None or known.opened != usage.opened or moved:
+        from_other_home = usage.lender not in ("", lender)
+        if known is None or known.opened != usage.opened or from_other_home:
             known = self.add_borrower(entry, usage, lender, now)
         self.free += usage.returned - known.returned
         known.returned = usage.returned
         known.spent = usage.spent
         span = now - known.reported_at
         if span > MIN_SPAN_SECONDS:
-            seen = max(0.0, usage.wanted - known.wanted) / span
-            known.demand += DEMAND_WEIGHT * (seen - known.demand)
+            rate_wanted = max(0.0, usage.wanted - known.wanted) / span
+            known.demand += DEMAND_WEIGHT * (rate_wanted - known.demand)
             known.wanted = usage.wanted
             known.reported_at = now
         if usage.closing:
--- a/src/tealcove/limits/presence.py
+++ b/src/tealcove/limits/presence.py
@@ -17,7 +17,7 @@
 # alive and not yet discovered: discovery takes 1.3 s with 87 that all start at once.
 DISCOVERY_SECONDS = 3.0
 # Instances that are asked, in order of rank, before an entry counts locally. After six
-# of ten have died at once, one of so many is alive in 95 of 100 cases.
+# of ten have died at once, at least one of six is alive in 95 of 100 cases.
 MAX_CANDIDATES = 6
 # Accounts whose ranking is cached until the set of instances changes; ranking computes
 # one hash for each instance, too costly for each account and report.
--- a/src/tealcove/limits/tests/builders.py
+++ b/src/tealcove/limits/tests/builders.py
@@ -13,9 +13,9 @@
 
 ACCOUNT = ids.AccountId("acme")
 HOST = "127.0.0.1"
-BEAT = 0.25
+HEARTBEAT_SECONDS = 0.25
 # Seconds; longer than any test runs.
-FAR = 1000.0
+FAR_SECONDS = 1000.0
 STEP = 0.05
 # Tokens that are allowed beyond a limit in a window.
 SLACK = 140_000.0
@@ -35,7 +35,7 @@
     def send(self, peer: endpoint.Endpoint, sent: message.Message) -> bool:
         """Queue a message for the next step."""
         self.sent += 1
-        self.cluster.under_way.append((self.number, peer.port, sent))
+        self.cluster.in_flight.append((self.number, peer.port, sent))
         return True
 
 
@@ -45,7 +45,7 @@
     def __init__(self, count: int, found: limit.Limit | None) -> None:
         self.now = ids.Instant(1000.0)
         self.limit = found
-        self.under_way: list[tuple[int, int, message.Message]] = []
+        self.in_flight: list[tuple[int, int, message.Message]] = []
         self.dead: set[int] = set()
         # Pairs of instances that can't reach each other.
         self.cut: set[frozenset[int]] = set()
@@ -57,8 +57,8 @@
             role.Limits(link, known, self.find_limit, self.now)
             for link, known in zip(self.links, self.members, strict=True)
         ]
-        self.reported = [self.now + 0.1 * number for number in range(count)]
-        self.beaten = 0.0
+        self.next_report = [self.now + 0.1 * number for number in range(count)]
+        self.heartbeats_at = 0.0
         self.run(2 * role.home.SETTLE_SECONDS)
 
     def new_members(self, number: int) -> members.Members:
@@ -96,20 +96,20 @@
         end = self.now + seconds
         while self.now < end:
             self.now = ids.Instant(self.now + STEP)
-            self.beat()
+            self.exchange_heartbeats()
             self.deliver()
             for number, limits in enumerate(self.limits):
-                if number not in self.dead and self.now >= self.reported[number]:
-                    self.reported[number] = self.now + role.REPORT_INTERVAL
+                if number not in self.dead and self.now >= self.next_report[number]:
+                    self.next_report[number] = self.now + role.REPORT_INTERVAL
                     limits.report_all(self.now)
             if load is not None:
                 load(self, STEP)
 
-    def beat(self) -> None:
+    def exchange_heartbeats(self) -> None:
         """Deliver the heartbeats of all instances that can reach each other."""
-        if self.now < self.beaten + BEAT:
+        if self.now < self.heartbeats_at + HEARTBEAT_SECONDS:
             return
-        self.beaten = self.now
+        self.heartbeats_at = self.now
         for number, known in enumerate(self.members):
             for other, peer in enumerate(self.members):
                 if other != number and self.reaches(number, other):
@@ -118,11 +118,11 @@
 
     def deliver(self) -> None:
         """Deliver the queued messages."""
-        under_way, self.under_way = self.under_way, []
-        for sender, taker, sent in under_way:
-            if not self.reaches(sender, taker):
+        in_flight, self.in_flight = self.in_flight, []
+        for sender, receiver, sent in in_flight:
+            if not self.reaches(sender, receiver):
                 continue
-            limits = self.limits[taker]
+            limits = self.limits[receiver]
             instance = ids.InstanceId(f"i{sender}")
             if isinstance(sent, role.messages.UsageReport):
                 limits.handle_report(instance, sent, self.now)
@@ -159,10 +159,10 @@
             return False
         self.sent.append(peer.port)
         if peer.port not in self.group.dead:
-            self.hand_over(peer.port, sent)
+            self.deliver_later(peer.port, sent)
         return True
 
-    def hand_over(self, peer: int, sent: message.Message) -> None:
+    def deliver_later(self, peer: int, sent: message.Message) -> None:
         """Deliver a message at the next turn of the event loop."""
         loop = asyncio.get_running_loop()
         loop.call_soon(self.group.deliver, self.number, peer, sent)
@@ -184,7 +184,7 @@
         now = clock.now()
         for known in cluster.members:
             for member in known.peers.values():
-                member.heard = ids.Instant(now + FAR)
+                member.heard = ids.Instant(now + FAR_SECONDS)
 
     def ranked(self) -> list[int]:
         """Return the numbers of the account's home and its stand-ins, by rank."""
@@ -192,9 +192,9 @@
         presence.refresh(clock.now())
         return [int(name.removeprefix("i")) for name in presence.ranked(ACCOUNT)]
 
-    def deliver(self, sender: int, taker: int, sent: message.Message) -> None:
+    def deliver(self, sender: int, receiver: int, sent: message.Message) -> None:
         """Deliver one message."""
-        limits = self.limits[taker]
+        limits = self.limits[receiver]
         take = {
             messages.AskCharge: limits.handle_question,
             messages.Charged: limits.handle_answer,
--- a/src/tealcove/limits/tests/test_central_load.py
+++ b/src/tealcove/limits/tests/test_central_load.py
@@ -28,7 +28,7 @@
         self.share = share
         self.source = random.Random(f"{number}/{share}")
 
-    def hand_over(self, peer: int, sent: object) -> None:
+    def deliver_later(self, peer: int, sent: object) -> None:
         """Deliver a message, late if its packet is lost."""
         delay = RESENT_SECONDS if self.source.random() < self.share else 0.0
         loop = asyncio.get_running_loop()
--- a/src/tealcove/limits/tests/test_limits.py
+++ b/src/tealcove/limits/tests/test_limits.py
@@ -18,10 +18,12 @@
 
 
 def within_a_tenth(spent: float, expected: float) -> bool:
+    """Return whether a number is within 10% of the expected one."""
     return abs(spent - expected) <= 0.1 * expected
 
 
 def spend(cluster: builders.Cluster, seconds: float, rates: list[float]) -> float:
+    """Return the tokens spent by requests of 20 tokens at rates by entry."""
     before = cluster.spent
     cluster.run(seconds, builders.uneven(rates, 20.0))
     return cluster.spent - before
--- a/src/tealcove/quarantine/marks.py
+++ b/src/tealcove/quarantine/marks.py
@@ -73,9 +73,9 @@
         Copies that ran concurrently on one server saw the same crash. If it were
         counted twice, one crash would quarantine every prompt that is sent often.
         """
-        open_ones = [c for c in self.crashes if c.request_id not in self.cleared]
-        alone = sum(1 for crash in open_ones if crash.alone)
-        return alone + len({crash.server for crash in open_ones if not crash.alone})
+        uncleared = [c for c in self.crashes if c.request_id not in self.cleared]
+        alone = sum(1 for crash in uncleared if crash.alone)
+        return alone + len({crash.server for crash in uncleared if not crash.alone})
 
     def has_room(self, crashes: int) -> bool:
         """Return whether more crashes fit in; drop cleared ones if necessary."""
--- a/src/tealcove/quarantine/sharing.py
+++ b/src/tealcove/quarantine/sharing.py
@@ -61,9 +61,9 @@
 
     def repeat(self, now: ids.Instant) -> None:
         """Send every mark with remaining sends to all peers."""
-        due = [self.marks.shared(digest, now) for digest in self.repeats]
+        shared = [self.marks.shared(digest, now) for digest in self.repeats]
         self.repeats = {d: left - 1 for d, left in self.repeats.items() if left > 1}
-        changed = tuple(mark for mark in due if mark is not None)
+        changed = tuple(mark for mark in shared if mark is not None)
         if not changed:
             return
         sent = messages.MarksChanged(marks=changed)
--- a/src/tealcove/quarantine/tests/test_marks.py
+++ b/src/tealcove/quarantine/tests/test_marks.py
@@ -108,26 +108,27 @@
     events: list[tuple[str, int, int]],
 ) -> None:
     instances = [builders.new_marks() for _ in range(3)]
-    for kind, who, number in events:
+    for kind, instance, number in events:
         if kind == "crash":
             crash = builders.crash(f"r{number}", f"s{number % 3}", number % 2 == 0)
-            instances[who].add_crash(D, crash, T0)
+            instances[instance].add_crash(D, crash, T0)
         elif kind == "clear":
-            instances[who].clear(D, T0)
+            instances[instance].clear(D, T0)
         else:
-            give(instances[who], instances[number % 3])
+            send(instances[instance], instances[number % 3])
     for _ in range(2):
-        for giver in instances:
-            for taker in instances:
-                give(giver, taker)
+        for sender in instances:
+            for receiver in instances:
+                send(sender, receiver)
     assert len({found.checksum(T0) for found in instances}) == 1
     assert len({found.verdict(D, T0) for found in instances}) == 1
 
 
-def give(giver: marks.Marks, taker: marks.Marks) -> None:
-    shared = giver.shared(D, T0)
+def send(sender: marks.Marks, receiver: marks.Marks) -> None:
+    """Merge one instance's mark into another's."""
+    shared = sender.shared(D, T0)
     if shared is not None:
-        taker.merge(shared, T0)
+        receiver.merge(shared, T0)
 
 
 def test_digests_of_different_calls_differ() -> None:
--- a/src/tealcove/quarantine/tests/test_sharing.py
+++ b/src/tealcove/quarantine/tests/test_sharing.py
@@ -37,6 +37,7 @@
 
 
 def new_quarantine(name: str) -> tuple[role.Quarantine, RecordingMesh]:
+    """Return the quarantine of an instance, and its mesh."""
     own = membership_messages.Heartbeat(
         instance=ids.InstanceId(name),
         incarnation=ids.Incarnation(name),
