--- a/src/tealcove/claims/tests/builders.py
+++ b/src/tealcove/claims/tests/builders.py
@@ -174,7 +174,7 @@
 
 
 async def pass_time(bus: Bus, seconds: float) -> None:
-    """Advance the clock; instances that aren't cut off exchange heartbeats."""
+    """Advance the clock; connected instances exchange heartbeats."""
     until = clock.now() + seconds
     while clock.now() < until:
         alive = [i for n, i in bus.instances.items() if n not in bus.cut]
--- a/src/tealcove/claims/writer.py
+++ b/src/tealcove/claims/writer.py
@@ -131,7 +131,7 @@
             self.answer(pending, verdict, version, None if row is None else row.value)
 
     def retry_unsettled(self, batch: list[Pending]) -> None:
-        """Retry changes whose reply was lost in the next interval.
+        """Leave changes whose reply was lost pending for the next interval.
 
         If they were applied, their conditions fail then, and the rows in the conflicts
         show which request owns them.
