--- a/src/tealcove/limits/admission.py
+++ b/src/tealcove/limits/admission.py
@@ -16,7 +16,7 @@
 
     def __init__(self, account: ids.AccountId, retry_after: float) -> None:
         super().__init__(
-            f"The token limit of {account} is exhausted",
+            f"The limit of {account} is used up",
             "Send fewer tokens a second, or ask the operator for a higher limit.",
         )
         self.retry_after = retry_after
