--- a/src/tealcove/front/instance.py
+++ b/src/tealcove/front/instance.py
@@ -33,7 +33,7 @@
     services,
 )
 from tealcove.quarantine import role as quarantine_role
-from tealcove.rollout import keeper
+from tealcove.rollout import controller
 
 log = logbook.Logger("front")
 
@@ -141,7 +141,7 @@
         )
         self.limits.start()
         self.spread = spread.Spread(self.pools, lambda other: 0.0, CELL_SERVERS)
-        self.rollouts = keeper.Keeper(
+        self.rollouts = controller.Controller(
             rollouts.StoreOrders(services.StoreTable(self.store)),
             lambda: self.dispatcher.decided(),
         )
--- a/src/tealcove/platform/rollouts.py
+++ b/src/tealcove/platform/rollouts.py
@@ -30,27 +30,27 @@
     reason: str = ""
 
 
-class StoreOrders(order.Orders):
+class StoreOrders(order.OrderStore):
     """Orders and their status by service."""
 
     def __init__(self, rows: services.StoreTable) -> None:
         self.rows = rows
 
-    async def read(self, service: ids.PoolId) -> order.Reading:
-        """See Orders."""
+    async def read(self, service: ids.PoolId) -> order.Snapshot:
+        """See OrderStore."""
         key = names.ROLLOUT_KEY + service
         ordered = await self.rows.read_at(names.OPERATOR_TABLE, key)
         if ordered.row is None:
-            return order.Reading(None, None, None, ordered.seconds)
+            return order.Snapshot(None, None, None, ordered.seconds)
         told = await self.rows.read_at(names.STATUS_TABLE, key)
         status = None if told.row is None else status_of(told.row)
         found = order_of(service, ordered.row)
-        return order.Reading(found, status, told.row, ordered.seconds)
+        return order.Snapshot(found, status, told.row, ordered.seconds)
 
-    async def tell(
-        self, service: ids.PoolId, status: order.Status, reading: order.Reading
+    async def write_status(
+        self, service: ids.PoolId, status: order.Status, snapshot: order.Snapshot
     ) -> None:
-        """See Orders."""
+        """See OrderStore."""
         wire = WireStatus(
             state=status.state.value,
             to=status.to,
@@ -60,7 +60,7 @@
         )
         await table.replace(
             self.rows,
-            reading.stored,
+            snapshot.stored,
             names.STATUS_TABLE,
             names.ROLLOUT_KEY + service,
             msgspec.json.encode(wire),
--- a/src/tealcove/rollout/order.py
+++ b/src/tealcove/rollout/order.py
@@ -10,8 +10,8 @@
 from tealcove import ids
 
 # Least and most seconds in which a roll-out can be asked for.
-LEAST_PERIOD = 1.0
-MOST_PERIOD = 24 * 3600.0
+MIN_PERIOD = 1.0
+MAX_PERIOD = 24 * 3600.0
 
 
 class State(enum.Enum):
@@ -38,8 +38,8 @@
         """Return why it can't be carried out; None: it can."""
         if not self.to:
             return "it names no version"
-        if not LEAST_PERIOD <= self.period <= MOST_PERIOD:
-            return f"its period isn't {LEAST_PERIOD:g} to {MOST_PERIOD:g} s"
+        if not MIN_PERIOD <= self.period <= MAX_PERIOD:
+            return f"its period isn't {MIN_PERIOD:g} to {MAX_PERIOD:g} s"
         return None
 
 
@@ -55,25 +55,27 @@
     reason: str = ""
 
 
-class Reading(msgspec.Struct, frozen=True):
+class Snapshot(msgspec.Struct, frozen=True):
     """What the store has of a service's roll-out at one moment of its clock."""
 
     order: Order | None
     status: Status | None
     # The status as it's stored, to be replaced only while it's still so.
     stored: object
-    seconds: float
+    store_seconds: float
 
 
-class Orders(abc.ABC):
+class OrderStore(abc.ABC):
     """Where orders are written, and what became of them."""
 
     @abc.abstractmethod
-    async def read(self, service: ids.PoolId) -> Reading:
+    async def read(self, service: ids.PoolId) -> Snapshot:
         """Return a service's order and its status; raises PlatformError."""
 
     @abc.abstractmethod
-    async def tell(self, service: ids.PoolId, status: Status, reading: Reading) -> None:
+    async def write_status(
+        self, service: ids.PoolId, status: Status, snapshot: Snapshot
+    ) -> None:
         """Write a status in place of the one that was read.
 
         Raises table.ConditionFailedError if somebody has written another since, and
--- a/src/tealcove/rollout/progress.py
+++ b/src/tealcove/rollout/progress.py
@@ -19,26 +19,26 @@
 # The part of a service's requests that goes to a version on trial, and how many
 # besides: half of the tenth that operators allow a bad one, since another dispatcher
 # may begin anew, and some requests are on their way when it's found out.
-TRIAL_PART = 0.05
-TRIAL_FREE = 10
+TRIAL_SHARE = 0.05
+TRIAL_ALLOWANCE = 10
 # The part of the period for which a version is on trial. The rest is for runs at the
 # old servers, which have to end before these are stopped.
-TRIAL_TIME = 0.45
+TRIAL_PERIOD_SHARE = 0.45
 # Until then it goes on if too little is known of the servers on trial, and from then on
 # the roll-out may end without.
-LONGEST_TRIAL = 0.6
-LATE = 0.9
+MAX_TRIAL_PERIOD_SHARE = 0.6
+UNMEASURED_END_SHARE = 0.9
 # Before that no roll-out is done: what shows under all requests has time to show.
-SETTLED_TIME = 0.7
+MIN_PERIOD_SHARE = 0.7
 # Servers that get the requests of the trial: few, so that they're busy, and enough to
 # tell a slow version from a slow machine.
 TRIAL_SERVERS = 8
 # Seconds without a run at the old servers after which none is on its way there.
 QUIET_SECONDS = 0.5
 # Observations by which a server's pace counts as known.
-LEAST_OBSERVATIONS = 2
+MIN_OBSERVATIONS = 2
 
-# Tokens of the prompt and of the output by which paces are compared.
+# Tokens of the prompt and of the output by which latencies are compared.
 PROMPT_TOKENS = 1000
 OUTPUT_TOKENS = 100
 
@@ -67,18 +67,18 @@
         self.state = state
         self.reason = ""
         self.evidence = known
-        self.evidence.begin()
+        self.evidence.start_version()
         self.granted = 0
-        self.tried = 0
-        self.tries: collections.Counter[str] = collections.Counter()
+        self.trial_count = 0
+        self.trials_by_server: collections.Counter[str] = collections.Counter()
         self.stage = Stage.TRIAL if state is order.State.RUNNING else Stage.ENDED
         # Which of the new servers are on trial; whether any of them is there at all.
-        self.chosen: frozenset[str] = frozenset()
-        self.has_new = False
+        self.trial_servers: frozenset[str] = frozenset()
+        self.has_new_servers = False
         # The versions that it replaces; others that come later are none of its matter.
-        self.replaced: set[str] = set()
-        # Whether the paces of all servers on trial are known.
-        self.is_known = False
+        self.replaced_versions: set[str] = set()
+        # Whether the latencies of all servers on trial are known.
+        self.all_measured = False
         self.quiet_since: ids.Instant | None = None
 
     def is_new(self, server: kinds.BackendServerSpec) -> bool:
@@ -91,28 +91,30 @@
         if self.state is order.State.ROLLED_BACK:
             return not is_new
         if self.stage is Stage.TRIAL:
-            return not is_new or self.may_try(server)
+            return not is_new or self.may_trial(server)
         # The old ones serve on if the new ones are lost.
-        return server.version not in self.replaced or not self.has_new
+        return server.version not in self.replaced_versions or not self.has_new_servers
 
     def is_wanted(self, server: kinds.BackendServerSpec) -> bool:
         """See Exposure."""
-        if self.stage is not Stage.TRIAL or not self.may_try(server):
+        if self.stage is not Stage.TRIAL or not self.may_trial(server):
             return False
         # Whichever has had least: all of them have to be known.
-        return self.tries[server.name] <= min(self.tries[n] for n in self.chosen)
+        return self.trials_by_server[server.name] <= min(
+            self.trials_by_server[n] for n in self.trial_servers
+        )
 
-    def may_try(self, server: kinds.BackendServerSpec) -> bool:
+    def may_trial(self, server: kinds.BackendServerSpec) -> bool:
         """Tell whether a new server may get one more request on trial."""
-        most = TRIAL_FREE + TRIAL_PART * self.granted
-        return server.name in self.chosen and self.tried < most
+        most = TRIAL_ALLOWANCE + TRIAL_SHARE * self.granted
+        return server.name in self.trial_servers and self.trial_count < most
 
     def note_grant(self, server: kinds.BackendServerSpec) -> None:
         """See Exposure."""
         self.granted += 1
         if self.is_new(server):
-            self.tried += 1
-            self.tries[server.name] += 1
+            self.trial_count += 1
+            self.trials_by_server[server.name] += 1
 
     def note_end(
         self, server: kinds.BackendServerSpec, route: str, done: messages.Done
@@ -122,9 +124,9 @@
             return
         has_failed = done.outcome is not messages.Outcome.COMPLETED
         if self.is_new(server):
-            self.evidence.note_new(route, has_failed)
+            self.evidence.record_new(route, has_failed)
         else:
-            self.evidence.note_old(route, has_failed)
+            self.evidence.record_old(route, has_failed)
 
     def review(
         self, views: Iterable[backendview.BackendView], now: ids.Instant
@@ -134,60 +136,64 @@
         new = [view for view in found if self.is_new(view.spec)]
         old = [view for view in found if not self.is_new(view.spec)]
         serving = [v for v in new if v.spec.state is kinds.ServerState.SERVING]
-        self.has_new = bool(serving)
+        self.has_new_servers = bool(serving)
         if self.state is order.State.RUNNING:
-            self.replaced |= {view.spec.version for view in old}
-        self.choose(serving)
+            self.replaced_versions |= {view.spec.version for view in old}
+        self.choose_trial_servers(serving)
         if self.state is order.State.RUNNING:
-            self.judge(old, new)
+            self.check_version(old, new)
         if self.state is order.State.RUNNING:
-            self.move(old, now)
+            self.advance(old, now)
         return self.state
 
-    def choose(self, serving: list[backendview.BackendView]) -> None:
+    def choose_trial_servers(self, serving: list[backendview.BackendView]) -> None:
         """Choose the servers for the trial, the same on every instance."""
         ordered = sorted(view.name for view in serving)
         ordered.sort(key=lambda name: zlib.crc32(name.encode()))
-        self.chosen = frozenset(ordered[:TRIAL_SERVERS])
+        self.trial_servers = frozenset(ordered[:TRIAL_SERVERS])
 
-    def judge(
+    def check_version(
         self, old: list[backendview.BackendView], new: list[backendview.BackendView]
     ) -> None:
         """Roll back if the new version is bad."""
-        fault = self.evidence.fault()
-        tried = [view for view in new if view.name in self.chosen]
-        self.is_known = bool(tried) and all(map(is_known, tried))
-        fault = fault or evidence.slowness(map(paces, old), map(paces, tried))
+        fault = self.evidence.failure_reason()
+        tried = [view for view in new if view.name in self.trial_servers]
+        self.all_measured = bool(tried) and all(map(is_measured, tried))
+        fault = fault or evidence.slowdown_reason(
+            map(latencies, old), map(latencies, tried)
+        )
         if fault is not None:
-            self.end(order.State.ROLLED_BACK, fault)
+            self.finish(order.State.ROLLED_BACK, fault)
 
-    def move(self, old: list[backendview.BackendView], now: ids.Instant) -> None:
+    def advance(self, old: list[backendview.BackendView], now: ids.Instant) -> None:
         """Let the new version have all requests, and end when all runs there."""
         part = (now - self.began) / self.order.period
-        is_tried = part >= (TRIAL_TIME if self.is_known else LONGEST_TRIAL)
-        if self.stage is Stage.TRIAL and is_tried and self.has_new:
+        is_tried = part >= (
+            TRIAL_PERIOD_SHARE if self.all_measured else MAX_TRIAL_PERIOD_SHARE
+        )
+        if self.stage is Stage.TRIAL and is_tried and self.has_new_servers:
             self.stage = Stage.MOVING
             log.info(
                 "{}: all requests go to {}: {} of {} were tried there",
                 self.order.service,
                 self.order.to,
-                self.tried,
+                self.trial_count,
                 self.granted,
             )
-        if self.stage is not Stage.MOVING or not self.has_new:
+        if self.stage is not Stage.MOVING or not self.has_new_servers:
             return
         if any(view.runs for view in old):
             self.quiet_since = None
         elif self.quiet_since is None:
             self.quiet_since = now
-        elif now - self.quiet_since >= QUIET_SECONDS and part >= SETTLED_TIME:
-            if not (self.is_known or part >= LATE):
+        elif now - self.quiet_since >= QUIET_SECONDS and part >= MIN_PERIOD_SHARE:
+            if not (self.all_measured or part >= UNMEASURED_END_SHARE):
                 return
             seen = self.evidence.new[evidence.ALL_ROUTES]
             reason = f"{seen.failures} of {seen.answers} answers failed"
-            self.end(order.State.DONE, reason)
+            self.finish(order.State.DONE, reason)
 
-    def end(self, state: order.State, reason: str) -> None:
+    def finish(self, state: order.State, reason: str) -> None:
         """Come to an end."""
         log.info(
             "{}: {} of version {}: {}",
@@ -200,14 +206,14 @@
         self.stage = Stage.ENDED
 
 
-def is_known(view: backendview.BackendView) -> bool:
+def is_measured(view: backendview.BackendView) -> bool:
     """Tell whether a server's pace is known."""
-    return view.observations >= LEAST_OBSERVATIONS
+    return view.observations >= MIN_OBSERVATIONS
 
 
-def paces(view: backendview.BackendView) -> tuple[float, float, float]:
+def latencies(view: backendview.BackendView) -> tuple[float, float, float]:
     """Return a server's seconds for a prompt, an output and a call; 0: unknown."""
-    if not is_known(view):
+    if not is_measured(view):
         return 0.0, 0.0, 0.0
     if view.prefill.works > 0.0:
         prompt = PROMPT_TOKENS * view.prefill.rate
--- a/src/tealcove/rollout/tests/builders.py
+++ b/src/tealcove/rollout/tests/builders.py
@@ -65,7 +65,7 @@
         for _ in range(requests):
             route = self.source.choice(ROUTES)
             has_failed = self.source.random() < self.usual
-            self.rollout.evidence.note_old(route, has_failed)
+            self.rollout.evidence.record_old(route, has_failed)
             self.learn(self.source.choice(self.old), is_new=False)
 
     def request(self) -> None:
@@ -106,7 +106,7 @@
         return self.rollout.state
 
 
-class Rows(order.Orders):
+class Rows(order.OrderStore):
     """Orders and statuses in memory."""
 
     def __init__(self) -> None:
@@ -118,18 +118,18 @@
         self.reads = 0
         self.told: list[order.State] = []
 
-    async def read(self, service: ids.PoolId) -> order.Reading:
-        """See Orders."""
+    async def read(self, service: ids.PoolId) -> order.Snapshot:
+        """See OrderStore."""
         self.check()
         self.reads += 1
-        return order.Reading(self.order, self.status, self.version, self.seconds)
+        return order.Snapshot(self.order, self.status, self.version, self.seconds)
 
-    async def tell(
-        self, service: ids.PoolId, status: order.Status, reading: order.Reading
+    async def write_status(
+        self, service: ids.PoolId, status: order.Status, snapshot: order.Snapshot
     ) -> None:
-        """See Orders."""
+        """See OrderStore."""
         self.check()
-        if reading.stored != self.version:
+        if snapshot.stored != self.version:
             raise table.ConditionFailedError(())
         self.version += 1
         self.status = status
--- a/src/tealcove/rollout/tests/test_keeper.py
+++ b/src/tealcove/rollout/tests/test_controller.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tealcove.rollout import keeper, order
+from tealcove.rollout import controller, order
 from tealcove.rollout.tests import builders
 from tealcove.tests import virtual
 
@@ -17,10 +17,10 @@
     def __init__(self, rows: builders.Rows) -> None:
         self.old, self.new = builders.views(builders.OLD), []
         self.decides = True
-        self.keeper = keeper.Keeper(rows, self.decided)
-        self.exposure = self.keeper.of_pool(builders.SERVICE)
+        self.controller = controller.Controller(rows, self.dispatched)
+        self.exposure = self.controller.of_pool(builders.SERVICE)
 
-    def decided(self):
+    def dispatched(self):
         """Return what the dispatcher would."""
         return {builders.SERVICE: [*self.old, *self.new]} if self.decides else {}
 
@@ -39,7 +39,7 @@
     async def main() -> None:
         rows = builders.Rows()
         one = Deciding(rows)
-        one.keeper.start()
+        one.controller.start()
         await asyncio.sleep(1.0)
         assert rows.reads == 1
         rows.order = builders.ordered()
@@ -53,7 +53,7 @@
         assert rows.told == [order.State.RUNNING, order.State.DONE]
         assert one.takes_new() == len(one.new)
         assert rows.status.to == builders.NEW
-        await one.keeper.stop()
+        await one.controller.stop()
 
     play(main())
 
@@ -64,7 +64,7 @@
     rows.order = builders.ordered(**changes)
     one = Deciding(rows)
     one.new = builders.views(builders.NEW)
-    one.keeper.start()
+    one.controller.start()
     await asyncio.sleep(1.0)
     return rows, one
 
@@ -90,17 +90,17 @@
         second.decides = False
         for one in (first, second):
             one.new = builders.views(builders.NEW)
-            one.keeper.start()
+            one.controller.start()
         await asyncio.sleep(1.0)
         fail_all(first)
         await asyncio.sleep(1.0)
         assert rows.told[-1] is order.State.ROLLED_BACK
-        await first.keeper.stop()
+        await first.controller.stop()
         second.decides = True
         await asyncio.sleep(1.0)
         assert second.takes_new() == 0
         assert rows.told.count(order.State.ROLLED_BACK) == 1
-        await second.keeper.stop()
+        await second.controller.stop()
 
     play(main())
 
@@ -112,14 +112,14 @@
         pair = [Deciding(rows), Deciding(rows)]
         for one in pair:
             one.new = builders.views(builders.NEW)
-            one.keeper.start()
+            one.controller.start()
         await asyncio.sleep(1.0)
         fail_all(pair[0])
         await asyncio.sleep(builders.PERIOD)
         assert rows.status.state is order.State.ROLLED_BACK
         assert [one.takes_new() for one in pair] == [0, 0]
         for one in pair:
-            await one.keeper.stop()
+            await one.controller.stop()
 
     play(main())
 
@@ -136,7 +136,7 @@
         rows.is_down = False
         await asyncio.sleep(2.5)
         assert rows.told == [order.State.RUNNING, order.State.ROLLED_BACK]
-        await one.keeper.stop()
+        await one.controller.stop()
 
     play(main())
 
@@ -147,7 +147,7 @@
         rows.order = None
         await asyncio.sleep(2.0)
         assert one.takes_new() == len(one.new)
-        await one.keeper.stop()
+        await one.controller.stop()
 
     play(main())
 
@@ -163,7 +163,7 @@
         await asyncio.sleep(1.0)
         assert (rows.status.state, rows.status.to) == (order.State.RUNNING, "v3")
         assert one.takes_new() > 0
-        await one.keeper.stop()
+        await one.controller.stop()
 
     play(main())
 
@@ -174,6 +174,6 @@
         rows, one = await under_way(**changes)
         assert one.takes_new() == len(one.new)
         assert rows.told == []
-        await one.keeper.stop()
+        await one.controller.stop()
 
     play(main())
--- a/src/tealcove/rollout/tests/test_progress.py
+++ b/src/tealcove/rollout/tests/test_progress.py
@@ -147,13 +147,15 @@
     busy machine lets a few calls of under a millisecond take longer. Cause: their
     ratio is all that counts.
     """
-    assert evidence.slowness([(0.0006,)] * 4, [(0.002,)] * 4) is None
-    assert evidence.slowness([(0.02,)] * 4, [(0.06,)] * 4) is not None
+    assert evidence.slowdown_reason([(0.0006,)] * 4, [(0.002,)] * 4) is None
+    assert evidence.slowdown_reason([(0.02,)] * 4, [(0.06,)] * 4) is not None
 
 
 def test_all_servers_on_trial_get_requests() -> None:
     traffic = begun(1)
     traffic.run(seconds=4.0)
-    tries = [traffic.rollout.tries[name] for name in traffic.rollout.chosen]
+    tries = [
+        traffic.rollout.trials_by_server[name] for name in traffic.rollout.trial_servers
+    ]
     assert len(tries) == progress.TRIAL_SERVERS
     assert max(tries) - min(tries) <= 1
