--- a/src/tealcove/rollout/__init__.py
+++ b/src/tealcove/rollout/__init__.py
@@ -1,1 +1,1 @@
-"""Roll-outs of a service's new version, as an operator orders them."""
+"""Rollouts of a new version of a service, as ordered by an operator."""
--- a/src/tealcove/rollout/controller.py
+++ b/src/tealcove/rollout/controller.py
@@ -1,4 +1,4 @@
-"""Carries out the roll-outs of the services for which this instance decides."""
+"""Controller of the rollouts of the services that this instance dispatches."""
 
 from __future__ import annotations
 
@@ -16,39 +16,40 @@
 
 log = logbook.Logger("rollout")
 
-# Seconds between two looks at what has come of a roll-out.
+# Seconds between two reviews of a rollout's progress.
 REVIEW_INTERVAL = 0.25
-# Seconds between two readings of the orders: with nothing under way, where each is paid
-# for, and while a roll-out runs, which may be replaced or withdrawn.
+# Seconds between two reads of the orders: without a rollout, where each read has a
+# cost, and during a rollout, whose order may be replaced or withdrawn.
 IDLE_READ_INTERVAL = 5.0
 ACTIVE_READ_INTERVAL = 1.0
 
-# The servers of each service for which this instance decides.
+# Returns the servers of each service that this instance dispatches.
 DispatchedServers = Callable[[], Mapping[ids.PoolId, Iterable[backendview.BackendView]]]
 
 
 class ServiceState(msgspec.Struct):
-    """What is known of one service."""
+    """Rollout state of one service."""
 
     read_at: ids.Instant = ids.Instant(float("-inf"))
     versions: frozenset[str] = frozenset()
     snapshot: order.Snapshot | None = None
     rollout: progress.Rollout | None = None
-    # What is known of the service's answers, also while no roll-out runs.
+    # Statistics of the service's answers, also recorded while no rollout runs.
     evidence: evidence.Evidence = msgspec.field(default_factory=evidence.Evidence)
-    # The state that the store has been told.
+    # The state that was last written to the store or read from it.
     stored_state: order.State | None = None
-    # When the store may be told again after it couldn't be.
+    # Earliest time of the next attempt after a failed write.
     next_write: ids.Instant = ids.Instant(float("-inf"))
-    # The order that was refused, and said so.
+    # Revision of the invalid order that was last logged.
     rejected_revision: ids.Revision | None = None
 
 
 class Controller(exposure.Exposures):
-    """Reads orders, goes on with roll-outs, and tells what has come of them.
+    """Read orders, advance rollouts and write their status.
 
-    What a roll-out has come to stands in the store before anybody acts on its end, and
-    is written only over what was read. A dispatcher that takes over reads it first.
+    The end of a rollout is written to the store before anybody acts on it, and only on
+    condition that the status is the one read. A dispatcher that takes over reads it
+    first.
     """
 
     def __init__(self, orders: order.OrderStore, dispatched: DispatchedServers) -> None:
@@ -58,11 +59,11 @@
         self.task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Begin to look."""
+        """Start the review task."""
         self.task = tasks.start(self.run(), "roll-outs")
 
     async def stop(self) -> None:
-        """End the task."""
+        """Stop the review task."""
         if self.task is not None:
             await tasks.stop([self.task])
 
@@ -71,27 +72,32 @@
         return CurrentExposure(self, pool)
 
     async def run(self) -> None:
-        """Look again and again, until cancelled."""
+        """Review all dispatched services periodically, until cancelled."""
         while True:
             dispatched = self.dispatched()
             for service in set(self.by_service) - set(dispatched):
-                # Another dispatcher goes on with it.
+                # Another dispatcher continues its rollout.
                 del self.by_service[service]
             for service, views in dispatched.items():
                 try:
                     await self.review(service, list(views))
                 except errors.PlatformError as error:
-                    log.debug("roll-outs of {} can't be read: {}", service, error)
+                    log.debug(
+                        "failed to read or write the rollout of {}: {}", service, error
+                    )
             await asyncio.sleep(REVIEW_INTERVAL)
 
     async def review(
         self, service: ids.PoolId, views: list[backendview.BackendView]
     ) -> None:
-        """Read a service's orders if it's time, and go on; raises PlatformError."""
+        """Read a service's order if needed and advance its rollout.
+
+        Raises PlatformError.
+        """
         service_state = self.by_service.setdefault(service, ServiceState())
         versions = frozenset(view.spec.version for view in views)
         if self.should_read(service_state, versions, clock.now()):
-            # Before it's read: an order that can't be read is tried at the next time.
+            # Set before the read: a failed read is retried after the same pause.
             service_state.read_at = clock.now()
             service_state.versions = versions
             self.apply(service_state, await self.orders.read(service), clock.now())
@@ -108,7 +114,7 @@
     def should_read(
         self, service_state: ServiceState, versions: frozenset[str], now: ids.Instant
     ) -> bool:
-        """Tell whether the orders should be read: at once where a version is new."""
+        """Tell whether to read the order; at once if the set of versions changed."""
         is_running = (
             service_state.rollout is not None
             and service_state.stored_state is order.State.RUNNING
@@ -121,13 +127,15 @@
     def apply(
         self, service_state: ServiceState, snapshot: order.Snapshot, now: ids.Instant
     ) -> None:
-        """Begin, go on with or forget a roll-out, by what was read."""
+        """Start, continue or drop a rollout according to the snapshot."""
         service_state.snapshot = snapshot
         found = snapshot.order
         problem = None if found is None else found.problem()
         if problem is not None and service_state.rejected_revision != found.revision:
             service_state.rejected_revision = found.revision
-            log.warning("the roll-out of {} isn't begun: {}", found.service, problem)
+            log.warning(
+                "rollout of {} not started, invalid order: {}", found.service, problem
+            )
         if found is None or problem is not None:
             service_state.rollout = service_state.stored_state = None
             return
@@ -136,14 +144,14 @@
         service_state.stored_state = status.state if is_known else None
         if service_state.rollout is not None and service_state.rollout.order == found:
             if is_known and status.state is not order.State.RUNNING:
-                # Another dispatcher has ended it.
+                # Another dispatcher has ended the rollout.
                 service_state.rollout.state = status.state
                 service_state.rollout.stage = progress.Stage.ENDED
             return
         began = status.began if is_known else snapshot.store_seconds
         state = status.state if is_known else order.State.RUNNING
         log.info(
-            "{}: roll-out of version {} within {:g} s, {}",
+            "{}: rollout of version {} within {:g} s, {}",
             found.service,
             found.to,
             found.period,
@@ -157,9 +165,10 @@
     async def write_status(
         self, service: ids.PoolId, service_state: ServiceState
     ) -> None:
-        """Write what a roll-out has come to; raises PlatformError.
+        """Write a rollout's status; raises PlatformError.
 
-        If somebody else has written meanwhile, their word holds and is read at once.
+        If another dispatcher has written a status meanwhile, that one applies and is
+        read at once.
         """
         rollout, snapshot = service_state.rollout, service_state.snapshot
         known = snapshot.status
@@ -175,21 +184,21 @@
             await self.orders.write_status(service, status, snapshot)
             service_state.stored_state = rollout.state
         except table.ConditionFailedError:
-            log.info("{}: somebody else has told of the roll-out", service)
+            log.info("{}: another dispatcher has updated the rollout status", service)
         finally:
-            # The stored status has another version now, or may have.
+            # The stored row has a new version now, or may have.
             self.apply(service_state, await self.orders.read(service), clock.now())
 
 
 class CurrentExposure(exposure.Exposure):
-    """The limits of a service's present roll-out, if there is one."""
+    """Exposure limits of a service's current rollout, if there is one."""
 
     def __init__(self, controller: Controller, service: ids.PoolId) -> None:
         self.controller = controller
         self.service = service
 
     def rollout(self) -> exposure.Exposure | None:
-        """Return the present roll-out."""
+        """Return the current rollout, or None."""
         service_state = self.controller.by_service.get(self.service)
         return None if service_state is None else service_state.rollout
 
--- a/src/tealcove/rollout/order.py
+++ b/src/tealcove/rollout/order.py
@@ -1,4 +1,4 @@
-"""What an operator orders of a roll-out, and what it's told of it."""
+"""Rollout orders of operators, rollout status, and the store that holds both."""
 
 from __future__ import annotations
 
@@ -9,33 +9,33 @@
 
 from tealcove import ids
 
-# Least and most seconds in which a roll-out can be asked for.
+# Bounds in seconds of the period that an order may ask for.
 MIN_PERIOD = 1.0
 MAX_PERIOD = 24 * 3600.0
 
 
 class State(enum.Enum):
-    """How far a roll-out has come."""
+    """State of a rollout."""
 
     RUNNING = "running"
-    # All requests go to the new version, and nothing runs at the old ones.
+    # All requests go to the new version, and none runs on the old ones.
     DONE = "done"
-    # The new version gets nothing any more.
+    # The new version gets no more requests.
     ROLLED_BACK = "rolled_back"
 
 
 class Order(msgspec.Struct, frozen=True):
-    """Move a service's requests to another version of its servers."""
+    """Order to move a service's requests to another version of its servers."""
 
     service: ids.PoolId
     to: str
-    # Seconds within which it has to be done.
+    # Seconds within which the rollout has to be done.
     period: float
-    # Tells an order from one that replaces it.
+    # Distinguishes an order from one that replaces it.
     revision: ids.Revision
 
     def problem(self) -> str | None:
-        """Return why it can't be carried out; None: it can."""
+        """Return why the order is invalid, or None if it's valid."""
         if not self.to:
             return "it names no version"
         if not MIN_PERIOD <= self.period <= MAX_PERIOD:
@@ -44,29 +44,30 @@
 
 
 class Status(msgspec.Struct, frozen=True):
-    """What is kept of a roll-out, for the operator and for the next dispatcher."""
+    """Stored status of a rollout, for the operator and for the next dispatcher."""
 
     to: str
     state: State
-    # The order that it is of.
+    # Revision of the order that it belongs to.
     revision: ids.Revision
-    # When it began, in seconds of the store's clock.
+    # Start of the rollout, in seconds of the store's clock.
     began: float
     reason: str = ""
 
 
 class Snapshot(msgspec.Struct, frozen=True):
-    """What the store has of a service's roll-out at one moment of its clock."""
+    """Order and status of a service's rollout, as read from the store."""
 
     order: Order | None
     status: Status | None
-    # The status as it's stored, to be replaced only while it's still so.
+    # The status row as stored; a write replaces it only if it's unchanged.
     stored: object
+    # Time of the read, in seconds of the store's clock.
     store_seconds: float
 
 
 class OrderStore(abc.ABC):
-    """Where orders are written, and what became of them."""
+    """Store of rollout orders and their status."""
 
     @abc.abstractmethod
     async def read(self, service: ids.PoolId) -> Snapshot:
@@ -76,8 +77,8 @@
     async def write_status(
         self, service: ids.PoolId, status: Status, snapshot: Snapshot
     ) -> None:
-        """Write a status in place of the one that was read.
+        """Replace the status that was read.
 
-        Raises table.ConditionFailedError if somebody has written another since, and
-        PlatformError if it can't be known to be written.
+        Raises table.ConditionFailedError if the stored status has changed since, and
+        PlatformError if the write isn't confirmed.
         """
--- a/src/tealcove/rollout/progress.py
+++ b/src/tealcove/rollout/progress.py
@@ -1,4 +1,4 @@
-"""One roll-out: who gets which requests, and when it has come to its end."""
+"""One rollout: which servers get requests, and when it ends."""
 
 from __future__ import annotations
 
@@ -16,44 +16,46 @@
 
 log = logbook.Logger("rollout")
 
-# The part of a service's requests that goes to a version on trial, and how many
-# besides: half of the tenth that operators allow a bad one, since another dispatcher
-# may begin anew, and some requests are on their way when it's found out.
+# Share of a service's requests that go to a version on trial, and a number of requests
+# in addition. The share is half of the tenth that operators allow a bad version, since
+# another dispatcher may restart the trial, and some requests are in flight when the
+# version is found to be bad.
 TRIAL_SHARE = 0.05
 TRIAL_ALLOWANCE = 10
-# The part of the period for which a version is on trial. The rest is for runs at the
-# old servers, which have to end before these are stopped.
+# Share of the period for which a version is on trial. The rest is for runs on the old
+# servers, which have to end before these are stopped.
 TRIAL_PERIOD_SHARE = 0.45
-# Until then it goes on if too little is known of the servers on trial, and from then on
-# the roll-out may end without.
+# The trial is extended up to the first share of the period while servers on trial
+# aren't measured. From the second share on, the rollout may be done without measurements.
 MAX_TRIAL_PERIOD_SHARE = 0.6
 UNMEASURED_END_SHARE = 0.9
-# Before that no roll-out is done: what shows under all requests has time to show.
+# Share of the period before which no rollout is done, so that faults that appear only
+# under full load have time to appear.
 MIN_PERIOD_SHARE = 0.7
-# Servers that get the requests of the trial: few, so that they're busy, and enough to
-# tell a slow version from a slow machine.
+# Number of servers that get the trial's requests: few, so that they're busy, and enough
+# to distinguish a slow version from a slow machine.
 TRIAL_SERVERS = 8
-# Seconds without a run at the old servers after which none is on its way there.
+# Seconds without a run on the old servers after which none is in flight to them.
 QUIET_SECONDS = 0.5
-# Observations by which a server's pace counts as known.
+# Observations from which on a server's latency counts as measured.
 MIN_OBSERVATIONS = 2
 
-# Tokens of the prompt and of the output by which latencies are compared.
+# Prompt and output tokens for which latencies are compared.
 PROMPT_TOKENS = 1000
 OUTPUT_TOKENS = 100
 
 
 class Stage(enum.Enum):
-    """What is done with the new version."""
+    """Stage of a rollout."""
 
     TRIAL = "trial"
-    # It gets all requests; what runs at the old ones comes to its end.
+    # The new version gets all requests; runs on the old ones finish.
     MOVING = "moving"
     ENDED = "ended"
 
 
 class Rollout(exposure.Exposure):
-    """Moves a service's requests from one version to another, or back."""
+    """Move a service's requests from one version to another, or back."""
 
     def __init__(
         self,
@@ -72,10 +74,10 @@
         self.trial_count = 0
         self.trials_by_server: collections.Counter[str] = collections.Counter()
         self.stage = Stage.TRIAL if state is order.State.RUNNING else Stage.ENDED
-        # Which of the new servers are on trial; whether any of them is there at all.
+        # The new servers on trial, and whether any new server is serving.
         self.trial_servers: frozenset[str] = frozenset()
         self.has_new_servers = False
-        # The versions that it replaces; others that come later are none of its matter.
+        # The versions that it replaces; versions that appear later aren't limited.
         self.replaced_versions: set[str] = set()
         # Whether the latencies of all servers on trial are known.
         self.all_measured = False
@@ -92,14 +94,14 @@
             return not is_new
         if self.stage is Stage.TRIAL:
             return not is_new or self.may_trial(server)
-        # The old ones serve on if the new ones are lost.
+        # The old servers keep serving if the new ones are lost.
         return server.version not in self.replaced_versions or not self.has_new_servers
 
     def is_wanted(self, server: kinds.BackendServerSpec) -> bool:
         """See Exposure."""
         if self.stage is not Stage.TRIAL or not self.may_trial(server):
             return False
-        # Whichever has had least: all of them have to be known.
+        # Those with the fewest requests: all servers on trial have to be measured.
         return self.trials_by_server[server.name] <= min(
             self.trials_by_server[n] for n in self.trial_servers
         )
@@ -131,7 +133,7 @@
     def review(
         self, views: Iterable[backendview.BackendView], now: ids.Instant
     ) -> order.State:
-        """Go on to what is next; return the state that holds from now on."""
+        """Update the stage and state from the servers' views; return the state."""
         found = list(views)
         new = [view for view in found if self.is_new(view.spec)]
         old = [view for view in found if not self.is_new(view.spec)]
@@ -147,7 +149,7 @@
         return self.state
 
     def choose_trial_servers(self, serving: list[backendview.BackendView]) -> None:
-        """Choose the servers for the trial, the same on every instance."""
+        """Choose the servers for the trial; every instance chooses the same ones."""
         ordered = sorted(view.name for view in serving)
         ordered.sort(key=lambda name: zlib.crc32(name.encode()))
         self.trial_servers = frozenset(ordered[:TRIAL_SERVERS])
@@ -166,7 +168,7 @@
             self.finish(order.State.ROLLED_BACK, fault)
 
     def advance(self, old: list[backendview.BackendView], now: ids.Instant) -> None:
-        """Let the new version have all requests, and end when all runs there."""
+        """Send all requests to the new version; finish once the old ones are idle."""
         part = (now - self.began) / self.order.period
         is_tried = part >= (
             TRIAL_PERIOD_SHARE if self.all_measured else MAX_TRIAL_PERIOD_SHARE
@@ -174,7 +176,7 @@
         if self.stage is Stage.TRIAL and is_tried and self.has_new_servers:
             self.stage = Stage.MOVING
             log.info(
-                "{}: all requests go to {}: {} of {} were tried there",
+                "{}: all requests go to version {} after a trial of {} of {} requests",
                 self.order.service,
                 self.order.to,
                 self.trial_count,
@@ -194,7 +196,7 @@
             self.finish(order.State.DONE, reason)
 
     def finish(self, state: order.State, reason: str) -> None:
-        """Come to an end."""
+        """End the rollout in the given state."""
         log.info(
             "{}: {} of version {}: {}",
             self.order.service,
@@ -207,12 +209,12 @@
 
 
 def is_measured(view: backendview.BackendView) -> bool:
-    """Tell whether a server's pace is known."""
+    """Tell whether a server's latency is measured."""
     return view.observations >= MIN_OBSERVATIONS
 
 
 def latencies(view: backendview.BackendView) -> tuple[float, float, float]:
-    """Return a server's seconds for a prompt, an output and a call; 0: unknown."""
+    """Return a server's seconds per prompt, output and call; 0 means not measured."""
     if not is_measured(view):
         return 0.0, 0.0, 0.0
     if view.prefill.works > 0.0:
--- a/src/tealcove/rollout/tests/__init__.py
+++ b/src/tealcove/rollout/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the rollout slice."""
+"""Tests of the rollout package."""
--- a/src/tealcove/rollout/tests/builders.py
+++ b/src/tealcove/rollout/tests/builders.py
@@ -1,4 +1,4 @@
-"""Test data for the rollout slice."""
+"""Test data for the rollout package."""
 
 from __future__ import annotations
 
@@ -47,29 +47,29 @@
 
 
 class Traffic:
-    """Requests of a service during a roll-out, and how they end."""
+    """Simulated requests of a service during a rollout."""
 
     def __init__(self, rollout: progress.Rollout, seed: int) -> None:
         self.rollout = rollout
         self.source = random.Random(seed)
         self.old, self.new = views(OLD), views(NEW)
-        # Part of the new version's answers that fail, by route; of all by themselves.
-        self.bad: dict[str, float] = {}
-        self.usual = 0.0
+        # Failure rate that the new version adds, by route, and that of all versions.
+        self.added_failures: dict[str, float] = {}
+        self.base_failures = 0.0
         self.arrived = self.exposed = 0
-        # How much longer the new servers take.
-        self.pace = 1.0
+        # Factor by which the new servers are slower.
+        self.slowdown = 1.0
 
     def serve_before(self, requests: int = 300) -> None:
-        """Let requests end at the old servers before the roll-out."""
+        """Complete requests on the old servers before the rollout."""
         for _ in range(requests):
             route = self.source.choice(ROUTES)
-            has_failed = self.source.random() < self.usual
+            has_failed = self.source.random() < self.base_failures
             self.rollout.evidence.record_old(route, has_failed)
-            self.learn(self.source.choice(self.old), is_new=False)
+            self.observe(self.source.choice(self.old), is_new=False)
 
     def request(self) -> None:
-        """Let one request arrive and end."""
+        """Grant and complete one request."""
         self.arrived += 1
         servers = [
             one for one in (*self.old, *self.new) if self.rollout.may_take(one.spec)
@@ -80,24 +80,24 @@
         is_new = server.spec.version == NEW
         self.exposed += is_new
         route = self.source.choice(ROUTES)
-        part = self.usual
+        part = self.base_failures
         if is_new:
-            part = 1.0 - (1.0 - part) * (1.0 - self.bad.get(route, 0.0))
+            part = 1.0 - (1.0 - part) * (1.0 - self.added_failures.get(route, 0.0))
         has_failed = self.source.random() < part
         self.rollout.note_end(server.spec, route, done(server.name, has_failed))
-        self.learn(server, is_new)
+        self.observe(server, is_new)
 
-    def learn(self, server: backendview.BackendView, is_new: bool) -> None:
-        """Let a server's pace be known a little better."""
+    def observe(self, server: backendview.BackendView, is_new: bool) -> None:
+        """Add one observation of a server's latency."""
         server.observations += 1
-        factor = self.pace if is_new else 1.0
+        factor = self.slowdown if is_new else 1.0
         machine = 4.0 if server.name.endswith(("0", "1", "2")) else 1.0
         seen = 0.02 * factor * machine * self.source.lognormvariate(0.0, 0.3)
         weight = backendview.WEIGHT if server.observations > 1 else 1.0
         server.call_seconds += weight * (seen - server.call_seconds)
 
     def run(self, rate: float = 100.0, seconds: float = PERIOD) -> order.State:
-        """Let requests arrive at a rate until the period is over or it has ended."""
+        """Run requests at a rate for some seconds; return the rollout's state."""
         for number in range(int(rate * seconds)):
             self.request()
             now = instant(number / rate)
@@ -107,7 +107,7 @@
 
 
 class Rows(order.OrderStore):
-    """Orders and statuses in memory."""
+    """Order store in memory, for one service."""
 
     def __init__(self) -> None:
         self.order: order.Order | None = None
@@ -116,7 +116,7 @@
         self.seconds = 500.0
         self.is_down = False
         self.reads = 0
-        self.told: list[order.State] = []
+        self.written: list[order.State] = []
 
     async def read(self, service: ids.PoolId) -> order.Snapshot:
         """See OrderStore."""
@@ -133,7 +133,7 @@
             raise table.ConditionFailedError(())
         self.version += 1
         self.status = status
-        self.told.append(status.state)
+        self.written.append(status.state)
 
     def check(self) -> None:
         """Raise PlatformError while the store is down."""
--- a/src/tealcove/rollout/tests/test_progress.py
+++ b/src/tealcove/rollout/tests/test_progress.py
@@ -1,4 +1,4 @@
-"""Good and bad versions under traffic: who is exposed to what, and how it ends."""
+"""Rollouts of good and bad versions under simulated traffic."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 from tealcove.rollout import evidence, order, progress
 from tealcove.rollout.tests import builders
 
-# What operators allow a bad version: a part of all requests, and so many besides.
-ALLOWED_PART, ALLOWED_BESIDES = 0.1, 50
+# What operators allow a bad version: a share of all requests, plus a number.
+ALLOWED_SHARE, ALLOWED_EXTRA = 0.1, 50
 SEEDS = range(200)
 
 
 def begun(seed: int, **changes: object) -> builders.Traffic:
-    """Return traffic at the beginning of a roll-out."""
+    """Return traffic at the beginning of a rollout."""
     state = order.State.RUNNING
     known = evidence.Evidence()
     found = progress.Rollout(builders.ordered(), builders.instant(0), state, known)
@@ -28,25 +28,24 @@
 
 def is_within(traffic: builders.Traffic) -> bool:
     """Tell whether a bad version got no more than operators allow."""
-    return traffic.exposed <= ALLOWED_PART * traffic.arrived + ALLOWED_BESIDES
+    return traffic.exposed <= ALLOWED_SHARE * traffic.arrived + ALLOWED_EXTRA
 
 
 @pytest.mark.parametrize(
     "changes",
     [
-        {"bad": dict.fromkeys(builders.ROUTES, 0.2)},
-        {"bad": {"b": 1.0}},
-        {"bad": {"b": 0.5}},
-        {"pace": 3.0},
-        {"bad": dict.fromkeys(builders.ROUTES, 0.4), "usual": 0.14},
+        {"added_failures": dict.fromkeys(builders.ROUTES, 0.2)},
+        {"added_failures": {"b": 1.0}},
+        {"added_failures": {"b": 0.5}},
+        {"slowdown": 3.0},
+        {"added_failures": dict.fromkeys(builders.ROUTES, 0.4), "base_failures": 0.14},
     ],
 )
-def test_a_bad_version_is_rolled_back_and_few_requests_see_it(changes) -> None:
-    """Callers get a bad version's failures until somebody looks.
+def test_bad_version_is_rolled_back_with_limited_exposure(changes) -> None:
+    """A bad version is rolled back within the exposure that operators allow.
 
-    Symptom: one answer in five of a service fails for the rest of a day. Sequence: an
-    operator orders a new version, whose servers are there at once. Cause: they get as
-    many requests as the others from the first moment.
+    Guards against new servers that get as many requests as the others from the start:
+    one answer in five failed until an operator noticed, for the rest of a day.
     """
     for seed in SEEDS:
         traffic = begun(seed, **changes)
@@ -60,22 +59,21 @@
 @pytest.mark.parametrize("usual", [0.0, 0.02, 0.14])
 def test_a_good_version_is_done_in_time(usual: float) -> None:
     """A good version is rolled back by chance at most once in a hundred times."""
-    ends = [begun(seed, usual=usual).run() for seed in SEEDS]
+    ends = [begun(seed, base_failures=usual).run() for seed in SEEDS]
     assert ends.count(order.State.DONE) >= 0.99 * len(ends)
 
 
 def test_a_version_that_is_slow_on_slow_machines_only_is_done() -> None:
-    # Three in twelve servers of each version take four times as long.
-    ends = [begun(seed, pace=1.1).run() for seed in SEEDS]
+    # Three of the twelve servers of each version are four times slower.
+    ends = [begun(seed, slowdown=1.1).run() for seed in SEEDS]
     assert ends.count(order.State.DONE) >= 0.99 * len(ends)
 
 
-def test_nothing_is_done_while_something_runs_at_the_old_servers() -> None:
-    """Answers are cut off at the end of a roll-out.
+def test_rollout_is_not_done_while_a_request_runs_on_an_old_server() -> None:
+    """A rollout isn't done while a request runs on an old server.
 
-    Symptom: streams break at the moment of `done`. Sequence: all requests go to the new
-    version; streams that began before still run. Cause: the old servers stop at once
-    when `done` is written.
+    The old servers stop as soon as `done` is written, which would cut off streams that
+    began before all requests went to the new version.
     """
     traffic = begun(1)
     ticket = dispatching.ticket()
@@ -89,7 +87,7 @@
     assert traffic.rollout.review(views, builders.instant(31)) is order.State.DONE
 
 
-def test_the_old_servers_serve_on_when_the_new_ones_are_lost() -> None:
+def test_old_servers_keep_serving_when_the_new_ones_are_lost() -> None:
     traffic = begun(1)
     traffic.rollout.review([*traffic.old, *traffic.new], builders.instant(8))
     assert traffic.rollout.stage is progress.Stage.MOVING
@@ -98,12 +96,12 @@
     assert all(traffic.rollout.may_take(one.spec) for one in traffic.old)
 
 
-def test_a_later_version_is_none_of_its_matter() -> None:
-    """After a roll-out no further version gets any request.
+def test_later_version_is_not_limited() -> None:
+    """A finished rollout doesn't limit versions that appear later.
 
-    Symptom: servers that are replaced one by one, without an order, stand idle.
-    Sequence: a roll-out was done some time ago, and its order still stands there.
-    Cause: only the version that it names may get requests.
+    Guards against servers that stay idle when they're replaced one by one without an
+    order while the order of an earlier rollout is still stored: only the version
+    that it names got requests.
     """
     traffic = begun(1)
     assert traffic.run() is order.State.DONE
@@ -112,11 +110,11 @@
     assert traffic.rollout.may_take(later.spec)
 
 
-def test_a_later_version_is_none_of_a_successors_matter_either() -> None:
-    """As above, after the instance that decides has died.
+def test_later_version_is_not_limited_by_a_successor() -> None:
+    """As above, after the dispatching instance has died.
 
-    Symptom: as above. Sequence: the next in rank finds the roll-out done in the store,
-    and a version beside that which it names. Cause: it takes that for the one before.
+    Its successor finds the rollout done in the store and a version that the order
+    doesn't name, which it mustn't take for one that was replaced.
     """
     traffic = begun(1)
     done = order.State.DONE
@@ -127,7 +125,7 @@
     assert found.may_take(later.spec)
 
 
-def test_a_version_on_trial_gets_its_requests_at_few_servers() -> None:
+def test_trial_uses_a_limited_number_of_servers() -> None:
     traffic = begun(1)
     traffic.rollout.review([*traffic.old, *traffic.new], builders.instant(0))
     taking = [one for one in traffic.new if traffic.rollout.may_take(one.spec)]
@@ -140,12 +138,11 @@
     assert not traffic.rollout.may_take(leaving)
 
 
-def test_milliseconds_say_nothing_of_a_version() -> None:
-    """A good version of a quick service is rolled back.
+def test_difference_of_milliseconds_is_ignored() -> None:
+    """A difference of milliseconds doesn't roll a version back.
 
-    Symptom: a version is told as three times as slow; its calls take 2 ms. Sequence: a
-    busy machine lets a few calls of under a millisecond take longer. Cause: their
-    ratio is all that counts.
+    On a busy machine some calls of under a millisecond take 2 ms. Comparing only the
+    ratio reported a good version as three times as slow.
     """
     assert evidence.slowdown_reason([(0.0006,)] * 4, [(0.002,)] * 4) is None
     assert evidence.slowdown_reason([(0.02,)] * 4, [(0.06,)] * 4) is not None
