--- a/src/tealcove/orders/wanted.py
+++ b/src/tealcove/orders/desired.py
@@ -12,7 +12,7 @@
 Versions = dict[str, str]
 
 
-class WantedServer(msgspec.Struct, frozen=True):
+class DesiredServer(msgspec.Struct, frozen=True):
     """An engine of the pool, and the cell that gives it work."""
 
     server: engine.Server
@@ -20,18 +20,18 @@
     role: str
 
 
-class Wanted(msgspec.Struct, frozen=True):
+class DesiredState(msgspec.Struct, frozen=True):
     """Models and adapters of all engines of a pool, and the role of each."""
 
     models: Versions
     adapters: Versions
-    servers: dict[ids.BackendServerId, WantedServer]
+    servers: dict[ids.BackendServerId, DesiredServer]
     checks_fencing: bool
     # Bytes to load, by name of a model or adapter.
     sizes: dict[str, int]
 
     def fulfils(self, order: engine.Order) -> bool:
-        """Tell whether an order to load or unload brings about what's wanted."""
+        """Tell whether an order to load or unload brings about what's desired."""
         match order.order:
             case engine.OrderKind.LOAD_MODEL:
                 return self.models.get(order.name) == order.version
@@ -45,7 +45,7 @@
                 return True
 
 
-def of_pool(current: copy.Configuration, pool: ids.PoolId) -> Wanted | None:
+def of_pool(current: copy.Configuration, pool: ids.PoolId) -> DesiredState | None:
     """Return what is wanted of a pool's engines; None: nothing.
 
     A pool that names no model is left alone. Taken at its word, all its engines
@@ -57,7 +57,7 @@
     spec = resource.spec
     models = find(current, kinds.Kind.MODEL, spec.models)
     adapters = find(current, kinds.Kind.ADAPTER, spec.adapters)
-    return Wanted(
+    return DesiredState(
         models={name: found.version for name, found in models.items()},
         adapters={name: found.version for name, found in adapters.items()},
         servers=servers_of(pool, spec),
@@ -79,7 +79,7 @@
 
 def servers_of(
     pool: ids.PoolId, spec: kinds.EnginePoolSpec
-) -> dict[ids.BackendServerId, WantedServer]:
+) -> dict[ids.BackendServerId, DesiredServer]:
     """Return the engines of a pool that aren't to leave."""
     servers = {}
     for cell in cells.of_pool(pool, spec):
@@ -87,5 +87,5 @@
             if one.state is kinds.ServerState.SERVING:
                 name = ids.BackendServerId(one.name)
                 address = engine.Server(name, one.host, one.port)
-                servers[name] = WantedServer(address, cell, one.role.value)
+                servers[name] = DesiredServer(address, cell, one.role.value)
     return servers
--- a/src/tealcove/orders/intents.py
+++ b/src/tealcove/orders/intents.py
@@ -93,7 +93,7 @@
         async with self.lock:
             await self.write({**self.open, server: Intent(order)})
 
-    def doubt(self, server: ids.BackendServerId, until: ids.Instant) -> None:
+    def mark_unsettled(self, server: ids.BackendServerId, until: ids.Instant) -> None:
         """Note that an order may still be carried out until an instant."""
         self.unsettled[server] = until
 
@@ -119,9 +119,9 @@
                     self.rows, self.row, TABLE, self.pool, value
                 )
             except table.ConditionFailedError as error:
-                self.follow(error.conflicts[0].row)
+                self.adopt_row(error.conflicts[0].row)
             except errors.OutcomeUnknownError:
-                self.follow(await self.rows.read(TABLE, self.pool))
+                self.adopt_row(await self.rows.read(TABLE, self.pool))
             if self.row is not None and self.row.value == value:
                 self.open = wanted
                 return
@@ -130,7 +130,7 @@
             "Nothing was ordered; it is tried again.",
         )
 
-    def follow(self, row: table.Row | None) -> None:
+    def adopt_row(self, row: table.Row | None) -> None:
         """Take over the row as it stands, unless it's another steward's.
 
         A write whose reply was lost may have been applied: then the row is ours.
--- a/src/tealcove/orders/lease.py
+++ b/src/tealcove/orders/lease.py
@@ -110,7 +110,7 @@
                 f"Write a margin above 0 and below the duration, {duration:g} s.",
             )
         self.state = LeaseState.ABSENT
-        self.looked = False
+        self.was_read = False
         self.row: table.Row | None = None
         self.record: LeaseRecord | None = None
         # Since when the row is known to stand unchanged; None: not dated yet.
@@ -152,10 +152,10 @@
             # Writing the same record again proves to others that we live.
             await self.attempt(self.record, now)
             return
-        if not self.may_take(now):
-            await self.look()
-        if self.may_take(now):
-            await self.take(now)
+        if not self.may_acquire(now):
+            await self.read_row()
+        if self.may_acquire(now):
+            await self.acquire(now)
 
     async def release(self, now: ids.Instant) -> None:
         """Give the lease up, so that another may take it at once.
@@ -173,7 +173,7 @@
         self.forget_row()
         self.unsettled_since = None
 
-    async def take(self, now: ids.Instant) -> None:
+    async def acquire(self, now: ids.Instant) -> None:
         """Try to become the holder, under the next number."""
         number = ids.FencingNumber(self.greatest_number + 1)
         await self.attempt(LeaseRecord(self.holder, number, self.duration), now)
@@ -189,7 +189,7 @@
         except errors.OutcomeUnknownError:
             if self.unsettled_since is None:
                 self.unsettled_since = now
-            await self.look()
+            await self.read_row()
         else:
             self.adopt(row, record)
             self.hold_from(now)
@@ -199,7 +199,7 @@
         value = msgspec.json.encode(record)
         return await table.replace(self.rows, self.row, TABLE, self.name, value)
 
-    async def look(self) -> None:
+    async def read_row(self) -> None:
         """Read the row; an unavailable platform changes nothing."""
         try:
             row = await self.rows.read(TABLE, self.name)
@@ -211,7 +211,7 @@
         """Take note of the row as it stands in the table."""
         if row is None:
             self.forget_row()
-            self.looked = True
+            self.was_read = True
             self.fire(Trigger.FIND_NONE)
             return
         if self.row is not None and row.version == self.row.version:
@@ -235,7 +235,7 @@
         Writes that are still on their way were conditional on the row before,
         whose version never comes back: they can't be applied any more.
         """
-        self.looked = True
+        self.was_read = True
         self.row = row
         self.record = record
         self.unchanged_since = None
@@ -244,7 +244,7 @@
 
     def forget_row(self) -> None:
         """Know nothing of the row but the numbers that were used."""
-        self.looked = False
+        self.was_read = False
         self.row = None
         self.record = None
         self.unchanged_since = None
@@ -265,10 +265,10 @@
         if self.row is not None and self.unchanged_since is None:
             self.unchanged_since = now
 
-    def may_take(self, now: ids.Instant) -> bool:
+    def may_acquire(self, now: ids.Instant) -> bool:
         """Whether nobody can hold the lease, if the row is still the same."""
         if self.record is None:
-            return self.looked
+            return self.was_read
         if self.record.holder == NO_HOLDER or self.state is LeaseState.LAPSED:
             return True
         if self.unchanged_since is None:
--- a/src/tealcove/orders/observing.py
+++ b/src/tealcove/orders/observing.py
@@ -1,4 +1,4 @@
-"""What a pool's engines hold, and how far the pool is from what is wanted."""
+"""What a pool's engines hold, and how far the pool is from what is desired."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from tealcove import errors, ids
 from tealcove.backends import engine
-from tealcove.orders import plan, wanted
+from tealcove.orders import desired, plan
 
 log = logbook.Logger("orders")
 
@@ -20,7 +20,7 @@
 Holdings = dict[ids.BackendServerId, engine.Holding]
 
 
-async def read(engines: engine.EngineClient, target: wanted.Wanted) -> Holdings:
+async def read(engines: engine.EngineClient, target: desired.DesiredState) -> Holdings:
     """Return what each engine holds that can be reached and doesn't leave."""
     limit = asyncio.Semaphore(READS_AT_ONCE)
 
@@ -73,7 +73,9 @@
         self.rollouts = ()
         self.blocked = ()
 
-    def note(self, target: wanted.Wanted, holdings: Holdings, found: plan.Plan) -> None:
+    def update(
+        self, target: desired.DesiredState, holdings: Holdings, found: plan.Plan
+    ) -> None:
         """Log what has changed since the last look."""
         rollouts = tuple(rollouts_of(target, holdings))
         for rollout in rollouts:
@@ -100,8 +102,8 @@
         self.blocked = found.blocked
 
 
-def rollouts_of(target: wanted.Wanted, holdings: Holdings) -> list[Rollout]:
-    """Return the rollout of each model and adapter that is wanted."""
+def rollouts_of(target: desired.DesiredState, holdings: Holdings) -> list[Rollout]:
+    """Return the rollout of each model and adapter that is desired."""
     models = [holding.models for holding in holdings.values()]
     adapters = [holding.adapters for holding in holdings.values()]
     total = len(target.servers)
--- a/src/tealcove/orders/plan.py
+++ b/src/tealcove/orders/plan.py
@@ -8,7 +8,7 @@
 
 from tealcove import ids
 from tealcove.backends import engine
-from tealcove.orders import wanted
+from tealcove.orders import desired
 from tealcove.resources import kinds
 
 # The parts of a request's computation, and the roles that compute each.
@@ -33,7 +33,7 @@
         return kind in (engine.OrderKind.LOAD_MODEL, engine.OrderKind.LOAD_ADAPTER)
 
 
-class Seen(msgspec.Struct, frozen=True):
+class ObservedState(msgspec.Struct, frozen=True):
     """The engines of a pool as they are, as far as it's known.
 
     Engines that can't be reached or that leave are in none of the fields.
@@ -57,7 +57,7 @@
     idle: frozenset[ids.BackendServerId]
 
 
-def make(target: wanted.Wanted, seen: Seen) -> Plan:
+def make(target: desired.DesiredState, observed: ObservedState) -> Plan:
     """Return the next tasks.
 
     Loads of what an engine doesn't have yet begin at once, everywhere. What
@@ -66,26 +66,28 @@
     """
     open_tasks = {
         name: list(missing(name, target, holding))
-        for name, holding in sorted(seen.holdings.items())
+        for name, holding in sorted(observed.holdings.items())
         if name in target.servers
     }
     loading = any(task.loads for tasks in open_tasks.values() for task in tasks)
-    free = {n: t for n, t in open_tasks.items() if is_free(n, seen)}
+    free = {n: t for n, t in open_tasks.items() if is_free(n, observed)}
     begun = [tasks[0] for tasks in free.values() if tasks and not tasks[0].drains]
     blocked: list[Task] = []
-    for task in draining(free, loading, seen):
-        if seen.held - {task.server}:
+    for task in draining(free, loading, observed):
+        if observed.held - {task.server}:
             break
-        if may_leave(task.server, target, seen):
+        if may_leave(task.server, target, observed):
             begun.append(task)
             break
         blocked.append(task)
-    idle = idle_engines(open_tasks, begun, seen)
+    idle = idle_engines(open_tasks, begun, observed)
     return Plan(tuple(begun), tuple(blocked), idle)
 
 
 def idle_engines(
-    open_tasks: dict[ids.BackendServerId, list[Task]], begun: list[Task], seen: Seen
+    open_tasks: dict[ids.BackendServerId, list[Task]],
+    begun: list[Task],
+    observed: ObservedState,
 ) -> frozenset[ids.BackendServerId]:
     """Return the engines that nothing is done to now.
 
@@ -93,16 +95,16 @@
     others might wait for them, and they for others, for ever.
     """
     begun_at = {task.server for task in begun}
-    return frozenset(open_tasks) - seen.busy - begun_at
+    return frozenset(open_tasks) - observed.busy - begun_at
 
 
-def is_free(name: ids.BackendServerId, seen: Seen) -> bool:
+def is_free(name: ids.BackendServerId, observed: ObservedState) -> bool:
     """Tell whether a task may begin at an engine."""
-    return name not in seen.busy and name not in seen.unsettled
+    return name not in observed.busy and name not in observed.unsettled
 
 
 def draining(
-    free: dict[ids.BackendServerId, list[Task]], loading: bool, seen: Seen
+    free: dict[ids.BackendServerId, list[Task]], loading: bool, observed: ObservedState
 ) -> list[Task]:
     """Return the tasks that need an empty engine, held engines' first.
 
@@ -111,7 +113,9 @@
     """
     found = [tasks[0] for tasks in free.values() if tasks and tasks[0].drains]
     found = [task for task in found if not (loading and is_unload(task))]
-    return sorted(found, key=lambda task: (task.server not in seen.held, task.server))
+    return sorted(
+        found, key=lambda task: (task.server not in observed.held, task.server)
+    )
 
 
 def is_unload(task: Task) -> bool:
@@ -121,7 +125,7 @@
 
 
 def missing(
-    name: ids.BackendServerId, target: wanted.Wanted, holding: engine.Holding
+    name: ids.BackendServerId, target: desired.DesiredState, holding: engine.Holding
 ) -> Iterator[Task]:
     """Yield what an engine lacks, in the order in which it is to be done."""
     order_kinds = engine.OrderKind
@@ -143,8 +147,8 @@
 def loads_of(
     server: ids.BackendServerId,
     kind: engine.OrderKind,
-    versions: wanted.Versions,
-    held: wanted.Versions,
+    versions: desired.Versions,
+    held: desired.Versions,
 ) -> Iterator[Task]:
     """Yield tasks to load; the engine has to be empty to replace a version."""
     for name, version in sorted(versions.items()):
@@ -156,26 +160,28 @@
 def unloads_of(
     server: ids.BackendServerId,
     kind: engine.OrderKind,
-    versions: wanted.Versions,
-    held: wanted.Versions,
+    versions: desired.Versions,
+    held: desired.Versions,
 ) -> Iterator[Task]:
-    """Yield tasks to unload what isn't wanted."""
+    """Yield tasks to unload what isn't desired."""
     for name in sorted(held.keys() - versions.keys()):
         yield Task(server, engine.Order(NO_NUMBER, kind, name), drains=True)
 
 
-def may_leave(server: ids.BackendServerId, target: wanted.Wanted, seen: Seen) -> bool:
+def may_leave(
+    server: ids.BackendServerId, target: desired.DesiredState, observed: ObservedState
+) -> bool:
     """Tell whether others go on serving all that an engine serves."""
-    holding = seen.holdings.get(server)
+    holding = observed.holdings.get(server)
     if holding is None:
         return False
     others = [
         found
-        for name, found in seen.holdings.items()
+        for name, found in observed.holdings.items()
         if name != server
         and name in target.servers
-        and name not in seen.held
-        and name not in seen.unsettled
+        and name not in observed.held
+        and name not in observed.unsettled
     ]
     for model in target.models.keys() & holding.models.keys():
         having = [other for other in others if model in other.models]
@@ -193,7 +199,9 @@
     return not any(name in other.adapters for other in others)
 
 
-def count(versions: wanted.Versions, held: Iterable[wanted.Versions]) -> dict[str, int]:
+def count(
+    versions: desired.Versions, held: Iterable[desired.Versions]
+) -> dict[str, int]:
     """Return how many engines have the wanted version, by name."""
     all_held = list(held)
     return {
--- a/src/tealcove/orders/role.py
+++ b/src/tealcove/orders/role.py
@@ -45,16 +45,16 @@
 
     def start(self) -> None:
         """Begin to look after the pools."""
-        self.transport.handle(holds.HoldReport, self.take_report)
-        self.copy.subscribe(self.take_configuration)
-        self.take_configuration(self.copy.current, self.copy.current)
+        self.transport.handle(holds.HoldReport, self.handle_report)
+        self.copy.subscribe(self.handle_configuration)
+        self.handle_configuration(self.copy.current, self.copy.current)
 
     async def stop(self) -> None:
         """End all tasks."""
         for one in self.by_pool.values():
             await one.stop()
 
-    def take_configuration(
+    def handle_configuration(
         self, previous: copy.Configuration, current: copy.Configuration
     ) -> None:
         """Have a steward for each pool; that of a deleted one does nothing."""
@@ -64,12 +64,12 @@
             self.by_pool[pool] = self.new_steward(pool, held)
             self.by_pool[pool].start()
 
-    def take_report(self, sender: ids.InstanceId, report: holds.HoldReport) -> None:
+    def handle_report(self, sender: ids.InstanceId, report: holds.HoldReport) -> None:
         """Hand a dispatcher's report to the steward of the cell's pool."""
         pool = ids.PoolId(report.cell.rpartition("/")[0])
         steward_of_pool = self.by_pool.get(pool)
         if steward_of_pool is not None:
-            steward_of_pool.drains.take(sender, report, clock.now())
+            steward_of_pool.drains.record_report(sender, report, clock.now())
 
     def observe(
         self, options: metrics.CallbackOptions
--- a/src/tealcove/orders/giving.py
+++ b/src/tealcove/orders/sender.py
@@ -14,7 +14,7 @@
 log = logbook.Logger("orders")
 
 
-class Ending(enum.Enum):
+class Outcome(enum.Enum):
     """What is known of an order after its call."""
 
     CARRIED_OUT = "carried_out"
@@ -24,7 +24,7 @@
     UNKNOWN = "unknown"
 
 
-class Giver:
+class OrderSender:
     """Gives one pool's orders under one fencing number."""
 
     def __init__(
@@ -39,22 +39,22 @@
         self.lease = held
         self.longest_order = longest_order
 
-    def may_give(self) -> bool:
+    def may_send(self) -> bool:
         """Tell whether the lease is held now, under the number of the intents."""
         number_holds = self.lease.number == self.intents.number
         return number_holds and self.lease.held(clock.now())
 
-    async def give(self, server: engine.Server, order: engine.Order) -> None:
+    async def send(self, server: engine.Server, order: engine.Order) -> None:
         """Give an order; raises PlatformError when it couldn't be written down.
 
         Only an order whose end is known is cleared from the row.
         """
         numbered = msgspec.structs.replace(order, fencing=self.intents.number)
         await self.intents.begin(server.name, numbered)
-        ending = await self.call(server, numbered)
-        if ending is Ending.UNKNOWN:
+        outcome = await self.call(server, numbered)
+        if outcome is Outcome.UNKNOWN:
             return
-        if ending is Ending.CARRIED_OUT:
+        if outcome is Outcome.CARRIED_OUT:
             said = describe(order)
             log.info("{}: {}, number {}", server.name, said, numbered.fencing)
         await self.intents.end(server.name)
@@ -71,11 +71,11 @@
         order = engine.Order(
             self.intents.number, engine.OrderKind.SET_ROLE, role=holding.role
         )
-        if await self.call(server, order) is Ending.CARRIED_OUT:
+        if await self.call(server, order) is Outcome.CARRIED_OUT:
             log.info("{}: refuses numbers below {}", server.name, order.fencing)
             await self.intents.end(server.name)
 
-    async def call(self, server: engine.Server, order: engine.Order) -> Ending:
+    async def call(self, server: engine.Server, order: engine.Order) -> Outcome:
         """Send an order to its engine under the lease, and wait for the reply.
 
         An order with a lost reply may still be carried out. Its engine is left
@@ -84,16 +84,16 @@
         """
         began = clock.now()
         try:
-            await self.engines.order(server, order, self.may_give, self.longest_order)
+            await self.engines.order(server, order, self.may_send, self.longest_order)
         except (engine.NotDispatchedError, engine.RefusedCallError) as error:
             log.warning("{}: {}", server.name, error)
-            return Ending.NOT_CARRIED_OUT
+            return Outcome.NOT_CARRIED_OUT
         except errors.BackendError as error:
             log.warning("{}: {}", server.name, error)
             until = ids.Instant(began + self.longest_order)
-            self.intents.doubt(server.name, until)
-            return Ending.UNKNOWN
-        return Ending.CARRIED_OUT
+            self.intents.mark_unsettled(server.name, until)
+            return Outcome.UNKNOWN
+        return Outcome.CARRIED_OUT
 
 
 def describe(order: engine.Order) -> str:
--- a/src/tealcove/orders/steward.py
+++ b/src/tealcove/orders/steward.py
@@ -10,18 +10,18 @@
 from tealcove import clock, errors, ids, tasks
 from tealcove.backends import engine
 from tealcove.membership import members, messages
-from tealcove.orders import drains, giving, intents, lease, observing, plan, wanted
+from tealcove.orders import desired, drains, intents, lease, observing, plan, sender
 from tealcove.resources import copy, kinds
 from tealcove.storage import table, weights
 
 log = logbook.Logger("orders")
 
 # Seconds between two looks at the engines while the lease is held.
-ROUND_INTERVAL = 0.5
+RECONCILE_INTERVAL = 0.5
 # Seconds between two looks at whether an engine has become empty.
 DRAIN_INTERVAL = 0.1
 # The second in rank looks at the lease once in so many durations.
-RESERVE_DURATIONS = 2
+STANDBY_DURATIONS = 2
 
 
 class Steward:
@@ -52,13 +52,15 @@
         holder = lease.holder_name(known.own.instance, known.own.incarnation)
         self.lease = lease.Lease(rows, pool, holder, lease_seconds)
         self.intents = intents.Intents(rows, pool)
-        self.giver = giving.Giver(engines, self.intents, self.lease, longest_order)
+        self.sender = sender.OrderSender(
+            engines, self.intents, self.lease, longest_order
+        )
         self.longest_order = longest_order
-        self.reserve_at = ids.Instant(clock.now() + RESERVE_DURATIONS * lease_seconds)
+        self.standby_at = ids.Instant(clock.now() + STANDBY_DURATIONS * lease_seconds)
         self.progress = observing.Progress(pool)
-        self.seen = plan.Seen({})
+        self.observed = plan.ObservedState({})
         # The lease takes one step at a time, giving it up included.
-        self.stepping = asyncio.Lock()
+        self.lease_lock = asyncio.Lock()
         self.changes: dict[ids.BackendServerId, asyncio.Task[None]] = {}
         self.tasks: list[asyncio.Task[None]] = []
 
@@ -67,7 +69,7 @@
         self.tasks = [
             tasks.start(self.keep_lease(), f"lease of {self.pool}"),
             tasks.start(self.keep_holds(), f"holds of {self.pool}"),
-            tasks.start(self.work(), f"orders to {self.pool}"),
+            tasks.start(self.run(), f"orders to {self.pool}"),
         ]
 
     async def stop(self) -> None:
@@ -88,7 +90,7 @@
 
     async def step(self) -> None:
         """Let the lease take one step."""
-        async with self.stepping:
+        async with self.lease_lock:
             try:
                 await self.lease.step(clock.now())
             except errors.PlatformError as error:
@@ -96,14 +98,14 @@
 
     async def release(self) -> None:
         """Give the lease up, if it's held here."""
-        async with self.stepping:
+        async with self.lease_lock:
             await self.lease.release(clock.now())
 
     async def keep_holds(self) -> None:
         """Repeat the holds, however long a look at the engines takes."""
         while True:
-            self.drains.tell(clock.now())
-            await asyncio.sleep(ROUND_INTERVAL)
+            self.drains.send_all(clock.now())
+            await asyncio.sleep(RECONCILE_INTERVAL)
 
     def may_step(self, now: ids.Instant) -> bool:
         """Tell whether to renew the lease or to look whether it's free.
@@ -119,10 +121,10 @@
         own = self.members.own.instance
         if self.lease.state is lease.LeaseState.HELD or ranked[0] == own:
             return True
-        if own not in ranked[:2] or now < self.reserve_at:
+        if own not in ranked[:2] or now < self.standby_at:
             return False
-        period = RESERVE_DURATIONS * self.lease.duration
-        self.reserve_at = ids.Instant(now + period)
+        period = STANDBY_DURATIONS * self.lease.duration
+        self.standby_at = ids.Instant(now + period)
         return True
 
     def is_active(self) -> bool:
@@ -132,16 +134,16 @@
             return False
         return self.members.own.lifecycle is messages.Lifecycle.SERVING
 
-    async def work(self) -> None:
+    async def run(self) -> None:
         """Look at the pool again and again."""
         while True:
             try:
-                await self.round()
+                await self.reconcile()
             except errors.TealcoveError as error:
                 log.warning("pool {}: {}", self.pool, error)
-            await asyncio.sleep(ROUND_INTERVAL)
+            await asyncio.sleep(RECONCILE_INTERVAL)
 
-    async def round(self) -> None:
+    async def reconcile(self) -> None:
         """Take one look at the pool and begin what is to be done."""
         now = clock.now()
         if not self.lease.held(now) or not self.is_active():
@@ -150,12 +152,12 @@
         if self.intents.number != self.lease.number:
             await self.take_over(now)
         await self.intents.settle(clock.now())
-        target = wanted.of_pool(self.copy.current, self.pool)
+        target = desired.of_pool(self.copy.current, self.pool)
         if target is None:
             return
         before = frozenset(self.changes)
         holdings = await observing.read(self.engines, target)
-        self.carry_on(target, holdings, before)
+        self.plan_changes(target, holdings, before)
 
     async def take_over(self, now: ids.Instant) -> None:
         """Begin to give orders under the lease's number.
@@ -176,9 +178,9 @@
         if not self.is_active() and not self.changes:
             await self.release()
 
-    def carry_on(
+    def plan_changes(
         self,
-        target: wanted.Wanted,
+        target: desired.DesiredState,
         holdings: observing.Holdings,
         before: frozenset[ids.BackendServerId],
     ) -> None:
@@ -186,7 +188,7 @@
 
         `before` are the engines that were changing when the holdings were read.
         """
-        self.seen = plan.Seen(
+        self.observed = plan.ObservedState(
             holdings,
             before | self.changes.keys(),
             self.drains.held,
@@ -194,45 +196,45 @@
         )
         if target.checks_fencing:
             self.raise_numbers(target)
-        found = plan.make(target, self.seen)
-        self.progress.note(target, holdings, found)
-        self.carry_out(target, found, clock.now())
+        found = plan.make(target, self.observed)
+        self.progress.update(target, holdings, found)
+        self.apply_plan(target, found, clock.now())
 
-    def carry_out(
-        self, target: wanted.Wanted, found: plan.Plan, now: ids.Instant
+    def apply_plan(
+        self, target: desired.DesiredState, found: plan.Plan, now: ids.Instant
     ) -> None:
         """Let idle engines have work again, and begin the planned changes."""
-        for server in found.idle | self.lost():
+        for server in found.idle | self.unreachable():
             self.drains.release(server, now)
         for task in found.tasks:
             one = target.servers[task.server]
             if task.drains:
                 self.drains.begin(one, now)
-            self.begin(task.server, self.change(task, one))
+            self.start_change(task.server, self.change(task, one))
 
-    def lost(self) -> frozenset[ids.BackendServerId]:
+    def unreachable(self) -> frozenset[ids.BackendServerId]:
         """Return held engines that can't be reached any more or aren't the pool's.
 
         They'd keep all others from being changed if they stayed held.
         """
-        return self.drains.held - self.seen.holdings.keys() - self.seen.busy
+        return self.drains.held - self.observed.holdings.keys() - self.observed.busy
 
-    def raise_numbers(self, target: wanted.Wanted) -> None:
+    def raise_numbers(self, target: desired.DesiredState) -> None:
         """Settle what the predecessor left open at engines that check numbers."""
-        for server in self.intents.inherited() & self.seen.holdings.keys():
+        for server in self.intents.inherited() & self.observed.holdings.keys():
             if server not in self.changes:
                 address = target.servers[server].server
-                holding = self.seen.holdings[server]
-                self.begin(server, self.giver.raise_number(address, holding))
+                holding = self.observed.holdings[server]
+                self.start_change(server, self.sender.raise_number(address, holding))
 
-    def begin(
+    def start_change(
         self, server: ids.BackendServerId, work: Coroutine[object, object, None]
     ) -> None:
         """Run one change of an engine in the background."""
-        change = tasks.start(self.run(server, work), f"change of {server}")
+        change = tasks.start(self.run_change(server, work), f"change of {server}")
         self.changes[server] = change
 
-    async def run(
+    async def run_change(
         self, server: ids.BackendServerId, work: Coroutine[object, object, None]
     ) -> None:
         """Run a change to its end, whatever it is."""
@@ -243,26 +245,26 @@
         finally:
             self.changes.pop(server, None)
 
-    async def change(self, task: plan.Task, one: wanted.WantedServer) -> None:
+    async def change(self, task: plan.Task, one: desired.DesiredServer) -> None:
         """Empty an engine if needed, wait for the turn to load, and order."""
-        if task.drains and not await self.empty(task):
+        if task.drains and not await self.wait_until_empty(task):
             return
         if task.loads:
-            target = wanted.of_pool(self.copy.current, self.pool)
+            target = desired.of_pool(self.copy.current, self.pool)
             size = 0 if target is None else target.sizes.get(task.order.name, 0)
             await asyncio.sleep(await self.weights.reserve(size))
         # All of this may have taken long, and much may have changed meanwhile.
         if self.is_still_wanted(task, clock.now()):
-            await self.giver.give(one.server, task.order)
+            await self.sender.send(one.server, task.order)
             return
-        said = giving.describe(task.order)
+        said = sender.describe(task.order)
         log.info("{}: {} is planned anew: the plan was out of date", task.server, said)
 
-    async def empty(self, task: plan.Task) -> bool:
-        """Wait until nothing runs on an engine; False: it's no longer wanted."""
+    async def wait_until_empty(self, task: plan.Task) -> bool:
+        """Wait until nothing runs on an engine; False: it's no longer desired."""
         while self.is_still_wanted(task, clock.now(), is_empty=False):
             if self.drains.is_granted_nothing(task.server, clock.now()):
-                found = self.drains.found[task.server].target.server
+                found = self.drains.by_server[task.server].target.server
                 load = await self.engines.load(found)
                 if load.running + load.waiting == 0:
                     return True
@@ -273,8 +275,8 @@
         self, task: plan.Task, now: ids.Instant, is_empty: bool = True
     ) -> bool:
         """Tell whether a task may still be carried out as it was planned."""
-        target = wanted.of_pool(self.copy.current, self.pool)
-        if target is None or not self.giver.may_give() or not self.is_active():
+        target = desired.of_pool(self.copy.current, self.pool)
+        if target is None or not self.sender.may_send() or not self.is_active():
             return False
         one = target.servers.get(task.server)
         if one is None or not target.fulfils(task.order):
@@ -286,4 +288,4 @@
             return True
         if is_empty and not self.drains.is_granted_nothing(task.server, now):
             return False
-        return plan.may_leave(task.server, target, self.seen)
+        return plan.may_leave(task.server, target, self.observed)
--- a/src/tealcove/orders/tests/test_drains.py
+++ b/src/tealcove/orders/tests/test_drains.py
@@ -30,14 +30,14 @@
     """Let both dispatchers answer the last hold, in their way."""
     hold = mesh.sent[-1].content
     report = holds.answer(hold, is_held=hold.seconds > 0)
-    drain = found.found[A]
-    for instance in found.told(drain, NOW):
-        found.take(instance, msgspec.structs.replace(report, **changes), NOW)
+    drain = found.by_server[A]
+    for instance in found.dispatchers(drain, NOW):
+        found.record_report(instance, msgspec.structs.replace(report, **changes), NOW)
 
 
 def test_engine_is_empty_once_both_dispatchers_say_so():
     found, mesh = opened()
-    assert len(mesh.sent) == drains.TOLD
+    assert len(mesh.sent) == drains.DISPATCHERS
     assert not found.is_granted_nothing(A, NOW)
     for changes in (
         {"running": 1},
@@ -48,9 +48,9 @@
         assert not found.is_granted_nothing(A, NOW)
     answer(found, mesh)
     assert found.is_granted_nothing(A, NOW)
-    first = found.told(found.found[A], NOW)[0]
-    busy = msgspec.structs.replace(found.found[A].answers[first].report, running=1)
-    found.take(first, busy, NOW)
+    first = found.dispatchers(found.by_server[A], NOW)[0]
+    busy = msgspec.structs.replace(found.by_server[A].received[first].report, running=1)
+    found.record_report(first, busy, NOW)
     assert not found.is_granted_nothing(A, NOW)
 
 
@@ -66,13 +66,15 @@
     later = ids.Instant(NOW + drains.HOLD_SECONDS + 1)
     for number in (1, 2):
         found.members.hear(membership.heartbeat(number), later)
-    assert found.told(found.found[A], later) == found.told(found.found[A], NOW)
+    assert found.dispatchers(found.by_server[A], later) == found.dispatchers(
+        found.by_server[A], NOW
+    )
     assert not found.is_granted_nothing(A, later)
     late = mesh.sent[-1].content
     found.release(A, NOW)
     found.begin(test_plan.target(test_plan.A).servers[A], NOW)
-    for instance in found.told(found.found[A], NOW):
-        found.take(instance, holds.answer(late, True), NOW)
+    for instance in found.dispatchers(found.by_server[A], NOW):
+        found.record_report(instance, holds.answer(late, True), NOW)
     assert not found.is_granted_nothing(A, NOW)
 
 
@@ -80,12 +82,12 @@
     found, mesh = opened()
     found.release(A, NOW)
     answer(found, mesh, is_held=True)
-    found.tell(NOW)
+    found.send_all(NOW)
     assert found.held == {A}
     answer(found, mesh)
-    found.tell(NOW)
+    found.send_all(NOW)
     assert found.held == frozenset()
     found, _ = opened()
     found.release(A, NOW)
-    found.tell(ids.Instant(NOW + drains.HOLD_SECONDS + 0.1))
+    found.send_all(ids.Instant(NOW + drains.HOLD_SECONDS + 0.1))
     assert found.held == frozenset()
--- a/src/tealcove/orders/tests/test_plan.py
+++ b/src/tealcove/orders/tests/test_plan.py
@@ -7,7 +7,7 @@
 
 from tealcove import ids
 from tealcove.backends import engine
-from tealcove.orders import plan, wanted
+from tealcove.orders import desired, plan
 from tealcove.resources import copy, kinds
 
 POOL = ids.PoolId("engines")
@@ -19,7 +19,7 @@
     )
 
 
-def target(*servers: kinds.BackendServerSpec, **models: str) -> wanted.Wanted:
+def target(*servers: kinds.BackendServerSpec, **models: str) -> desired.DesiredState:
     """Return what a pool of these servers wants: "m" in version 2 by default."""
     versions = models or {"m": "2"}
     resources = dict(copy.empty().resources)
@@ -33,7 +33,7 @@
     resources[kinds.Kind.ENGINE_POOL] = {
         POOL: resource(kinds.Kind.ENGINE_POOL, POOL, spec)
     }
-    return wanted.of_pool(copy.Configuration(ids.Revision(1), resources), POOL)
+    return desired.of_pool(copy.Configuration(ids.Revision(1), resources), POOL)
 
 
 def resource(kind: kinds.Kind, name: str, spec: kinds.Spec) -> kinds.Resource:
@@ -62,14 +62,16 @@
 def test_one_engine_at_a_time_changes_its_version():
     aim = target(A, B, C)
     old = {name: holding(m="1") for name in "abc"}
-    assert said(plan.make(aim, plan.Seen(old)).tasks) == ["a load_model m!"]
-    busy = plan.Seen(old, busy=frozenset("a"), held=frozenset("a"))
+    assert said(plan.make(aim, plan.ObservedState(old)).tasks) == ["a load_model m!"]
+    busy = plan.ObservedState(old, busy=frozenset("a"), held=frozenset("a"))
     assert plan.make(aim, busy).tasks == ()
     # Changed, but the dispatchers haven't taken it back yet.
     changed = {**old, "a": holding(m="2")}
-    found = plan.make(aim, plan.Seen(changed, held=frozenset("a")))
+    found = plan.make(aim, plan.ObservedState(changed, held=frozenset("a")))
     assert (found.tasks, found.idle) == ((), {"a", "b", "c"})
-    assert said(plan.make(aim, plan.Seen(changed)).tasks) == ["b load_model m!"]
+    assert said(plan.make(aim, plan.ObservedState(changed)).tasks) == [
+        "b load_model m!"
+    ]
 
 
 @pytest.mark.parametrize(
@@ -90,7 +92,7 @@
     Cause: engines are counted whatever they serve.
     """
     aim = target(A, server("b", role=kinds.EngineRole.PREFILL))
-    found = plan.make(aim, plan.Seen({"a": holding(m="1"), **others}))
+    found = plan.make(aim, plan.ObservedState({"a": holding(m="1"), **others}))
     assert "a load_model m!" not in said(found.tasks)
     assert said(found.blocked)[:1] == ["a load_model m!"]
 
@@ -98,7 +100,7 @@
 def test_engine_with_an_order_on_its_way_is_left_alone_and_not_relied_on():
     aim = target(A, B)
     old = {"a": holding(m="1"), "b": holding(m="1")}
-    found = plan.make(aim, plan.Seen(old, unsettled=frozenset("b")))
+    found = plan.make(aim, plan.ObservedState(old, unsettled=frozenset("b")))
     assert found.tasks == ()
     assert said(found.blocked) == ["a load_model m!"]
 
@@ -109,7 +111,7 @@
     state = holding(m="1", old="1")
     steps = []
     for _ in range(5):
-        tasks = plan.make(aim, plan.Seen({"a": state, **rest})).tasks
+        tasks = plan.make(aim, plan.ObservedState({"a": state, **rest})).tasks
         if not tasks:
             break
         steps.extend(said(tasks))
@@ -121,7 +123,7 @@
         "a unload_model old!",
     ]
     waiting = {"a": holding("decode", m="2", n="1", old="1"), "b": holding(m="2")}
-    assert said(plan.make(aim, plan.Seen(waiting)).tasks) == ["b load_model n"]
+    assert said(plan.make(aim, plan.ObservedState(waiting)).tasks) == ["b load_model n"]
 
 
 def carried_out(state: engine.Holding, order: engine.Order) -> engine.Holding:
@@ -143,4 +145,4 @@
         POOL: resource(kinds.Kind.ENGINE_POOL, POOL, spec)
     }
     current = copy.Configuration(ids.Revision(1), resources)
-    assert wanted.of_pool(current, POOL) is None
+    assert desired.of_pool(current, POOL) is None
--- a/src/tealcove/orders/tests/test_plan_property.py
+++ b/src/tealcove/orders/tests/test_plan_property.py
@@ -7,7 +7,7 @@
 
 from tealcove import ids
 from tealcove.backends import engine
-from tealcove.orders import plan, wanted
+from tealcove.orders import desired, plan
 from tealcove.orders.tests import test_plan
 from tealcove.resources import kinds
 
@@ -28,7 +28,7 @@
 
 
 def served(
-    aim: wanted.Wanted, found: dict[str, engine.Holding], held: frozenset[str]
+    aim: desired.DesiredState, found: dict[str, engine.Holding], held: frozenset[str]
 ) -> set[tuple[str, str]]:
     """Return the wanted models and the parts that engines in use compute."""
     return {
@@ -54,7 +54,7 @@
     held: frozenset[str] = frozenset()
     for _ in range(ENOUGH):
         before = served(aim, found, held)
-        decided = plan.make(aim, plan.Seen(found, held=held))
+        decided = plan.make(aim, plan.ObservedState(found, held=held))
         was_held, held = held, held - decided.idle
         drained = [task for task in decided.tasks if task.drains]
         held |= {task.server for task in drained}
--- a/src/tealcove/rollout/evidence.py
+++ b/src/tealcove/rollout/evidence.py
@@ -119,10 +119,10 @@
         if not before or len(after) <= SECOND_FASTEST or after[0] <= 0.0:
             continue
         quartile = before[len(before) // 4]
-        ratio = after[SECOND_FASTEST] / quartile
+        slowdown = after[SECOND_FASTEST] / quartile
         if (
-            ratio > SLOWDOWN_THRESHOLD
+            slowdown > SLOWDOWN_THRESHOLD
             and after[SECOND_FASTEST] - quartile > MIN_DIFFERENCE
         ):
-            return f"its servers take {ratio:.1f} times as long"
+            return f"its servers take {slowdown:.1f} times as long"
     return None
--- a/src/tealcove/rollout/progress.py
+++ b/src/tealcove/rollout/progress.py
@@ -26,7 +26,8 @@
 # servers, which have to end before these are stopped.
 TRIAL_PERIOD_SHARE = 0.45
 # The trial is extended up to the first share of the period while servers on trial
-# aren't measured. From the second share on, the rollout may be done without measurements.
+# aren't measured. From the second share on, the rollout may be done without
+# measurements.
 MAX_TRIAL_PERIOD_SHARE = 0.6
 UNMEASURED_END_SHARE = 0.9
 # Share of the period before which no rollout is done, so that faults that appear only
