--- a/src/tealcove/orders/__init__.py
+++ b/src/tealcove/orders/__init__.py
@@ -1,1 +1,1 @@
-"""Leases and the steward's orders to engines."""
+"""Leases, and the orders that a pool's controller, the steward, sends to engines."""
--- a/src/tealcove/orders/desired.py
+++ b/src/tealcove/orders/desired.py
@@ -1,4 +1,4 @@
-"""What the configuration wants of the engines of a pool."""
+"""Desired state of a pool's engines, from the configuration."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class DesiredServer(msgspec.Struct, frozen=True):
-    """An engine of the pool, and the cell that gives it work."""
+    """An engine of the pool, the cell that dispatches work to it, and its role."""
 
     server: engine.Server
     cell: cells.Cell
@@ -21,17 +21,17 @@
 
 
 class DesiredState(msgspec.Struct, frozen=True):
-    """Models and adapters of all engines of a pool, and the role of each."""
+    """Desired models and adapters of a pool's engines, and the role of each engine."""
 
     models: Versions
     adapters: Versions
     servers: dict[ids.BackendServerId, DesiredServer]
     checks_fencing: bool
-    # Bytes to load, by name of a model or adapter.
+    # Bytes to load, by model or adapter name.
     sizes: dict[str, int]
 
     def fulfils(self, order: engine.Order) -> bool:
-        """Tell whether an order to load or unload brings about what's desired."""
+        """Tell whether a load or unload order leads to the desired state."""
         match order.order:
             case engine.OrderKind.LOAD_MODEL:
                 return self.models.get(order.name) == order.version
@@ -46,10 +46,10 @@
 
 
 def of_pool(current: copy.Configuration, pool: ids.PoolId) -> DesiredState | None:
-    """Return what is wanted of a pool's engines; None: nothing.
+    """Return the desired state of a pool, or None if it isn't managed.
 
-    A pool that names no model is left alone. Taken at its word, all its engines
-    would be emptied, which is what an operator wants who forgot the field least.
+    A pool that names no model isn't managed. Otherwise all its engines would be
+    emptied if an operator forgot the field.
     """
     resource = current.get(kinds.Kind.ENGINE_POOL, pool)
     if resource is None or not resource.spec.models:
@@ -72,7 +72,7 @@
 def find(
     current: copy.Configuration, kind: kinds.Kind, names: tuple[str, ...]
 ) -> dict[str, kinds.ModelSpec | kinds.AdapterSpec]:
-    """Return the specs of some models or adapters that exist, by name."""
+    """Return the specs of the named models or adapters that exist, by name."""
     found = {name: current.get(kind, name) for name in names}
     return {name: one.spec for name, one in found.items() if one is not None}
 
@@ -80,7 +80,7 @@
 def servers_of(
     pool: ids.PoolId, spec: kinds.EnginePoolSpec
 ) -> dict[ids.BackendServerId, DesiredServer]:
-    """Return the engines of a pool that aren't to leave."""
+    """Return the engines of a pool that are declared as serving, by name."""
     servers = {}
     for cell in cells.of_pool(pool, spec):
         for one in cell.servers:
--- a/src/tealcove/orders/drains.py
+++ b/src/tealcove/orders/drains.py
@@ -1,4 +1,4 @@
-"""Engines that are kept from new work while a steward changes them."""
+"""Draining of engines while a steward changes them."""
 
 from __future__ import annotations
 
@@ -12,34 +12,34 @@
 from tealcove.orders import desired
 from tealcove.peers import mesh
 
-# A hold ends by itself after so many seconds without a repeat. It outlasts two
-# lost repeats, and a steward that has died keeps an engine idle no longer.
+# Seconds after which a hold expires unless it's repeated. It survives two lost
+# repeats, and the hold of a dead steward keeps an engine idle no longer than this.
 HOLD_SECONDS = 3.0
-# Dispatchers that are told: the one of the cell, and who would be its successor.
+# Number of dispatchers that get the holds: the cell's own and its successor.
 DISPATCHERS = 2
 
 
 class ReceivedReport(msgspec.Struct, frozen=True):
-    """A dispatcher's last report, and when it came."""
+    """A dispatcher's last report and when it was received."""
 
     report: holds.HoldReport
     at: ids.Instant
 
 
 class Drain(msgspec.Struct):
-    """One engine that is held, or was and isn't taken back by all yet."""
+    """One engine that is held, or whose release isn't confirmed by all yet."""
 
     target: desired.DesiredServer
     is_holding: bool
-    # When it began, or when its release did.
+    # When the hold or the release began.
     since: ids.Instant
-    # Reports on an earlier hold of the same engine don't count.
+    # Identifies this hold or release; reports on earlier ones are ignored.
     sequence: int
     received: dict[ids.InstanceId, ReceivedReport] = {}
 
 
 class Drains:
-    """Tells the dispatchers of the engines' cells, and hears what still runs."""
+    """Send holds to the dispatchers of engines' cells and record their reports."""
 
     def __init__(self, transport: mesh.Mesh, known: members.Members) -> None:
         self.transport = transport
@@ -50,11 +50,11 @@
 
     @property
     def held(self) -> frozenset[ids.BackendServerId]:
-        """The engines that don't get work from every dispatcher."""
+        """Engines that are held by a dispatcher, or may be."""
         return frozenset(self.by_server)
 
     def begin(self, target: desired.DesiredServer, now: ids.Instant) -> None:
-        """Keep an engine from new work from now on."""
+        """Start holding an engine back from new work."""
         known = self.by_server.get(target.server.name)
         if known is None or not known.is_holding:
             self.by_server[target.server.name] = Drain(
@@ -63,7 +63,7 @@
         self.send_all(now)
 
     def release(self, server: ids.BackendServerId, now: ids.Instant) -> None:
-        """Let an engine have work again."""
+        """Release an engine for new work."""
         known = self.by_server.get(server)
         if known is not None and known.is_holding:
             self.by_server[server] = Drain(
@@ -72,12 +72,12 @@
             self.send_all(now)
 
     def release_all(self, now: ids.Instant) -> None:
-        """Let all engines have work again."""
+        """Release all engines for new work."""
         for server in list(self.by_server):
             self.release(server, now)
 
     def send_all(self, now: ids.Instant) -> None:
-        """Repeat all holds and releases, and forget the releases that are over."""
+        """Repeat all holds and releases; drop the releases that are complete."""
         for server, drain in list(self.by_server.items()):
             if not drain.is_holding and self.is_released(drain, now):
                 del self.by_server[server]
@@ -86,7 +86,7 @@
                 self.send(instance, drain)
 
     def send(self, instance: ids.InstanceId, drain: Drain) -> None:
-        """Tell one dispatcher."""
+        """Send a hold or release to one dispatcher."""
         peer = self.members.endpoint_of(instance)
         if peer is None:
             return
@@ -103,14 +103,14 @@
         self.transport.send(peer, hold)
 
     def dispatchers(self, drain: Drain, now: ids.Instant) -> list[ids.InstanceId]:
-        """Return the instances that may give the engine work."""
+        """Return the instances that may dispatch work to the engine."""
         cell = drain.target.cell
         return self.members.rank(cell.cell_id, now, cell.data_centre)[:DISPATCHERS]
 
     def record_report(
         self, sender: ids.InstanceId, report: holds.HoldReport, now: ids.Instant
     ) -> None:
-        """Take in a dispatcher's report."""
+        """Record a dispatcher's report."""
         drain = self.by_server.get(report.server)
         if drain is None or drain.target.cell.cell_id != report.cell:
             return
@@ -118,9 +118,9 @@
             drain.received[sender] = ReceivedReport(report, now)
 
     def is_released(self, drain: Drain, now: ids.Instant) -> bool:
-        """Tell whether all dispatchers give an engine work again.
+        """Tell whether all dispatchers have released an engine.
 
-        Once the last hold has ended by itself, no answer is needed.
+        Once the last hold has expired, no report is needed.
         """
         if now - drain.since > HOLD_SECONDS:
             return True
@@ -128,7 +128,7 @@
         return all(found is not None and not found.is_held for found in reports)
 
     def is_granted_nothing(self, server: ids.BackendServerId, now: ids.Instant) -> bool:
-        """Tell whether no dispatcher has work on an engine, or gives it any."""
+        """Tell whether no dispatcher has work on an engine or sends it any."""
         drain = self.by_server.get(server)
         if drain is None or not drain.is_holding:
             return False
@@ -142,7 +142,7 @@
         )
 
     def reports(self, drain: Drain, now: ids.Instant) -> list[holds.HoldReport | None]:
-        """Return the fresh reports of those that are told; None: there's none."""
+        """Return each dispatcher's recent report, or None where there is none."""
         answers = [drain.received.get(name) for name in self.dispatchers(drain, now)]
         return [
             answer.report
--- a/src/tealcove/orders/intents.py
+++ b/src/tealcove/orders/intents.py
@@ -1,8 +1,9 @@
-"""The orders of a pool that may still be carried out, kept in the platform's table.
+"""Persistent record of a pool's open orders, in the platform's table.
 
-One row for each pool holds the number of the steward in charge and its open
-orders. Every write is conditional on the row that the writer last wrote. So once
-a new steward has written the row, its predecessor can't open another order.
+One row for each pool holds the fencing number of the current steward and the
+orders that may still be carried out. Every write is conditional on the row that the
+writer last wrote. So once a new steward has written the row, its predecessor can't
+record another order.
 """
 
 from __future__ import annotations
@@ -24,20 +25,20 @@
 
 
 class Intent(msgspec.Struct, frozen=True):
-    """An order that is about to be given or was, its end not known."""
+    """An order that is about to be sent, or was sent with its outcome unknown."""
 
     order: engine.Order
 
 
 class Record(msgspec.Struct, frozen=True):
-    """What the row holds."""
+    """Content of the row."""
 
     number: ids.FencingNumber
     open: dict[ids.BackendServerId, Intent]
 
 
 class Intents:
-    """The row of one pool, as one steward sees and writes it."""
+    """One steward's copy of the row of one pool."""
 
     def __init__(self, rows: table.TableService, pool: ids.PoolId) -> None:
         self.rows = rows
@@ -45,18 +46,18 @@
         self.number = ids.FencingNumber(0)
         self.row: table.Row | None = None
         self.open: dict[ids.BackendServerId, Intent] = {}
-        # Until when each engine may still carry out an order whose end isn't known.
+        # Until when each engine may still carry out an order with an unknown outcome.
         self.unsettled: dict[ids.BackendServerId, ids.Instant] = {}
-        # Two writes at once would each fail the condition of the other.
+        # Each of two concurrent writes would fail the condition of the other.
         self.lock = asyncio.Lock()
 
     async def take_over(
         self, number: ids.FencingNumber, now: ids.Instant, longest_order: float
     ) -> None:
-        """Begin to write under a number; raises ReplacedError, PlatformError.
+        """Take the row over under a number; raises ReplacedError, PlatformError.
 
-        Whatever stands open may still be carried out for as long as the longest
-        order takes, counted from now on.
+        Open orders may still be carried out for as long as the longest order takes,
+        counted from now on.
         """
         async with self.lock:
             self.row = await self.rows.read(TABLE, self.pool)
@@ -72,7 +73,7 @@
     async def write_first(
         self, number: ids.FencingNumber, found: dict[ids.BackendServerId, Intent]
     ) -> None:
-        """Write the row under a number, which counts once that has succeeded."""
+        """Write the row under a number; keep the number only if that succeeds."""
         self.number = number
         try:
             await self.write(found)
@@ -89,7 +90,7 @@
         )
 
     async def begin(self, server: ids.BackendServerId, order: engine.Order) -> None:
-        """Write an order down before it's given; raises as `write` does."""
+        """Record an order before it's sent; raises as `write` does."""
         async with self.lock:
             await self.write({**self.open, server: Intent(order)})
 
@@ -105,7 +106,7 @@
             await self.write(rest)
 
     async def settle(self, now: ids.Instant) -> None:
-        """Clear the orders whose time is over; raises as `write` does."""
+        """Clear the orders whose time limit has passed; raises as `write` does."""
         for server, until in list(self.unsettled.items()):
             if now >= until:
                 await self.end(server)
@@ -126,12 +127,12 @@
                 self.open = wanted
                 return
         raise errors.PlatformUnavailableError(
-            f"the orders of pool {self.pool} couldn't be written down",
-            "Nothing was ordered; it is tried again.",
+            f"the orders of pool {self.pool} couldn't be recorded",
+            "No order was sent; it will be retried.",
         )
 
     def adopt_row(self, row: table.Row | None) -> None:
-        """Take over the row as it stands, unless it's another steward's.
+        """Adopt the current row, unless it's another steward's.
 
         A write whose reply was lost may have been applied: then the row is ours.
         """
@@ -143,7 +144,7 @@
 
 
 def replaced(pool: ids.PoolId, number: ids.FencingNumber) -> ReplacedError:
-    """Return the error for a row that isn't ours any more."""
+    """Return the error for a row that another steward has taken over."""
     return ReplacedError(
         f"the orders of pool {pool} are under number {number}",
         "Leave them to that steward.",
@@ -156,6 +157,6 @@
         return msgspec.json.decode(row.value, type=Record)
     except msgspec.MsgspecError as error:
         raise errors.PlatformError(
-            f"the orders of pool {row.key} can't be understood: {error}",
-            "Find out who wrote the row, and delete it when no order is on its way.",
+            f"the orders of pool {row.key} can't be decoded: {error}",
+            "Find out who wrote the row, and delete it when no order is in flight.",
         ) from error
--- a/src/tealcove/orders/lease.py
+++ b/src/tealcove/orders/lease.py
@@ -1,9 +1,9 @@
 """A lease with a fencing number, kept in one row of the platform's table.
 
-There is no shared clock. A holder counts its time from before it sent the
-write that the platform applied. A challenger counts from after it had the
-changed row in hand, and its own write is conditional on that row. So the
-holder's time always starts first and, by the margin, ends first.
+There is no shared clock. A holder counts the duration from before it sent the
+write that the platform applied. A challenger counts it from after it received the
+changed row, and its own write is conditional on that row. So the holder's time
+always starts first and, by the margin, ends first.
 """
 
 from __future__ import annotations
@@ -21,25 +21,25 @@
 NO_HOLDER = ""
 # A holder that steps this often survives two failed renewals in a row.
 STEPS_PER_DURATION = 4
-# The part of the duration that covers clocks which don't run equally fast.
+# Share of the duration that covers differences between the rates of clocks.
 DEFAULT_MARGIN_SHARE = 0.1
 
 
 class LeaseState(enum.Enum):
-    """What this participant knows of the lease."""
+    """State of the lease as known to this participant."""
 
-    # No holder is known: nothing was read yet, or nobody holds it.
+    # No holder is known: the row wasn't read yet, or nobody holds the lease.
     ABSENT = "absent"
-    # Another holds it, or did until its duration ran out.
+    # Another participant holds it, or did until it expired.
     CHALLENGING = "challenging"
-    # It's held here; whether still in time, `Lease.held` tells.
+    # It's held here; `Lease.held` tells whether it has expired.
     HELD = "held"
-    # It was held here and ran out, and no other holder is known.
+    # It was held here and expired, and no other holder is known.
     LAPSED = "lapsed"
 
 
 class Trigger(enum.Enum):
-    """What changes the state."""
+    """Triggers of the state machine."""
 
     FIND_HOLDER = "find_holder"
     FIND_NONE = "find_none"
@@ -49,8 +49,8 @@
 
 
 ANY_STATE = "*"
-# One machine serves all leases: building one for each costs several times more.
-# Leases aren't added to its list of models, which would keep them for ever.
+# All leases share one machine: building one for each costs several times more.
+# Leases aren't added to its list of models, which would never release them.
 MACHINE = transitions.Machine(
     model=None,
     states=LeaseState,
@@ -67,7 +67,7 @@
 
 
 class LeaseRecord(msgspec.Struct, frozen=True):
-    """What the row holds; `duration` is in seconds."""
+    """Content of the row; `duration` is in seconds."""
 
     holder: str
     number: ids.FencingNumber
@@ -77,8 +77,8 @@
 def holder_name(instance: ids.InstanceId, incarnation: ids.Incarnation) -> str:
     """Return the name under which one run of an instance holds leases.
 
-    The incarnation keeps a restarted instance from taking the lease of its
-    former run for its own, whose orders may still be on their way.
+    The incarnation keeps a restarted instance from treating the lease of its
+    previous run as its own: that run's orders may still be in flight.
     """
     return f"{instance}/{incarnation}"
 
@@ -86,9 +86,9 @@
 class Lease:
     """One participant's side of a lease: holder, challenger or neither.
 
-    One task calls `step` every `interval` seconds and nothing else at the same
-    time but `held`. `now` must be read right before the call: it's taken for
-    the time before anything is sent.
+    One task calls `step` every `interval` seconds; only `held` may be called
+    concurrently. `now` must be read right before the call: it stands for the time
+    before anything is sent.
     """
 
     def __init__(
@@ -113,9 +113,9 @@
         self.was_read = False
         self.row: table.Row | None = None
         self.record: LeaseRecord | None = None
-        # Since when the row is known to stand unchanged; None: not dated yet.
+        # Since when the row is known to be unchanged; None if not dated yet.
         self.unchanged_since: ids.Instant | None = None
-        # When the first of the writes was sent whose outcome isn't known.
+        # When the first write with an unknown outcome was sent.
         self.unsettled_since: ids.Instant | None = None
         self.held_until = ids.Instant(0.0)
         self.greatest_number = ids.FencingNumber(0)
@@ -131,25 +131,25 @@
         return self.greatest_number
 
     def held(self, now: ids.Instant) -> bool:
-        """Whether the lease is held here at `now`; ask before every order.
+        """Tell whether the lease is held here at `now`; check before every order.
 
-        A process that was paused past its lease wakes up in the state HELD.
-        Only the comparison with the present time keeps it from giving an order
+        A process that was paused until after its lease expired resumes in the state
+        HELD. Only the comparison with the current time keeps it from sending an order
         that its successor doesn't know of.
         """
         return self.state is LeaseState.HELD and now < self.held_until
 
     async def step(self, now: ids.Instant) -> None:
-        """Renew the lease, or take it when it's free, or look at the row.
+        """Renew the lease, acquire it if it's free, or read the row.
 
-        An unavailable platform changes nothing, and the lease runs out by time.
-        Raises PlatformError if the row can't be understood.
+        An unavailable platform changes nothing, and the lease expires by time.
+        Raises PlatformError if the row can't be decoded.
         """
         if self.state is LeaseState.HELD and not self.held(now):
             self.fire(Trigger.LAPSE)
         self.date_row(now)
         if self.state is LeaseState.HELD and self.record is not None:
-            # Writing the same record again proves to others that we live.
+            # Writing the same record again changes the row's version, which renews it.
             await self.attempt(self.record, now)
             return
         if not self.may_acquire(now):
@@ -158,11 +158,11 @@
             await self.acquire(now)
 
     async def release(self, now: ids.Instant) -> None:
-        """Give the lease up, so that another may take it at once.
+        """Release the lease, so that another participant can acquire it at once.
 
         Call it after the last order has ended. The row stays, because its
         number must never start again from the beginning. If the platform
-        doesn't apply the write, the lease runs out by time.
+        doesn't apply the write, the lease expires by time.
         """
         if not self.held(now) or self.record is None:
             return
@@ -208,7 +208,7 @@
         self.observe(row)
 
     def observe(self, row: table.Row | None) -> None:
-        """Take note of the row as it stands in the table."""
+        """Update the state from the row as it is in the table."""
         if row is None:
             self.forget_row()
             self.was_read = True
@@ -230,10 +230,10 @@
             self.fire(Trigger.FIND_HOLDER)
 
     def adopt(self, row: table.Row, record: LeaseRecord) -> None:
-        """Keep a changed row.
+        """Store a changed row.
 
-        Writes that are still on their way were conditional on the row before,
-        whose version never comes back: they can't be applied any more.
+        Writes still in flight were conditional on the previous row, whose version
+        never recurs: they can't be applied any more.
         """
         self.was_read = True
         self.row = row
@@ -243,7 +243,7 @@
         self.greatest_number = max(self.greatest_number, record.number)
 
     def forget_row(self) -> None:
-        """Know nothing of the row but the numbers that were used."""
+        """Discard the row, but keep the greatest fencing number."""
         self.was_read = False
         self.row = None
         self.record = None
@@ -255,18 +255,18 @@
         self.fire(Trigger.WIN)
 
     def date_row(self, now: ids.Instant) -> None:
-        """Date the row that the step before has found.
+        """Date the row that the previous step has read.
 
-        The time at which that step began won't do. The reply may have been
-        long on its way, and the row may have changed meanwhile: the challenger
-        would count from before the holder's renewal and take the lease while
-        it's held. At the start of the next step the row was surely in hand.
+        The start of that step is too early. The reply may have been delayed, and the
+        row may have changed meanwhile: the challenger would count from before the
+        holder's renewal and acquire the lease while it's held. By the start of the
+        next step the row had certainly been received.
         """
         if self.row is not None and self.unchanged_since is None:
             self.unchanged_since = now
 
     def may_acquire(self, now: ids.Instant) -> bool:
-        """Whether nobody can hold the lease, if the row is still the same."""
+        """Tell whether nobody can hold the lease, given an unchanged row."""
         if self.record is None:
             return self.was_read
         if self.record.holder == NO_HOLDER or self.state is LeaseState.LAPSED:
@@ -276,7 +276,7 @@
         return now - self.unchanged_since >= self.record.duration
 
     def fire(self, trigger: Trigger) -> None:
-        """Change the state by the shared machine."""
+        """Apply a trigger through the shared machine."""
         MACHINE.events[trigger.value].trigger(self)
 
 
@@ -286,6 +286,6 @@
         return msgspec.json.decode(row.value, type=LeaseRecord)
     except msgspec.MsgspecError as error:
         raise errors.PlatformError(
-            f"the row of lease {row.key!r} can't be understood: {error}",
+            f"the row of lease {row.key!r} can't be decoded: {error}",
             "Find out who wrote it; correct the row, and never lower its number.",
         ) from error
--- a/src/tealcove/orders/observing.py
+++ b/src/tealcove/orders/observing.py
@@ -1,4 +1,4 @@
-"""What a pool's engines hold, and how far the pool is from what is desired."""
+"""Observed state of a pool's engines, and progress towards the desired state."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 log = logbook.Logger("orders")
 
 SERVING = "serving"
-# Engines that are read at the same time.
+# Maximum number of concurrent reads of engines.
 READS_AT_ONCE = 32
 
 Holdings = dict[ids.BackendServerId, engine.Holding]
 
 
 async def read(engines: engine.EngineClient, target: desired.DesiredState) -> Holdings:
-    """Return what each engine holds that can be reached and doesn't leave."""
+    """Return the holdings of all engines that are reachable and serving."""
     limit = asyncio.Semaphore(READS_AT_ONCE)
 
     async def read_one(server: engine.Server) -> engine.Holding | None:
@@ -40,7 +40,7 @@
 async def read_server(
     engines: engine.EngineClient, server: engine.Server
 ) -> engine.Holding | None:
-    """Return what one engine holds; None: it can't be reached, or it leaves."""
+    """Return an engine's holdings, or None if it's unreachable or not serving."""
     try:
         if await engines.state(server) != SERVING:
             return None
@@ -61,7 +61,7 @@
 
 
 class Progress:
-    """Tells operators how far a pool is; empty where another is its steward."""
+    """Progress of a pool for operators; empty unless this instance is its steward."""
 
     def __init__(self, pool: ids.PoolId) -> None:
         self.pool = pool
@@ -69,14 +69,14 @@
         self.blocked: tuple[plan.Task, ...] = ()
 
     def clear(self) -> None:
-        """Know nothing any more."""
+        """Discard the progress."""
         self.rollouts = ()
         self.blocked = ()
 
     def update(
         self, target: desired.DesiredState, holdings: Holdings, found: plan.Plan
     ) -> None:
-        """Log what has changed since the last look."""
+        """Log and store what has changed since the last update."""
         rollouts = tuple(rollouts_of(target, holdings))
         for rollout in rollouts:
             if rollout not in self.rollouts:
@@ -92,8 +92,8 @@
         for task in found.blocked:
             if task not in self.blocked:
                 log.warning(
-                    "pool {}: {} isn't given to {}, the last server of what it "
-                    "serves. Add a server to the pool.",
+                    "pool {}: {} not sent to {}, the last server of what it "
+                    "serves; add a server to the pool",
                     self.pool,
                     task.order.order.value,
                     task.server,
@@ -103,7 +103,7 @@
 
 
 def rollouts_of(target: desired.DesiredState, holdings: Holdings) -> list[Rollout]:
-    """Return the rollout of each model and adapter that is desired."""
+    """Return the rollout of each desired model and adapter."""
     models = [holding.models for holding in holdings.values()]
     adapters = [holding.adapters for holding in holdings.values()]
     total = len(target.servers)
--- a/src/tealcove/orders/plan.py
+++ b/src/tealcove/orders/plan.py
@@ -1,4 +1,4 @@
-"""The next orders for a pool, from what is wanted and what its engines hold."""
+"""Planner of a pool's next orders, from its desired and its observed state."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from tealcove.orders import desired
 from tealcove.resources import kinds
 
-# The parts of a request's computation, and the roles that compute each.
+# The roles that compute each phase of a request.
 PREFILL = frozenset({kinds.EngineRole.BOTH.value, kinds.EngineRole.PREFILL.value})
 DECODE = frozenset({kinds.EngineRole.BOTH.value, kinds.EngineRole.DECODE.value})
 
@@ -19,49 +19,49 @@
 
 
 class Task(msgspec.Struct, frozen=True):
-    """An order for one engine, its number still to be filled in."""
+    """An order for one engine, still without its fencing number."""
 
     server: ids.BackendServerId
     order: engine.Order
-    # Whether the engine has to be empty when it's given.
+    # Whether the engine has to be empty when the order is sent.
     drains: bool
 
     @property
     def loads(self) -> bool:
-        """Whether weights are loaded, which the weight store has to allow."""
+        """Whether weights are loaded, which has to be reserved at the weight store."""
         kind = self.order.order
         return kind in (engine.OrderKind.LOAD_MODEL, engine.OrderKind.LOAD_ADAPTER)
 
 
 class ObservedState(msgspec.Struct, frozen=True):
-    """The engines of a pool as they are, as far as it's known.
+    """Observed state of a pool's engines.
 
-    Engines that can't be reached or that leave are in none of the fields.
+    `holdings` lacks engines that are unreachable or not serving.
     """
 
     holdings: dict[ids.BackendServerId, engine.Holding]
     # Engines with a task in progress.
     busy: frozenset[ids.BackendServerId] = frozenset()
-    # Engines that get no new work, or that a dispatcher hasn't taken back yet.
+    # Engines that get no new work, or whose release isn't confirmed yet.
     held: frozenset[ids.BackendServerId] = frozenset()
     # Engines at which an earlier order may still be carried out.
     unsettled: frozenset[ids.BackendServerId] = frozenset()
 
 
 class Plan(msgspec.Struct, frozen=True):
-    """What to begin now, and what can't be begun for want of other servers."""
+    """Tasks to start now, and tasks that are blocked for lack of other servers."""
 
     tasks: tuple[Task, ...]
     blocked: tuple[Task, ...]
-    # Engines that nothing is done to now, which may have work.
+    # Engines without a task now, which may get work.
     idle: frozenset[ids.BackendServerId]
 
 
 def make(target: desired.DesiredState, observed: ObservedState) -> Plan:
     """Return the next tasks.
 
-    Loads of what an engine doesn't have yet begin at once, everywhere. What
-    disturbs work goes to one engine at a time, and only if others go on serving
+    Loads of what an engine doesn't have yet start at once on all engines. Tasks that
+    need an empty engine run on one engine at a time, and only if others keep serving
     all that it serves. Unloading waits until nothing is left to load.
     """
     open_tasks = {
@@ -89,27 +89,27 @@
     begun: list[Task],
     observed: ObservedState,
 ) -> frozenset[ids.BackendServerId]:
-    """Return the engines that nothing is done to now.
+    """Return the engines without a task now.
 
-    Those that have more to do, but not now, are among them and go back to work:
-    others might wait for them, and they for others, for ever.
+    They include engines with later tasks, which are released meanwhile: they and
+    other engines could otherwise wait for each other in a deadlock.
     """
     begun_at = {task.server for task in begun}
     return frozenset(open_tasks) - observed.busy - begun_at
 
 
 def is_free(name: ids.BackendServerId, observed: ObservedState) -> bool:
-    """Tell whether a task may begin at an engine."""
+    """Tell whether a task may start on an engine."""
     return name not in observed.busy and name not in observed.unsettled
 
 
 def draining(
     free: dict[ids.BackendServerId, list[Task]], loading: bool, observed: ObservedState
 ) -> list[Task]:
-    """Return the tasks that need an empty engine, held engines' first.
+    """Return the tasks that need an empty engine, those of held engines first.
 
-    An engine that is held already has more to do before it's taken back; another
-    one in its place would make two that do no work.
+    A held engine gets all its tasks before it's released; starting on another one
+    instead would leave two engines without work.
     """
     found = [tasks[0] for tasks in free.values() if tasks and tasks[0].drains]
     found = [task for task in found if not (loading and is_unload(task))]
@@ -119,7 +119,7 @@
 
 
 def is_unload(task: Task) -> bool:
-    """Tell whether a task takes something away for good."""
+    """Tell whether a task unloads a model or adapter."""
     kind = task.order.order
     return kind in (engine.OrderKind.UNLOAD_MODEL, engine.OrderKind.UNLOAD_ADAPTER)
 
@@ -127,13 +127,13 @@
 def missing(
     name: ids.BackendServerId, target: desired.DesiredState, holding: engine.Holding
 ) -> Iterator[Task]:
-    """Yield what an engine lacks, in the order in which it is to be done."""
+    """Yield an engine's remaining tasks, in the order in which to run them."""
     order_kinds = engine.OrderKind
     loads = [
         *loads_of(name, order_kinds.LOAD_MODEL, target.models, holding.models),
         *loads_of(name, order_kinds.LOAD_ADAPTER, target.adapters, holding.adapters),
     ]
-    # What disturbs nobody comes first; `sorted` keeps the order otherwise.
+    # Tasks that don't need an empty engine come first; `sorted` is stable.
     yield from sorted(loads, key=lambda task: task.drains)
     role = target.servers[name].role
     if holding.role != role:
@@ -150,7 +150,7 @@
     versions: desired.Versions,
     held: desired.Versions,
 ) -> Iterator[Task]:
-    """Yield tasks to load; the engine has to be empty to replace a version."""
+    """Yield load tasks; the engine has to be empty to replace a version."""
     for name, version in sorted(versions.items()):
         if held.get(name) != version:
             order = engine.Order(NO_NUMBER, kind, name, version)
@@ -163,7 +163,7 @@
     versions: desired.Versions,
     held: desired.Versions,
 ) -> Iterator[Task]:
-    """Yield tasks to unload what isn't desired."""
+    """Yield tasks to unload what isn't in the desired state."""
     for name in sorted(held.keys() - versions.keys()):
         yield Task(server, engine.Order(NO_NUMBER, kind, name), drains=True)
 
@@ -171,7 +171,7 @@
 def may_leave(
     server: ids.BackendServerId, target: desired.DesiredState, observed: ObservedState
 ) -> bool:
-    """Tell whether others go on serving all that an engine serves."""
+    """Tell whether other engines keep serving all that an engine serves."""
     holding = observed.holdings.get(server)
     if holding is None:
         return False
@@ -202,7 +202,7 @@
 def count(
     versions: desired.Versions, held: Iterable[desired.Versions]
 ) -> dict[str, int]:
-    """Return how many engines have the wanted version, by name."""
+    """Return the number of engines that have the desired version, by name."""
     all_held = list(held)
     return {
         name: sum(one.get(name) == version for one in all_held)
--- a/src/tealcove/orders/role.py
+++ b/src/tealcove/orders/role.py
@@ -1,4 +1,4 @@
-"""The stewards of an instance: one for each engine pool."""
+"""The stewards of an instance, one controller for each engine pool."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Stewards:
-    """Has a steward for each engine pool of the configuration in force."""
+    """Run a steward for each engine pool of the configuration in force."""
 
     def __init__(
         self,
@@ -44,7 +44,7 @@
         )
 
     def start(self) -> None:
-        """Begin to look after the pools."""
+        """Subscribe to reports and configurations, and start the stewards."""
         self.transport.handle(holds.HoldReport, self.handle_report)
         self.copy.subscribe(self.handle_configuration)
         self.handle_configuration(self.copy.current, self.copy.current)
@@ -57,7 +57,7 @@
     def handle_configuration(
         self, previous: copy.Configuration, current: copy.Configuration
     ) -> None:
-        """Have a steward for each pool; that of a deleted one does nothing."""
+        """Start stewards for new pools; that of a deleted pool does nothing."""
         pools = {ids.PoolId(name) for name in current.names(kinds.Kind.ENGINE_POOL)}
         for pool in pools - self.by_pool.keys():
             held = drains.Drains(self.transport, self.members)
@@ -65,7 +65,7 @@
             self.by_pool[pool].start()
 
     def handle_report(self, sender: ids.InstanceId, report: holds.HoldReport) -> None:
-        """Hand a dispatcher's report to the steward of the cell's pool."""
+        """Pass a dispatcher's report to the steward of the cell's pool."""
         pool = ids.PoolId(report.cell.rpartition("/")[0])
         steward_of_pool = self.by_pool.get(pool)
         if steward_of_pool is not None:
@@ -74,7 +74,7 @@
     def observe(
         self, options: metrics.CallbackOptions
     ) -> Iterable[metrics.Observation]:
-        """Yield how many engines have what is declared."""
+        """Yield the number of engines that have each declared version."""
         for pool, one in list(self.by_pool.items()):
             for rollout in one.progress.rollouts:
                 labels = {
@@ -88,6 +88,6 @@
     def observe_blocked(
         self, options: metrics.CallbackOptions
     ) -> Iterable[metrics.Observation]:
-        """Yield how many orders wait for another server."""
+        """Yield the number of blocked orders of each pool."""
         for pool, one in list(self.by_pool.items()):
             yield metrics.Observation(len(one.progress.blocked), {"pool": pool})
--- a/src/tealcove/orders/sender.py
+++ b/src/tealcove/orders/sender.py
@@ -1,4 +1,4 @@
-"""Gives orders to engines, each under the lease and written down before."""
+"""Sender of orders to engines; each is sent under the lease and recorded before."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Outcome(enum.Enum):
-    """What is known of an order after its call."""
+    """Outcome of an order, as known after its call."""
 
     CARRIED_OUT = "carried_out"
     # It wasn't carried out and won't be.
@@ -25,7 +25,7 @@
 
 
 class OrderSender:
-    """Gives one pool's orders under one fencing number."""
+    """Send one pool's orders under one fencing number."""
 
     def __init__(
         self,
@@ -45,9 +45,9 @@
         return number_holds and self.lease.held(clock.now())
 
     async def send(self, server: engine.Server, order: engine.Order) -> None:
-        """Give an order; raises PlatformError when it couldn't be written down.
+        """Record and send an order; raises PlatformError if it can't be recorded.
 
-        Only an order whose end is known is cleared from the row.
+        Only an order with a known outcome is cleared from the row.
         """
         numbered = msgspec.structs.replace(order, fencing=self.intents.number)
         await self.intents.begin(server.name, numbered)
@@ -62,11 +62,11 @@
     async def raise_number(
         self, server: engine.Server, holding: engine.Holding
     ) -> None:
-        """Make an engine that checks numbers refuse all earlier ones.
+        """Make an engine that checks fencing numbers refuse all earlier ones.
 
-        The order asks for what is so already. It isn't written down, because the
-        predecessor's has to stand until the engine is known to refuse it. Raises
-        PlatformError when that couldn't be cleared.
+        The order sets the role that the engine already has. It isn't recorded, because
+        the predecessor's order must stay in the row until the engine is known to
+        refuse it. Raises PlatformError if that order can't be cleared.
         """
         order = engine.Order(
             self.intents.number, engine.OrderKind.SET_ROLE, role=holding.role
@@ -78,9 +78,9 @@
     async def call(self, server: engine.Server, order: engine.Order) -> Outcome:
         """Send an order to its engine under the lease, and wait for the reply.
 
-        An order with a lost reply may still be carried out. Its engine is left
-        alone for as long as the longest order takes, counted from before the call:
-        a newer order could otherwise be undone by the older one.
+        An order whose reply is lost may still be carried out. Its engine gets no order
+        for as long as the longest order takes, counted from before the call: the older
+        order could otherwise undo a newer one.
         """
         began = clock.now()
         try:
@@ -97,6 +97,6 @@
 
 
 def describe(order: engine.Order) -> str:
-    """Return an order as a log line shows it."""
+    """Format an order for a log line."""
     words = (order.order.value, order.name, order.version, order.role)
     return " ".join(word for word in words if word)
--- a/src/tealcove/orders/steward.py
+++ b/src/tealcove/orders/steward.py
@@ -1,4 +1,4 @@
-"""The steward of one pool: brings its engines to what is declared."""
+"""Steward of one pool: the controller that brings engines to the declared state."""
 
 from __future__ import annotations
 
@@ -16,19 +16,19 @@
 
 log = logbook.Logger("orders")
 
-# Seconds between two looks at the engines while the lease is held.
+# Seconds between two reconciliations, and between two repeats of the holds.
 RECONCILE_INTERVAL = 0.5
-# Seconds between two looks at whether an engine has become empty.
+# Seconds between two checks whether an engine has become empty.
 DRAIN_INTERVAL = 0.1
-# The second in rank looks at the lease once in so many durations.
+# Lease durations between two checks of the lease by the second in rank.
 STANDBY_DURATIONS = 2
 
 
 class Steward:
     """One instance's side of the stewardship of a pool.
 
-    Two tasks: one keeps the lease, one plans and starts a task for each engine
-    that gets an order. The lease goes on being renewed during a long order.
+    Separate tasks keep the lease, repeat the holds, and plan; each engine's order runs
+    in a task of its own. So the lease is renewed during a long order.
     """
 
     def __init__(
@@ -59,13 +59,13 @@
         self.standby_at = ids.Instant(clock.now() + STANDBY_DURATIONS * lease_seconds)
         self.progress = observing.Progress(pool)
         self.observed = plan.ObservedState({})
-        # The lease takes one step at a time, giving it up included.
+        # Serialises the steps and the release of the lease.
         self.lease_lock = asyncio.Lock()
         self.changes: dict[ids.BackendServerId, asyncio.Task[None]] = {}
         self.tasks: list[asyncio.Task[None]] = []
 
     def start(self) -> None:
-        """Begin to look after the pool if this instance is chosen."""
+        """Start the tasks; they act only while this instance is chosen."""
         self.tasks = [
             tasks.start(self.keep_lease(), f"lease of {self.pool}"),
             tasks.start(self.keep_holds(), f"holds of {self.pool}"),
@@ -73,7 +73,7 @@
         ]
 
     async def stop(self) -> None:
-        """End all tasks; the lease is given up if no order is on its way."""
+        """Stop all tasks; release the lease if no order is in flight."""
         was_idle = not self.changes
         await tasks.stop([*self.tasks, *self.changes.values()])
         self.drains.release_all(clock.now())
@@ -81,7 +81,7 @@
             await self.release()
 
     async def keep_lease(self) -> None:
-        """Take and renew the lease when it's this instance's turn."""
+        """Acquire and renew the lease periodically when `may_step` allows it."""
         while True:
             now = clock.now()
             if self.may_step(now):
@@ -89,7 +89,7 @@
             await asyncio.sleep(self.lease.interval)
 
     async def step(self) -> None:
-        """Let the lease take one step."""
+        """Run one step of the lease."""
         async with self.lease_lock:
             try:
                 await self.lease.step(clock.now())
@@ -97,23 +97,23 @@
                 log.error("lease of {}: {}", self.pool, error)
 
     async def release(self) -> None:
-        """Give the lease up, if it's held here."""
+        """Release the lease if it's held here."""
         async with self.lease_lock:
             await self.lease.release(clock.now())
 
     async def keep_holds(self) -> None:
-        """Repeat the holds, however long a look at the engines takes."""
+        """Repeat the holds periodically, however long a reconciliation takes."""
         while True:
             self.drains.send_all(clock.now())
             await asyncio.sleep(RECONCILE_INTERVAL)
 
     def may_step(self, now: ids.Instant) -> bool:
-        """Tell whether to renew the lease or to look whether it's free.
+        """Tell whether to renew the lease or to check whether it's free.
 
-        The first in rank looks all the time, the second one seldom: it takes a
-        lease that lapsed and that the first one, who may be cut off from the
-        platform, doesn't take. All others leave it alone, so that reads don't
-        grow with the number of instances.
+        The first in rank checks at every interval, the second one seldom: it acquires
+        an expired lease if the first one doesn't, which may be cut off from the
+        platform. No other instance checks, so that reads don't grow with the number
+        of instances.
         """
         if not self.is_active():
             return False
@@ -128,14 +128,14 @@
         return True
 
     def is_active(self) -> bool:
-        """Tell whether the pool needs a steward and this instance may be it."""
+        """Tell whether the pool needs a steward and this instance is serving."""
         found = self.copy.current.get(kinds.Kind.ENGINE_POOL, self.pool)
         if found is None or not found.spec.models:
             return False
         return self.members.own.lifecycle is messages.Lifecycle.SERVING
 
     async def run(self) -> None:
-        """Look at the pool again and again."""
+        """Reconcile the pool periodically."""
         while True:
             try:
                 await self.reconcile()
@@ -144,7 +144,7 @@
             await asyncio.sleep(RECONCILE_INTERVAL)
 
     async def reconcile(self) -> None:
-        """Take one look at the pool and begin what is to be done."""
+        """Observe the pool and start the changes that are needed."""
         now = clock.now()
         if not self.lease.held(now) or not self.is_active():
             await self.retire(now)
@@ -160,19 +160,21 @@
         self.plan_changes(target, holdings, before)
 
     async def take_over(self, now: ids.Instant) -> None:
-        """Begin to give orders under the lease's number.
+        """Take over the pool's orders under the lease's number.
 
-        Raises PlatformError; the next round tries again.
+        Raises PlatformError; the next reconciliation retries.
         """
         number = self.lease.number
         self.drains.number = number
         await self.intents.take_over(number, now, self.longest_order)
         log.info("steward of {}, number {}", self.pool, number)
         for server in self.intents.unsettled:
-            log.warning("{}: an earlier steward's order may be on its way", server)
+            log.warning(
+                "{}: an earlier steward's order may still be carried out", server
+            )
 
     async def retire(self, now: ids.Instant) -> None:
-        """Give no more orders; a leaving holder lets its successor begin."""
+        """Stop sending orders; an inactive holder releases the lease once it's idle."""
         self.progress.clear()
         self.drains.release_all(now)
         if not self.is_active() and not self.changes:
@@ -184,7 +186,7 @@
         holdings: observing.Holdings,
         before: frozenset[ids.BackendServerId],
     ) -> None:
-        """Begin the next changes and take back the engines that are done.
+        """Start the next changes and release the engines that are done.
 
         `before` are the engines that were changing when the holdings were read.
         """
@@ -203,7 +205,7 @@
     def apply_plan(
         self, target: desired.DesiredState, found: plan.Plan, now: ids.Instant
     ) -> None:
-        """Let idle engines have work again, and begin the planned changes."""
+        """Release idle engines for work, and start the planned changes."""
         for server in found.idle | self.unreachable():
             self.drains.release(server, now)
         for task in found.tasks:
@@ -213,14 +215,14 @@
             self.start_change(task.server, self.change(task, one))
 
     def unreachable(self) -> frozenset[ids.BackendServerId]:
-        """Return held engines that can't be reached any more or aren't the pool's.
+        """Return held engines that are unreachable or no longer in the pool.
 
-        They'd keep all others from being changed if they stayed held.
+        If they stayed held, no other engine could be changed.
         """
         return self.drains.held - self.observed.holdings.keys() - self.observed.busy
 
     def raise_numbers(self, target: desired.DesiredState) -> None:
-        """Settle what the predecessor left open at engines that check numbers."""
+        """Settle a predecessor's open orders on engines that check fencing numbers."""
         for server in self.intents.inherited() & self.observed.holdings.keys():
             if server not in self.changes:
                 address = target.servers[server].server
@@ -230,14 +232,14 @@
     def start_change(
         self, server: ids.BackendServerId, work: Coroutine[object, object, None]
     ) -> None:
-        """Run one change of an engine in the background."""
+        """Start one change of an engine in the background."""
         change = tasks.start(self.run_change(server, work), f"change of {server}")
         self.changes[server] = change
 
     async def run_change(
         self, server: ids.BackendServerId, work: Coroutine[object, object, None]
     ) -> None:
-        """Run a change to its end, whatever it is."""
+        """Run a change; log its error, if any."""
         try:
             await work
         except errors.TealcoveError as error:
@@ -246,22 +248,24 @@
             self.changes.pop(server, None)
 
     async def change(self, task: plan.Task, one: desired.DesiredServer) -> None:
-        """Empty an engine if needed, wait for the turn to load, and order."""
+        """Drain an engine if needed, wait for the weight store, and send the order."""
         if task.drains and not await self.wait_until_empty(task):
             return
         if task.loads:
             target = desired.of_pool(self.copy.current, self.pool)
             size = 0 if target is None else target.sizes.get(task.order.name, 0)
             await asyncio.sleep(await self.weights.reserve(size))
-        # All of this may have taken long, and much may have changed meanwhile.
+        # Waiting may have taken long, and the plan may be out of date.
         if self.is_still_wanted(task, clock.now()):
             await self.sender.send(one.server, task.order)
             return
         said = sender.describe(task.order)
-        log.info("{}: {} is planned anew: the plan was out of date", task.server, said)
+        log.info(
+            "{}: {} will be planned again: the plan was out of date", task.server, said
+        )
 
     async def wait_until_empty(self, task: plan.Task) -> bool:
-        """Wait until nothing runs on an engine; False: it's no longer desired."""
+        """Wait until nothing runs on an engine; False if the task is out of date."""
         while self.is_still_wanted(task, clock.now(), is_empty=False):
             if self.drains.is_granted_nothing(task.server, clock.now()):
                 found = self.drains.by_server[task.server].target.server
@@ -274,7 +278,7 @@
     def is_still_wanted(
         self, task: plan.Task, now: ids.Instant, is_empty: bool = True
     ) -> bool:
-        """Tell whether a task may still be carried out as it was planned."""
+        """Tell whether a task may still be carried out as planned."""
         target = desired.of_pool(self.copy.current, self.pool)
         if target is None or not self.sender.may_send() or not self.is_active():
             return False
--- a/src/tealcove/orders/tests/__init__.py
+++ b/src/tealcove/orders/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the orders slice."""
+"""Tests of the orders package."""
--- a/src/tealcove/orders/tests/builders.py
+++ b/src/tealcove/orders/tests/builders.py
@@ -1,4 +1,4 @@
-"""Test data of the orders slice."""
+"""Test data for the orders package."""
 
 from __future__ import annotations
 
@@ -12,5 +12,5 @@
 def participant(
     platform: memory.MemoryPlatform, holder: str, margin: float = MARGIN
 ) -> lease.Lease:
-    """Return one side of the lease "pool" in the platform's table."""
+    """Return one participant of the lease "pool" in the platform's table."""
     return lease.Lease(platform.table, "pool", holder, DURATION, margin)
--- a/src/tealcove/orders/tests/test_drains.py
+++ b/src/tealcove/orders/tests/test_drains.py
@@ -1,4 +1,4 @@
-"""Holds: when an engine counts as empty, and when as taken back."""
+"""Holds: when an engine counts as empty, and when as released."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def opened() -> tuple[drains.Drains, transport.NotingMesh]:
-    """Return the holds of an instance with two peers, engine "a" held."""
+    """Return the drains of an instance with two peers, and its mesh; "a" is held."""
     known = membership.known(0)
     for number in (1, 2):
         known.hear(membership.heartbeat(number), NOW)
@@ -27,7 +27,7 @@
 
 
 def answer(found: drains.Drains, mesh: transport.NotingMesh, **changes: object) -> None:
-    """Let both dispatchers answer the last hold, in their way."""
+    """Record both dispatchers' reports on the last hold, with changed fields."""
     hold = mesh.sent[-1].content
     report = holds.answer(hold, is_held=hold.seconds > 0)
     drain = found.by_server[A]
@@ -35,7 +35,7 @@
         found.record_report(instance, msgspec.structs.replace(report, **changes), NOW)
 
 
-def test_engine_is_empty_once_both_dispatchers_say_so():
+def test_engine_is_empty_once_both_dispatchers_report_it():
     found, mesh = opened()
     assert len(mesh.sent) == drains.DISPATCHERS
     assert not found.is_granted_nothing(A, NOW)
@@ -54,12 +54,12 @@
     assert not found.is_granted_nothing(A, NOW)
 
 
-def test_answers_of_long_ago_and_to_earlier_holds_do_not_count():
-    """A woken steward changes an engine that has had work again for long.
+def test_expired_reports_and_reports_on_earlier_holds_do_not_count():
+    """Reports don't count after HOLD_SECONDS or for an earlier hold.
 
-    Symptom: requests end as interrupted when a frozen instance wakes.
-    Sequence: an engine is held and empty; the steward freezes, the hold ends.
-    Cause: what a dispatcher has said is believed for ever.
+    Guards against reports that never expire: a steward that freezes while an engine
+    is held and empty would, on resuming, change it although the hold has expired and
+    the engine has work again, which interrupts requests.
     """
     found, mesh = opened()
     answer(found, mesh)
@@ -78,7 +78,7 @@
     assert not found.is_granted_nothing(A, NOW)
 
 
-def test_engine_is_taken_back_once_both_give_it_work_or_its_hold_has_ended():
+def test_engine_is_released_once_both_confirm_or_its_hold_has_expired():
     found, mesh = opened()
     found.release(A, NOW)
     answer(found, mesh, is_held=True)
--- a/src/tealcove/orders/tests/test_intents.py
+++ b/src/tealcove/orders/tests/test_intents.py
@@ -1,4 +1,4 @@
-"""Orders written down: lost replies, successors, and the time to wait."""
+"""Recorded orders: lost replies, successors, and the time to wait."""
 
 from __future__ import annotations
 
@@ -30,11 +30,11 @@
     return engine.Order(ids.FencingNumber(number), kind, "m", "2")
 
 
-async def test_successor_waits_out_what_stands_open(platform):
-    """Symptom: an engine carries an old order out after a newer one.
+async def test_successor_waits_for_open_orders_to_expire(platform):
+    """A successor waits until its predecessor's open orders can't be carried out.
 
-    Events: a steward dies while its order is on its way; its successor orders.
-    Cause: not waiting for what stands open in the row.
+    Otherwise an order in flight when the steward dies could be carried out after a
+    newer one of the successor.
     """
     first = await opened(platform, 1)
     await first.begin(A, order(1))
@@ -48,12 +48,11 @@
 
 
 async def test_predecessor_writes_nothing_after_its_successor(platform):
-    """A woken steward writes down an order that its successor doesn't know of.
+    """A replaced steward can't record an order, even if none was open.
 
-    Symptom: an engine is changed by two stewards at once.
-    Sequence: a steward is paused before it writes an order down; a successor
-    takes the pool over while nothing stands open; the first one goes on.
-    Cause: a row for each order, which the successor has never written.
+    Guards against a row for each order, which the successor wouldn't have written: a
+    steward paused before it records an order would resume after the takeover, and
+    two stewards would change one engine at once.
     """
     first = await opened(platform, 1)
     await opened(platform, 2)
@@ -63,7 +62,7 @@
         await opened(platform, 1)
 
 
-async def test_lost_reply_is_found_out_by_reading(platform):
+async def test_lost_reply_is_settled_by_reading(platform):
     first = await opened(platform, 1)
     platform.faults = faults.Faults(lose_replies=1)
     await first.begin(A, order(1))
@@ -71,10 +70,9 @@
 
 
 async def test_nothing_is_taken_over_while_the_platform_is_down(platform):
-    """Symptom: an order is given that no successor can know of.
+    """Neither an order nor a takeover proceeds without writing the row.
 
-    Events: the platform goes down before an order is written down, or a takeover.
-    Cause: going on without the row.
+    Otherwise a steward would send an order that no successor can know of.
     """
     first = await opened(platform, 1)
     platform.faults = faults.Faults(down=True)
--- a/src/tealcove/orders/tests/test_lease.py
+++ b/src/tealcove/orders/tests/test_lease.py
@@ -48,11 +48,11 @@
     assert second.number == 2
 
 
-async def test_paused_holder_that_wakes_does_not_hold(platform):
-    """Symptom: two stewards give orders to one pool.
+async def test_paused_holder_does_not_hold_after_expiry(platform):
+    """A holder that resumes after its lease has expired doesn't hold it.
 
-    Events: the holder is paused past its lease; another takes it; it wakes.
-    Cause: a holder that trusts its state and not the present time.
+    If it relied on its state in place of the current time, two stewards would send
+    orders to one pool.
     """
     first = builders.participant(platform, "first")
     second = builders.participant(platform, "second")
@@ -68,11 +68,9 @@
 
 
 async def test_lapsed_holder_without_a_successor_takes_the_next_number(platform):
-    """Symptom: an order of before an outage passes for one of after it.
+    """A holder whose lease expired during an outage takes a new number.
 
-    Events: the holder's lease runs out while the platform is down; nobody takes it,
-    and the holder comes back.
-    Cause: going on under the old number.
+    Under the old number, an order from before the outage would pass for a new one.
     """
     first = builders.participant(platform, "first")
     await first.step(0.0)
@@ -87,10 +85,9 @@
 
 @pytest.mark.parametrize("lost", ["the first take", "a renewal"])
 async def test_lost_reply_is_settled_by_reading_the_row(platform, lost):
-    """Symptom: a holder gives its lease up although it was renewed.
+    """A write that was applied counts even if its reply is lost.
 
-    Events: the platform applies a write; its reply is lost.
-    Cause: a lost reply taken for a failed write.
+    Otherwise a holder would give up a lease that was renewed.
     """
     first = builders.participant(platform, "first")
     if lost == "a renewal":
@@ -103,11 +100,11 @@
 
 
 async def test_late_renewal_counts_from_when_it_was_sent(platform):
-    """Symptom: a holder believes in a lease that another may have taken.
+    """A renewal found later counts from when it was sent.
 
-    Events: a renewal's reply and the row's reading fail; the write was applied;
-    the next renewal finds the row changed.
-    Cause: counting from the renewal that found out, not from the one applied.
+    The renewal is applied, but its reply and the read of the row fail; the next
+    renewal finds the row changed. Counted from the latter, the lease would seem held
+    when another participant may have acquired it.
     """
     first = builders.participant(platform, "first")
     await first.step(0.0)
@@ -121,11 +118,11 @@
 
 
 async def test_first_of_two_lost_renewals_counts(platform, monkeypatch):
-    """Symptom: a holder believes in a lease that another may have taken.
+    """Of two renewals with lost replies, the first one counts.
 
-    Events: a renewal is applied and its reply lost; a second one gets lost on
-    its way; neither can be settled by reading. A third finds the row changed.
-    Cause: counting from the last lost renewal, not from the first.
+    The first is applied, the second is lost before it arrives, and the row can't be
+    read; a third finds the row changed. Counted from the second, the lease would seem
+    held when another participant may have acquired it.
     """
     first = builders.participant(platform, "first")
     await first.step(0.0)
@@ -141,11 +138,11 @@
     assert not first.held(13.0)
 
 
-async def test_outage_leaves_the_holder_its_time_and_no_more(platform):
-    """Symptom: a steward gives orders under a lease that another may have taken.
+async def test_outage_does_not_extend_the_lease(platform):
+    """Failed renewals don't extend a lease, and a failed release still ends it.
 
-    Events: the platform goes down; renewals fail, and so does the release.
-    Cause: counting from a failed renewal, or holding on until a release is written.
+    Otherwise a steward would send orders during an outage under a lease that another
+    participant may have acquired.
     """
     first = builders.participant(platform, "first")
     await first.step(0.0)
@@ -157,10 +154,9 @@
 
 
 async def test_number_goes_on_after_an_operator_deleted_the_row(platform):
-    """Symptom: engines refuse all orders of the steward.
+    """Fencing numbers don't restart at 1 when the lease's row is deleted by hand.
 
-    Events: somebody deletes the lease's row by hand.
-    Cause: numbers that begin again at 1.
+    Engines would refuse all orders of the steward.
     """
     first = builders.participant(platform, "first")
     await first.step(0.0)
@@ -173,7 +169,7 @@
     assert first.number == 2
 
 
-async def test_row_that_cannot_be_understood_is_an_error_with_a_remedy(platform):
+async def test_row_that_cannot_be_decoded_is_an_error_with_a_remedy(platform):
     garbage = table.Put(lease.TABLE, "pool", b"{}")
     await platform.table.commit(table.Transaction((), (garbage,)))
     with pytest.raises(errors.PlatformError, match="correct the row"):
--- a/src/tealcove/orders/tests/test_lease_machine.py
+++ b/src/tealcove/orders/tests/test_lease_machine.py
@@ -17,7 +17,7 @@
 from tealcove.storage import faults, memory, table
 
 PARTICIPANTS = range(2)
-# Each participant's clock: where it started, and how fast it runs.
+# Offset and rate of each participant's clock.
 CLOCK_OFFSETS = (1000.0, -50.0)
 CLOCK_RATES = (0.75, 1.3)
 # Covers both rates: 5 s of the slow clock end before 10 s of the fast one.
@@ -29,16 +29,16 @@
 
 
 class Turn(enum.Enum):
-    """What becomes of one participant's step, begun now or paused before.
+    """Fate of one participant's step, started now or paused before.
 
-    A value holds the hops that go well, and the error of all later ones; None
-    pauses the step there.
+    A value holds the number of hops that succeed, and the error of all later ones;
+    None pauses the step there.
     """
 
     SKIPPED = "skipped"
-    # Killed, and started again; a write that is under way may still arrive.
+    # Killed and restarted; a write in flight may still arrive.
     REPLACED = "replaced"
-    # Gives the lease up, unless a step is paused.
+    # Releases the lease, unless a step is paused.
     RELEASED = (7, None)
     WHOLE = (6, None)
     PAUSED_ON_THE_WAY = (0, None)
@@ -48,27 +48,27 @@
     REFUSED = (0, REFUSED)
 
 
-# Listed with those that lead to changes of holder more often.
+# Weighted towards the turns that lead to changes of holder.
 TURNS = st.sampled_from((*Turn, *[Turn.WHOLE] * 7, *[Turn.SKIPPED] * 5))
 
 
 class Hop:
-    """Suspends a call until the state machine lets it go on."""
+    """Suspend a call until the state machine resumes it."""
 
     def __await__(self) -> Generator[None, None, None]:
         yield
 
 
 class HoppingTable(memory.MemoryTableService):
-    """A table whose calls stop on the way there and on the way back.
+    """A table whose calls are suspended before and after they're applied.
 
-    A PlatformUnavailableError raised in a hop stands for a refused call, an
-    OutcomeUnknownError for a call that got lost.
+    A PlatformUnavailableError raised in a hop simulates a refused call, an
+    OutcomeUnknownError a lost one.
     """
 
     def __init__(self, gate: faults.Gate) -> None:
         super().__init__(gate)
-        # Writes whose callers have given up, but which are still on their way.
+        # Writes in flight whose callers have already failed.
         self.late: list[table.Transaction] = []
 
     async def commit(self, transaction: table.Transaction) -> table.Committed:
@@ -103,7 +103,7 @@
 
 
 def run(coroutine: Coroutine[Any, Any, Any], error: Exception | None = None) -> bool:
-    """Run to the next hop, or raise an error in this one; whether it ended."""
+    """Run to the next hop, or raise an error in this one; tell whether it ended."""
     try:
         if error is None:
             coroutine.send(None)
@@ -115,12 +115,12 @@
 
 
 def pick(items: Sequence[Any], choice: int) -> Any:
-    """Return one of the items, whatever their number."""
+    """Return one of the items; the choice is taken modulo their number."""
     return items[choice % len(items)]
 
 
 class LeaseMachine(stateful.RuleBasedStateMachine):
-    """Runs any order of events and compares every holder with the true time."""
+    """Run events in any order and check the holders at the true time."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -131,7 +131,7 @@
         self.runs = 0
         self.leases: dict[int, lease.Lease] = {}
         self.steps: dict[int, Coroutine[Any, Any, None]] = {}
-        # Who held the lease last, and under which number.
+        # The last holder of the lease, and its number.
         self.last_holder = ""
         self.last_number = 0
         for number in PARTICIPANTS:
--- a/src/tealcove/orders/tests/test_plan.py
+++ b/src/tealcove/orders/tests/test_plan.py
@@ -1,4 +1,4 @@
-"""The planner: what is begun, in which order, and what is never taken away."""
+"""The planner: which tasks start, in which order, and which are blocked."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def target(*servers: kinds.BackendServerSpec, **models: str) -> desired.DesiredState:
-    """Return what a pool of these servers wants: "m" in version 2 by default."""
+    """Return the desired state of a pool; model "m" in version 2 by default."""
     versions = models or {"m": "2"}
     resources = dict(copy.empty().resources)
     resources[kinds.Kind.MODEL] = {
@@ -47,8 +47,8 @@
     return engine.Holding(models, {}, role)
 
 
-def said(tasks: tuple[plan.Task, ...]) -> list[str]:
-    """Return tasks as words; "!" marks those for an empty engine."""
+def formatted(tasks: tuple[plan.Task, ...]) -> list[str]:
+    """Format tasks; "!" marks those that need an empty engine."""
     return [
         f"{task.server} {task.order.order.value} "
         f"{task.order.name or task.order.role}{'!' if task.drains else ''}"
@@ -62,14 +62,16 @@
 def test_one_engine_at_a_time_changes_its_version():
     aim = target(A, B, C)
     old = {name: holding(m="1") for name in "abc"}
-    assert said(plan.make(aim, plan.ObservedState(old)).tasks) == ["a load_model m!"]
+    assert formatted(plan.make(aim, plan.ObservedState(old)).tasks) == [
+        "a load_model m!"
+    ]
     busy = plan.ObservedState(old, busy=frozenset("a"), held=frozenset("a"))
     assert plan.make(aim, busy).tasks == ()
-    # Changed, but the dispatchers haven't taken it back yet.
+    # Changed, but the dispatchers haven't released it yet.
     changed = {**old, "a": holding(m="2")}
     found = plan.make(aim, plan.ObservedState(changed, held=frozenset("a")))
     assert (found.tasks, found.idle) == ((), {"a", "b", "c"})
-    assert said(plan.make(aim, plan.ObservedState(changed)).tasks) == [
+    assert formatted(plan.make(aim, plan.ObservedState(changed)).tasks) == [
         "b load_model m!"
     ]
 
@@ -83,26 +85,25 @@
         {"gone": holding(m="2")},
     ],
 )
-def test_last_server_of_a_model_is_never_taken_away(others):
-    """A model has no server while a version is changed.
+def test_last_server_of_a_model_is_never_drained(others):
+    """The last server of a model isn't drained to change its version.
 
-    Symptom: all requests of the model are refused for as long as a load takes.
-    Sequence: the other engines lack the model, compute another part of a
-    request, or aren't the pool's.
-    Cause: engines are counted whatever they serve.
+    Other engines don't count if they lack the model, compute another phase of a
+    request or aren't in the pool: all requests of the model would be refused for as
+    long as a load takes.
     """
     aim = target(A, server("b", role=kinds.EngineRole.PREFILL))
     found = plan.make(aim, plan.ObservedState({"a": holding(m="1"), **others}))
-    assert "a load_model m!" not in said(found.tasks)
-    assert said(found.blocked)[:1] == ["a load_model m!"]
+    assert "a load_model m!" not in formatted(found.tasks)
+    assert formatted(found.blocked)[:1] == ["a load_model m!"]
 
 
-def test_engine_with_an_order_on_its_way_is_left_alone_and_not_relied_on():
+def test_engine_with_an_unsettled_order_gets_no_task_and_counts_as_absent():
     aim = target(A, B)
     old = {"a": holding(m="1"), "b": holding(m="1")}
     found = plan.make(aim, plan.ObservedState(old, unsettled=frozenset("b")))
     assert found.tasks == ()
-    assert said(found.blocked) == ["a load_model m!"]
+    assert formatted(found.blocked) == ["a load_model m!"]
 
 
 def test_loads_come_first_then_changes_then_role_and_unloading_last():
@@ -114,7 +115,7 @@
         tasks = plan.make(aim, plan.ObservedState({"a": state, **rest})).tasks
         if not tasks:
             break
-        steps.extend(said(tasks))
+        steps.extend(formatted(tasks))
         state = carried_out(state, tasks[0].order)
     assert steps == [
         "a load_model n",
@@ -123,7 +124,9 @@
         "a unload_model old!",
     ]
     waiting = {"a": holding("decode", m="2", n="1", old="1"), "b": holding(m="2")}
-    assert said(plan.make(aim, plan.ObservedState(waiting)).tasks) == ["b load_model n"]
+    assert formatted(plan.make(aim, plan.ObservedState(waiting)).tasks) == [
+        "b load_model n"
+    ]
 
 
 def carried_out(state: engine.Holding, order: engine.Order) -> engine.Holding:
--- a/src/tealcove/orders/tests/test_plan_property.py
+++ b/src/tealcove/orders/tests/test_plan_property.py
@@ -1,4 +1,4 @@
-"""The planner from any state of a pool: what holds on the way, and at the end."""
+"""Properties of the planner, from any initial state of a pool."""
 
 from __future__ import annotations
 
@@ -14,7 +14,8 @@
 NAMES = ("a", "b", "c")
 MODELS = ("m", "n")
 VERSIONS = ("1", "2")
-# Each of 3 engines needs at most 5 orders, and each order a round and a release.
+# Each of 3 engines needs at most 5 orders, and each order two rounds: one to carry it
+# out and one to release the engine.
 ENOUGH = 3 * 5 * 2
 
 HOLDINGS = st.builds(
@@ -30,7 +31,7 @@
 def served(
     aim: desired.DesiredState, found: dict[str, engine.Holding], held: frozenset[str]
 ) -> set[tuple[str, str]]:
-    """Return the wanted models and the parts that engines in use compute."""
+    """Return the desired models and the phases that engines in use compute."""
     return {
         (model, part)
         for name, holding in found.items()
@@ -46,9 +47,7 @@
     versions=st.fixed_dictionaries({"m": st.sampled_from(VERSIONS)}),
     data=st.data(),
 )
-def test_nothing_that_is_served_is_taken_away_and_all_is_reached(
-    states, versions, data
-):
+def test_service_is_kept_and_the_desired_state_is_reached(states, versions, data):
     found = dict(zip(NAMES, states, strict=False))
     aim = test_plan.target(*(test_plan.server(name) for name in found), **versions)
     held: frozenset[str] = frozenset()
