--- a/src/tealcove/orders/intents.py
+++ b/src/tealcove/orders/intents.py
@@ -111,9 +111,9 @@
             if now >= until:
                 await self.end(server)
 
-    async def write(self, wanted: dict[ids.BackendServerId, Intent]) -> None:
+    async def write(self, open_orders: dict[ids.BackendServerId, Intent]) -> None:
         """Write the row; raises ReplacedError or PlatformError."""
-        value = msgspec.json.encode(Record(self.number, wanted))
+        value = msgspec.json.encode(Record(self.number, open_orders))
         for _ in range(ATTEMPTS):
             try:
                 self.row = await table.replace(
@@ -124,7 +124,7 @@
             except errors.OutcomeUnknownError:
                 self.adopt_row(await self.rows.read(TABLE, self.pool))
             if self.row is not None and self.row.value == value:
-                self.open = wanted
+                self.open = open_orders
                 return
         raise errors.PlatformUnavailableError(
             f"the orders of pool {self.pool} couldn't be recorded",
--- a/src/tealcove/orders/sender.py
+++ b/src/tealcove/orders/sender.py
@@ -55,8 +55,8 @@
         if outcome is Outcome.UNKNOWN:
             return
         if outcome is Outcome.CARRIED_OUT:
-            said = describe(order)
-            log.info("{}: {}, number {}", server.name, said, numbered.fencing)
+            description = describe(order)
+            log.info("{}: {}, number {}", server.name, description, numbered.fencing)
         await self.intents.end(server.name)
 
     async def raise_number(
--- a/src/tealcove/orders/steward.py
+++ b/src/tealcove/orders/steward.py
@@ -52,7 +52,7 @@
         holder = lease.holder_name(known.own.instance, known.own.incarnation)
         self.lease = lease.Lease(rows, pool, holder, lease_seconds)
         self.intents = intents.Intents(rows, pool)
-        self.sender = sender.OrderSender(
+        self.order_sender = sender.OrderSender(
             engines, self.intents, self.lease, longest_order
         )
         self.longest_order = longest_order
@@ -227,7 +227,9 @@
             if server not in self.changes:
                 address = target.servers[server].server
                 holding = self.observed.holdings[server]
-                self.start_change(server, self.sender.raise_number(address, holding))
+                self.start_change(
+                    server, self.order_sender.raise_number(address, holding)
+                )
 
     def start_change(
         self, server: ids.BackendServerId, work: Coroutine[object, object, None]
@@ -256,17 +258,19 @@
             size = 0 if target is None else target.sizes.get(task.order.name, 0)
             await asyncio.sleep(await self.weights.reserve(size))
         # Waiting may have taken long, and the plan may be out of date.
-        if self.is_still_wanted(task, clock.now()):
-            await self.sender.send(one.server, task.order)
+        if self.is_current(task, clock.now()):
+            await self.order_sender.send(one.server, task.order)
             return
-        said = sender.describe(task.order)
+        description = sender.describe(task.order)
         log.info(
-            "{}: {} will be planned again: the plan was out of date", task.server, said
+            "{}: {} will be planned again: the plan was out of date",
+            task.server,
+            description,
         )
 
     async def wait_until_empty(self, task: plan.Task) -> bool:
         """Wait until nothing runs on an engine; False if the task is out of date."""
-        while self.is_still_wanted(task, clock.now(), is_empty=False):
+        while self.is_current(task, clock.now(), is_empty=False):
             if self.drains.is_granted_nothing(task.server, clock.now()):
                 found = self.drains.by_server[task.server].target.server
                 load = await self.engines.load(found)
@@ -275,12 +279,12 @@
             await asyncio.sleep(DRAIN_INTERVAL)
         return False
 
-    def is_still_wanted(
+    def is_current(
         self, task: plan.Task, now: ids.Instant, is_empty: bool = True
     ) -> bool:
         """Tell whether a task may still be carried out as planned."""
         target = desired.of_pool(self.copy.current, self.pool)
-        if target is None or not self.sender.may_send() or not self.is_active():
+        if target is None or not self.order_sender.may_send() or not self.is_active():
             return False
         one = target.servers.get(task.server)
         if one is None or not target.fulfils(task.order):
