--- a/src/tealcove/orders/giving.py
+++ b/src/tealcove/orders/sender.py
@@ -1,4 +1,4 @@
-"""Gives orders to engines, each under the lease and written down before."""
+"""Sender of orders to engines; each is sent under the lease and recorded before."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 log = logbook.Logger("orders")
 
 
-class Ending(enum.Enum):
-    """What is known of an order after its call."""
+class Outcome(enum.Enum):
+    """Outcome of an order, as known after its call."""
 
     CARRIED_OUT = "carried_out"
     # It wasn't carried out and won't be.
@@ -24,8 +24,8 @@
     UNKNOWN = "unknown"
 
 
-class Giver:
-    """Gives one pool's orders under one fencing number."""
+class OrderSender:
+    """Send one pool's orders under one fencing number."""
 
     def __init__(
         self,
@@ -39,64 +39,64 @@
         self.lease = held
         self.longest_order = longest_order
 
-    def may_give(self) -> bool:
+    def may_send(self) -> bool:
         """Tell whether the lease is held now, under the number of the intents."""
         number_holds = self.lease.number == self.intents.number
         return number_holds and self.lease.held(clock.now())
 
-    async def give(self, server: engine.Server, order: engine.Order) -> None:
-        """Give an order; raises PlatformError when it couldn't be written down.
+    async def send(self, server: engine.Server, order: engine.Order) -> None:
+        """Record and send an order; raises PlatformError if it can't be recorded.
 
-        Only an order whose end is known is cleared from the row.
+        Only an order with a known outcome is cleared from the row.
         """
         numbered = msgspec.structs.replace(order, fencing=self.intents.number)
         await self.intents.begin(server.name, numbered)
-        ending = await self.call(server, numbered)
-        if ending is Ending.UNKNOWN:
+        outcome = await self.call(server, numbered)
+        if outcome is Outcome.UNKNOWN:
             return
-        if ending is Ending.CARRIED_OUT:
-            said = describe(order)
-            log.info("{}: {}, number {}", server.name, said, numbered.fencing)
+        if outcome is Outcome.CARRIED_OUT:
+            description = describe(order)
+            log.info("{}: {}, number {}", server.name, description, numbered.fencing)
         await self.intents.end(server.name)
 
     async def raise_number(
         self, server: engine.Server, holding: engine.Holding
     ) -> None:
-        """Make an engine that checks numbers refuse all earlier ones.
+        """Make an engine that checks fencing numbers refuse all earlier ones.
 
-        The order asks for what is so already. It isn't written down, because the
-        predecessor's has to stand until the engine is known to refuse it. Raises
-        PlatformError when that couldn't be cleared.
+        The order sets the role that the engine already has. It isn't recorded, because
+        the predecessor's order must stay in the row until the engine is known to
+        refuse it. Raises PlatformError if that order can't be cleared.
         """
         order = engine.Order(
             self.intents.number, engine.OrderKind.SET_ROLE, role=holding.role
         )
-        if await self.call(server, order) is Ending.CARRIED_OUT:
+        if await self.call(server, order) is Outcome.CARRIED_OUT:
             log.info("{}: refuses numbers below {}", server.name, order.fencing)
             await self.intents.end(server.name)
 
-    async def call(self, server: engine.Server, order: engine.Order) -> Ending:
+    async def call(self, server: engine.Server, order: engine.Order) -> Outcome:
         """Send an order to its engine under the lease, and wait for the reply.
 
-        An order with a lost reply may still be carried out. Its engine is left
-        alone for as long as the longest order takes, counted from before the call:
-        a newer order could otherwise be undone by the older one.
+        An order whose reply is lost may still be carried out. Its engine gets no order
+        for as long as the longest order takes, counted from before the call: the older
+        order could otherwise undo a newer one.
         """
         began = clock.now()
         try:
-            await self.engines.order(server, order, self.may_give, self.longest_order)
+            await self.engines.order(server, order, self.may_send, self.longest_order)
         except (engine.NotDispatchedError, engine.RefusedCallError) as error:
             log.warning("{}: {}", server.name, error)
-            return Ending.NOT_CARRIED_OUT
+            return Outcome.NOT_CARRIED_OUT
         except errors.BackendError as error:
             log.warning("{}: {}", server.name, error)
             until = ids.Instant(began + self.longest_order)
-            self.intents.doubt(server.name, until)
-            return Ending.UNKNOWN
-        return Ending.CARRIED_OUT
+            self.intents.mark_unsettled(server.name, until)
+            return Outcome.UNKNOWN
+        return Outcome.CARRIED_OUT
 
 
 def describe(order: engine.Order) -> str:
-    """Return an order as a log line shows it."""
+    """Format an order for a log line."""
     words = (order.order.value, order.name, order.version, order.role)
     return " ".join(word for word in words if word)
--- a/src/tealcove/orders/tests/test_drains.py
+++ b/src/tealcove/orders/tests/test_drains.py
@@ -1,4 +1,4 @@
-"""Holds: when an engine counts as empty, and when as taken back."""
+"""Holds: when an engine counts as empty, and when as released."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def opened() -> tuple[drains.Drains, transport.NotingMesh]:
-    """Return the holds of an instance with two peers, engine "a" held."""
+    """Return the drains of an instance with two peers, and its mesh; "a" is held."""
     known = membership.known(0)
     for number in (1, 2):
         known.hear(membership.heartbeat(number), NOW)
@@ -27,17 +27,17 @@
 
 
 def answer(found: drains.Drains, mesh: transport.NotingMesh, **changes: object) -> None:
-    """Let both dispatchers answer the last hold, in their way."""
+    """Record both dispatchers' reports on the last hold, with changed fields."""
     hold = mesh.sent[-1].content
     report = holds.answer(hold, is_held=hold.seconds > 0)
-    drain = found.found[A]
-    for instance in found.told(drain, NOW):
-        found.take(instance, msgspec.structs.replace(report, **changes), NOW)
+    drain = found.by_server[A]
+    for instance in found.dispatchers(drain, NOW):
+        found.record_report(instance, msgspec.structs.replace(report, **changes), NOW)
 
 
-def test_engine_is_empty_once_both_dispatchers_say_so():
+def test_engine_is_empty_once_both_dispatchers_report_it():
     found, mesh = opened()
-    assert len(mesh.sent) == drains.TOLD
+    assert len(mesh.sent) == drains.DISPATCHERS
     assert not found.is_granted_nothing(A, NOW)
     for changes in (
         {"running": 1},
@@ -48,44 +48,46 @@
         assert not found.is_granted_nothing(A, NOW)
     answer(found, mesh)
     assert found.is_granted_nothing(A, NOW)
-    first = found.told(found.found[A], NOW)[0]
-    busy = msgspec.structs.replace(found.found[A].answers[first].report, running=1)
-    found.take(first, busy, NOW)
+    first = found.dispatchers(found.by_server[A], NOW)[0]
+    busy = msgspec.structs.replace(found.by_server[A].received[first].report, running=1)
+    found.record_report(first, busy, NOW)
     assert not found.is_granted_nothing(A, NOW)
 
 
-def test_answers_of_long_ago_and_to_earlier_holds_do_not_count():
-    """A woken steward changes an engine that has had work again for long.
+def test_expired_reports_and_reports_on_earlier_holds_do_not_count():
+    """Reports don't count after HOLD_SECONDS or for an earlier hold.
 
-    Symptom: requests end as interrupted when a frozen instance wakes.
-    Sequence: an engine is held and empty; the steward freezes, the hold ends.
-    Cause: what a dispatcher has said is believed for ever.
+    Guards against reports that never expire: a steward that freezes while an engine
+    is held and empty would, on resuming, change it although the hold has expired and
+    the engine has work again, which interrupts requests.
     """
     found, mesh = opened()
     answer(found, mesh)
     later = ids.Instant(NOW + drains.HOLD_SECONDS + 1)
     for number in (1, 2):
         found.members.hear(membership.heartbeat(number), later)
-    assert found.told(found.found[A], later) == found.told(found.found[A], NOW)
+    assert found.dispatchers(found.by_server[A], later) == found.dispatchers(
+        found.by_server[A], NOW
+    )
     assert not found.is_granted_nothing(A, later)
     late = mesh.sent[-1].content
     found.release(A, NOW)
     found.begin(test_plan.target(test_plan.A).servers[A], NOW)
-    for instance in found.told(found.found[A], NOW):
-        found.take(instance, holds.answer(late, True), NOW)
+    for instance in found.dispatchers(found.by_server[A], NOW):
+        found.record_report(instance, holds.answer(late, True), NOW)
     assert not found.is_granted_nothing(A, NOW)
 
 
-def test_engine_is_taken_back_once_both_give_it_work_or_its_hold_has_ended():
+def test_engine_is_released_once_both_confirm_or_its_hold_has_expired():
     found, mesh = opened()
     found.release(A, NOW)
     answer(found, mesh, is_held=True)
-    found.tell(NOW)
+    found.send_all(NOW)
     assert found.held == {A}
     answer(found, mesh)
-    found.tell(NOW)
+    found.send_all(NOW)
     assert found.held == frozenset()
     found, _ = opened()
     found.release(A, NOW)
-    found.tell(ids.Instant(NOW + drains.HOLD_SECONDS + 0.1))
+    found.send_all(ids.Instant(NOW + drains.HOLD_SECONDS + 0.1))
     assert found.held == frozenset()
