--- a/src/tealcove/dispatch/alarms.py
+++ b/src/tealcove/dispatch/alarms.py
@@ -14,14 +14,14 @@
     """Tickets by instant; those no longer queued are passed over when due."""
 
     def __init__(self) -> None:
-        self.heap: list[tuple[ids.Instant, int, queue.Waiting]] = []
+        self.heap: list[tuple[ids.Instant, int, queue.WaitingTicket]] = []
         self.numbers = itertools.count()
 
-    def add(self, at: ids.Instant, waiting: queue.Waiting) -> None:
+    def add(self, at: ids.Instant, waiting: queue.WaitingTicket) -> None:
         """Have a ticket looked at from an instant on."""
         heapq.heappush(self.heap, (at, next(self.numbers), waiting))
 
-    def due(self, now: ids.Instant) -> Iterator[queue.Waiting]:
+    def due(self, now: ids.Instant) -> Iterator[queue.WaitingTicket]:
         """Take out and yield the queued tickets whose instant has come."""
         while self.heap and self.heap[0][0] <= now:
             waiting = heapq.heappop(self.heap)[2]
--- a/src/tealcove/dispatch/cellstate.py
+++ b/src/tealcove/dispatch/cellstate.py
@@ -34,15 +34,15 @@
         self.risks = alarms.Alarms()
         self.expiries = alarms.Alarms()
         # Queued suspects, which run one at a time.
-        self.suspects: dict[ids.TicketId, queue.Waiting] = {}
+        self.suspects: dict[ids.TicketId, queue.WaitingTicket] = {}
 
-    def wait(
+    def queue_ticket(
         self, ticket: messages.Ticket, found: choice.Estimate, now: ids.Instant
-    ) -> queue.Waiting:
+    ) -> queue.WaitingTicket:
         """Queue a ticket."""
         is_short = found.tokens <= self.fleet.short_tokens
         deadline = ids.Instant(now + ticket.remaining)
-        waiting = queue.Waiting(
+        waiting = queue.WaitingTicket(
             ticket=ticket,
             arrived=ids.Instant(now - ticket.waited),
             deadline=deadline,
@@ -50,7 +50,7 @@
             risk_from=risk_from(deadline, found),
             lane=queue.Lane(is_short, ticket.idempotent),
             seconds=found.loaded,
-            told=now,
+            refreshed_at=now,
             had_slack=ticket.remaining + ticket.waited
             > found.loaded + choice.DEADLINE_MARGIN + shedding.LEAD,
         )
@@ -58,10 +58,10 @@
             self.fleet.short_seconds += found.loaded
         if self.suspicion.is_suspect(ticket.digest):
             waiting.lane = queue.SUSPECTS
-        self.enter(waiting)
+        self.add_to_queue(waiting)
         return waiting
 
-    def enter(self, waiting: queue.Waiting) -> None:
+    def add_to_queue(self, waiting: queue.WaitingTicket) -> None:
         """Put a ticket into the queue and where else it has to stand."""
         if waiting.lane.is_suspect:
             self.suspects[waiting.ticket.ticket_id] = waiting
@@ -69,34 +69,37 @@
         self.risks.add(waiting.risk_from, waiting)
         self.expiries.add(waiting.start_by, waiting)
 
-    def change_lane(self, waiting: queue.Waiting) -> None:
+    def change_lane(self, waiting: queue.WaitingTicket) -> None:
         """Let a queued ticket run alone from now on, or no longer."""
-        self.leave(waiting)
+        self.remove_from_queue(waiting)
         lane = queue.SUSPECTS
         if waiting.lane.is_suspect:
             lane = queue.Lane(False, waiting.ticket.idempotent)
         # A new entry: the old one still stands in its old lane's heap.
-        self.enter(msgspec.structs.replace(waiting, lane=lane))
+        self.add_to_queue(msgspec.structs.replace(waiting, lane=lane))
 
-    def leave(self, waiting: queue.Waiting) -> None:
+    def remove_from_queue(self, waiting: queue.WaitingTicket) -> None:
         """Take a ticket out of the queue."""
         ticket_id = waiting.ticket.ticket_id
         self.queue.remove(ticket_id)
         self.suspects.pop(ticket_id, None)
 
     def grant(
-        self, waiting: queue.Waiting, server: servers.ServerState, now: ids.Instant
+        self,
+        waiting: queue.WaitingTicket,
+        server: servers.ServerState,
+        now: ids.Instant,
     ) -> scheduler.Outgoing:
         """Give a slot to a queued ticket."""
         ticket = waiting.ticket
-        running = describe(waiting, server, now)
+        running = new_running(waiting, server, now)
         self.queue.charge(ticket, running.charged)
-        self.leave(waiting)
+        self.remove_from_queue(waiting)
         self.fleet.start(server, running, now)
         server.index.note_grant(ticket.prefix)
-        return self.tell_grant(ticket, server)
+        return self.grant_message(ticket, server)
 
-    def tell_grant(
+    def grant_message(
         self, ticket: messages.Ticket, server: servers.ServerState
     ) -> scheduler.Outgoing:
         """Return the message that a ticket holds a slot."""
@@ -112,13 +115,13 @@
         return scheduler.Outgoing(ticket.entry, grant)
 
     def refuse(
-        self, waiting: queue.Waiting, reason: messages.RefusalReason
+        self, waiting: queue.WaitingTicket, reason: messages.RefusalReason
     ) -> scheduler.Outgoing:
         """Take a ticket out of the queue for good."""
-        self.leave(waiting)
-        return self.tell_refusal(waiting.ticket, reason)
+        self.remove_from_queue(waiting)
+        return self.refusal_message(waiting.ticket, reason)
 
-    def tell_refusal(
+    def refusal_message(
         self, ticket: messages.Ticket, reason: messages.RefusalReason
     ) -> scheduler.Outgoing:
         """Return the message that a ticket won't get a slot."""
@@ -132,12 +135,12 @@
         """Take in a request that another dispatcher granted."""
         queued = self.queue.tickets.get(ticket.ticket_id)
         if queued is not None:
-            self.leave(queued)
+            self.remove_from_queue(queued)
         server = self.fleet.servers.get(ticket.running_on)
         if server is None:
             return
         if ticket.ticket_id in server.running:
-            server.running[ticket.ticket_id].tell(ticket, now)
+            server.running[ticket.ticket_id].refresh(ticket, now)
             return
         self.fleet.end(ticket.ticket_id, now)
         tokens = ticket.prompt_tokens + ticket.output_tokens
@@ -148,7 +151,7 @@
             deadline=ids.Instant(now + remaining),
             is_short=tokens <= self.fleet.short_tokens,
             uncached=float(ticket.prompt_tokens),
-            told=now,
+            refreshed_at=now,
         )
         self.fleet.start(server, running, now)
         server.index.note_grant(ticket.prefix)
@@ -181,8 +184,8 @@
     return ids.Instant(deadline - choice.DEADLINE_MARGIN - seconds)
 
 
-def describe(
-    waiting: queue.Waiting, server: servers.ServerState, now: ids.Instant
+def new_running(
+    waiting: queue.WaitingTicket, server: servers.ServerState, now: ids.Instant
 ) -> servers.Running:
     """Return what is remembered of a ticket while it holds a slot."""
     ticket = waiting.ticket
@@ -196,7 +199,7 @@
         ticket=ticket,
         started=now,
         deadline=waiting.deadline,
-        told=now,
+        refreshed_at=now,
         is_short=waiting.lane.is_short,
         uncached=uncached,
         expected_first=first,
--- a/src/tealcove/dispatch/choice.py
+++ b/src/tealcove/dispatch/choice.py
@@ -50,7 +50,7 @@
 
 
 def choose(
-    waiting: queue.Waiting,
+    waiting: queue.WaitingTicket,
     found: Iterable[servers.ServerState],
     now: ids.Instant,
     crowd: int,
@@ -80,7 +80,7 @@
 
 
 def has_room(
-    server: servers.ServerState, waiting: queue.Waiting, keeps_short: bool
+    server: servers.ServerState, waiting: queue.WaitingTicket, keeps_short: bool
 ) -> bool:
     """Tell whether a server has a slot free that a ticket may take."""
     if waiting.lane.is_short:
@@ -89,7 +89,7 @@
 
 
 def is_probe(
-    server: servers.ServerState, waiting: queue.Waiting, now: ids.Instant
+    server: servers.ServerState, waiting: queue.WaitingTicket, now: ids.Instant
 ) -> bool:
     """Tell whether a ticket may try out a server that was too slow.
 
--- a/src/tealcove/dispatch/fair.py
+++ b/src/tealcove/dispatch/fair.py
@@ -80,22 +80,22 @@
         server = self.state.fleet.where.get(ticket.ticket_id)
         if server is not None:
             # The entry asks again: it didn't get the grant.
-            server.running[ticket.ticket_id].told = now
-            return [self.state.tell_grant(ticket, server)]
+            server.running[ticket.ticket_id].refreshed_at = now
+            return [self.state.grant_message(ticket, server)]
         queued = messages.Queued(ticket_id=ticket.ticket_id)
         answer = scheduler.Outgoing(ticket.entry, queued)
         known = self.state.queue.tickets.get(ticket.ticket_id)
         if known is not None:
-            known.told = now
+            known.refreshed_at = now
             return [answer]
         usable = self.state.fleet.usable(ticket)
         found = choice.estimate(ticket, usable)
-        reason = self.reason_against(ticket, found)
-        if not usable and reason is None and not self.is_return_likely(ticket):
+        reason = self.refusal_reason(ticket, found)
+        if not usable and reason is None and not self.may_become_usable(ticket):
             reason = messages.RefusalReason.NO_BACKEND_SERVER
         if reason is not None:
-            return [self.state.tell_refusal(ticket, reason)]
-        waiting = self.state.wait(ticket, found, now)
+            return [self.state.refusal_message(ticket, reason)]
+        waiting = self.state.queue_ticket(ticket, found, now)
         outgoing = []
         if not waiting.lane.is_suspect and not self.is_gathering:
             outgoing.extend(self.filling.place(waiting, now))
@@ -103,7 +103,7 @@
         # A grant or refusal at once says as well that this dispatcher is there.
         return [answer, *outgoing] if waiting.is_queued else outgoing
 
-    def reason_against(
+    def refusal_reason(
         self, ticket: messages.Ticket, found: choice.Estimate
     ) -> messages.RefusalReason | None:
         """Return why a ticket isn't queued, if so."""
@@ -115,7 +115,7 @@
             return messages.RefusalReason.DEADLINE
         return None
 
-    def is_return_likely(self, ticket: messages.Ticket) -> bool:
+    def may_become_usable(self, ticket: messages.Ticket) -> bool:
         """Tell whether a server that can't be reached just now may come back."""
         return any(
             name not in ticket.excluded and not server.leaving and not server.reachable
@@ -128,7 +128,7 @@
         """See Scheduler."""
         waiting = self.state.queue.tickets.get(ticket_id)
         if waiting is not None:
-            self.state.leave(waiting)
+            self.state.remove_from_queue(waiting)
         return self.end(ticket_id, 0.0, now)
 
     def progress(
@@ -231,12 +231,12 @@
         """See Scheduler."""
         for waiting in list(self.state.queue.tickets.values()):
             if waiting.ticket.entry == entry:
-                self.state.leave(waiting)
+                self.state.remove_from_queue(waiting)
         for server in self.state.fleet.servers.values():
             for running in server.running.values():
-                if running.ticket.entry == entry and running.ends_by is None:
-                    ends_by = min(running.deadline, now + ORPHAN_SECONDS)
-                    running.ends_by = ids.Instant(ends_by)
+                if running.ticket.entry == entry and running.orphaned_until is None:
+                    orphaned_until = min(running.deadline, now + ORPHAN_SECONDS)
+                    running.orphaned_until = ids.Instant(orphaned_until)
         return self.decide((), now)
 
     def tick(self, now: ids.Instant) -> list[scheduler.Outgoing]:
@@ -245,7 +245,7 @@
             return self.decide((), now)
         self.next_review = ids.Instant(now + REVIEW_INTERVAL)
         found = self.state.fleet.servers.values()
-        self.drop_untold(now)
+        self.drop_stale_tickets(now)
         for server in found:
             self.drop_orphans(server, now)
         stragglers.judge(found, now)
@@ -255,24 +255,26 @@
     def drop_orphans(self, server: servers.ServerState, now: ids.Instant) -> None:
         """Take back slots whose end nobody will tell of."""
         for ticket_id, running in list(server.running.items()):
-            is_orphan = running.ends_by is not None and running.ends_by <= now
-            if running.ends_by is not None and not server.reachable:
+            is_orphan = (
+                running.orphaned_until is not None and running.orphaned_until <= now
+            )
+            if running.orphaned_until is not None and not server.reachable:
                 # The entry that would have told of the crash is gone as well.
                 alone = server.isolated == ticket_id
                 self.state.suspicion.lost(running.ticket, server.name, alone, now)
                 is_orphan = True
             # Of a lost entry's requests nobody tells: they have the time above.
-            is_untold = running.ends_by is None and (
-                now - running.told > scheduler.UNTOLD_SECONDS
+            is_stale = running.orphaned_until is None and (
+                now - running.refreshed_at > scheduler.UNTOLD_SECONDS
             )
-            if is_orphan or is_untold:
+            if is_orphan or is_stale:
                 self.state.end(ticket_id, now, running.charged)
 
-    def drop_untold(self, now: ids.Instant) -> None:
+    def drop_stale_tickets(self, now: ids.Instant) -> None:
         """Forget queued tickets whose withdrawal must have got lost."""
         for waiting in list(self.state.queue.tickets.values()):
-            if now - waiting.told > scheduler.UNTOLD_SECONDS:
-                self.state.leave(waiting)
+            if now - waiting.refreshed_at > scheduler.UNTOLD_SECONDS:
+                self.state.remove_from_queue(waiting)
 
     def decide(
         self, freed: Iterable[servers.ServerState], now: ids.Instant
--- a/src/tealcove/dispatch/filling.py
+++ b/src/tealcove/dispatch/filling.py
@@ -49,7 +49,9 @@
         accounts = self.state.queue.tiers[rank].accounts.values()
         waiting_accounts = [account for account in accounts if account.count]
         for account in sorted(waiting_accounts, key=account_order):
-            for waiting in itertools.islice(account.heads(lanes), LOOK_AHEAD):
+            for waiting in itertools.islice(
+                account.tickets_in_order(lanes), LOOK_AHEAD
+            ):
                 server = self.choose(waiting, free, now)
                 if server is not None:
                     return self.grant(waiting, server, now)
@@ -69,7 +71,7 @@
         ]
 
     def place(
-        self, waiting: queue.Waiting, now: ids.Instant
+        self, waiting: queue.WaitingTicket, now: ids.Instant
     ) -> list[scheduler.Outgoing]:
         """Grant a new ticket one of the slots that nobody before it could use."""
         fleet = self.state.fleet
@@ -81,7 +83,7 @@
 
     def choose(
         self,
-        waiting: queue.Waiting,
+        waiting: queue.WaitingTicket,
         free: list[servers.ServerState],
         now: ids.Instant,
     ) -> servers.ServerState | None:
@@ -90,7 +92,10 @@
         return choice.choose(waiting, free, now, crowd, keeps_short=True)
 
     def grant(
-        self, waiting: queue.Waiting, server: servers.ServerState, now: ids.Instant
+        self,
+        waiting: queue.WaitingTicket,
+        server: servers.ServerState,
+        now: ids.Instant,
     ) -> scheduler.Outgoing:
         """Grant a slot; a server that is probed has had its probe."""
         is_probe = server.pace is not servers.Pace.NORMAL and choice.is_probe(
@@ -105,4 +110,4 @@
 
 def account_order(account: queue.Account) -> tuple[float, float]:
     """Return the order of accounts: least start tag, then the oldest ticket."""
-    return (account.tag, account.since)
+    return (account.start_tag, account.oldest_arrival)
--- a/src/tealcove/dispatch/isolation.py
+++ b/src/tealcove/dispatch/isolation.py
@@ -83,7 +83,7 @@
                 return
 
     def find_server(
-        self, waiting: queue.Waiting, now: ids.Instant
+        self, waiting: queue.WaitingTicket, now: ids.Instant
     ) -> servers.ServerState | None:
         """Return the server that ends a suspect soonest, in time."""
         best = None
@@ -106,6 +106,6 @@
     return max(ends)
 
 
-def order(waiting: queue.Waiting) -> tuple[int, float]:
+def order(waiting: queue.WaitingTicket) -> tuple[int, float]:
     """Return the order of suspects: tier, then least slack."""
     return (waiting.ticket.tier_rank, waiting.start_by)
--- a/src/tealcove/dispatch/pressure.py
+++ b/src/tealcove/dispatch/pressure.py
@@ -22,7 +22,7 @@
 
     def __init__(self, state: cellstate.CellState) -> None:
         self.state = state
-        self.at_risk: dict[ids.TicketId, queue.Waiting] = {}
+        self.at_risk: dict[ids.TicketId, queue.WaitingTicket] = {}
 
     def advance(self, now: ids.Instant, is_gathering: bool) -> list[scheduler.Outgoing]:
         """Stop lower work for tickets at risk and refuse what is too late.
@@ -58,7 +58,7 @@
 
     def rescue(
         self,
-        waiting: queue.Waiting,
+        waiting: queue.WaitingTicket,
         ahead: int,
         now: ids.Instant,
         is_gathering: bool,
@@ -66,14 +66,14 @@
         """Find a slot for one ticket, at the cost of lower tiers only."""
         rank = waiting.ticket.tier_rank
         fleet = self.state.fleet
-        if waiting.lane.is_suspect or now < waiting.look_again:
+        if waiting.lane.is_suspect or now < waiting.next_attempt:
             return None
         has_lower = fleet.runs_below(rank) or self.state.queue.has_below(rank)
         if not (has_lower or is_gathering):
             return None
         if fleet.keeps_back(rank, waiting.lane.idempotent):
             return None
-        waiting.look_again = ids.Instant(now + shedding.STOP_SECONDS)
+        waiting.next_attempt = ids.Instant(now + shedding.STOP_SECONDS)
         server = choice.choose(
             waiting, fleet.servers.values(), now, 0, keeps_short=False
         )
@@ -87,13 +87,13 @@
         return None if victim is None else self.stop(victim, waiting, now)
 
     def stop(
-        self, victim: servers.Running, waiting: queue.Waiting, now: ids.Instant
+        self, victim: servers.Running, waiting: queue.WaitingTicket, now: ids.Instant
     ) -> scheduler.Outgoing:
         """Have a running request stopped for a ticket."""
         self.state.fleet.note_preempted(victim, now)
         victim.preempted_for = waiting.ticket.ticket_id
-        waiting.promised_until = ids.Instant(now + shedding.STOP_TIMEOUT)
-        waiting.look_again = waiting.promised_until
+        waiting.preemption_deadline = ids.Instant(now + shedding.STOP_TIMEOUT)
+        waiting.next_attempt = waiting.preemption_deadline
         ticket = victim.ticket
         after = shedding.retry_after(
             self.state.queue, self.state.fleet, ticket.tier_rank
@@ -102,14 +102,14 @@
         return scheduler.Outgoing(ticket.entry, preempt)
 
     def expire(
-        self, waiting: queue.Waiting, now: ids.Instant
+        self, waiting: queue.WaitingTicket, now: ids.Instant
     ) -> list[scheduler.Outgoing]:
         """Refuse a ticket that can't end in time any more."""
         if not waiting.is_queued:
             # Shed a moment ago, together with its tier.
             return []
-        if now < waiting.promised_until:
-            self.state.expiries.add(waiting.promised_until, waiting)
+        if now < waiting.preemption_deadline:
+            self.state.expiries.add(waiting.preemption_deadline, waiting)
             return []
         usable = self.state.fleet.usable(waiting.ticket)
         if not usable:
@@ -123,7 +123,7 @@
             return []
         return self.shed(waiting)
 
-    def shed(self, waiting: queue.Waiting) -> list[scheduler.Outgoing]:
+    def shed(self, waiting: queue.WaitingTicket) -> list[scheduler.Outgoing]:
         """Refuse a ticket, for overload only if nothing lower is served.
 
         What is queued of lower tiers is refused first. Where lower work still
@@ -142,7 +142,7 @@
         return [*outgoing, self.state.refuse(waiting, overload)]
 
 
-def rank_of(item: tuple[ids.TicketId, queue.Waiting]) -> tuple[int, float]:
+def rank_of(item: tuple[ids.TicketId, queue.WaitingTicket]) -> tuple[int, float]:
     """Return the order in which tickets at risk are looked after."""
     waiting = item[1]
     return (waiting.ticket.tier_rank, waiting.start_by)
--- a/src/tealcove/dispatch/queue.py
+++ b/src/tealcove/dispatch/queue.py
@@ -28,7 +28,7 @@
 LANES = (*SHARED, SUSPECTS)
 
 
-class Waiting(msgspec.Struct, eq=False):
+class WaitingTicket(msgspec.Struct, eq=False):
     """A ticket in the queue."""
 
     ticket: messages.Ticket
@@ -45,12 +45,12 @@
     # Whether its deadline left it time to wait at all.
     had_slack: bool = True
     # Before when looking for a slot by force again is of no use.
-    look_again: ids.Instant = ids.Instant(0.0)
+    next_attempt: ids.Instant = ids.Instant(0.0)
     # Until when a slot that another request was told to leave is awaited.
-    promised_until: ids.Instant = ids.Instant(0.0)
+    preemption_deadline: ids.Instant = ids.Instant(0.0)
     is_queued: bool = False
     # When its entry last told of it.
-    told: ids.Instant = ids.Instant(0.0)
+    refreshed_at: ids.Instant = ids.Instant(0.0)
 
     @property
     def order(self) -> tuple[float, float]:
@@ -62,14 +62,14 @@
     """The tickets of one client account in one tier."""
 
     # Start tag of start-time fair queueing, in tokens.
-    tag: float
+    start_tag: float
     # Heaps of (order, number, ticket); the number keeps tickets from being compared.
-    lanes: dict[Lane, list[tuple[tuple[float, float], int, Waiting]]]
+    lanes: dict[Lane, list[tuple[tuple[float, float], int, WaitingTicket]]]
     count: int = 0
     # The earliest arrival since it last had nothing queued.
-    since: float = math.inf
+    oldest_arrival: float = math.inf
 
-    def heads(self, lanes: list[Lane]) -> Iterator[Waiting]:
+    def tickets_in_order(self, lanes: list[Lane]) -> Iterator[WaitingTicket]:
         """Yield the tickets of some lanes in order; removed ones are skipped.
 
         Each lane's heap is sorted only as far as the caller reads on, which most
@@ -83,12 +83,12 @@
         if first is None:
             return
         yield first[2]
-        for entry in heapq.merge(*(ascend(heap) for heap in heaps)):
+        for entry in heapq.merge(*(iterate_heap(heap) for heap in heaps)):
             if entry[2].is_queued and entry is not first:
                 yield entry[2]
 
 
-def ascend(heap: list[tuple]) -> Iterator[tuple]:
+def iterate_heap(heap: list[tuple]) -> Iterator[tuple]:
     """Yield a heap's entries in order and leave the heap as it is."""
     if not heap:
         return
@@ -107,7 +107,7 @@
     def __init__(self) -> None:
         # The start tag of the last ticket granted: where accounts that come
         # back to the queue start, so that an idle time earns no credit.
-        self.virtual = 0.0
+        self.virtual_time = 0.0
         self.accounts: dict[ids.AccountId, Account] = {}
         self.count = 0
         # Predicted seconds of all queued work.
@@ -118,33 +118,33 @@
     """All queued tickets of a cell, by id and in order."""
 
     def __init__(self) -> None:
-        self.tickets: dict[ids.TicketId, Waiting] = {}
+        self.tickets: dict[ids.TicketId, WaitingTicket] = {}
         self.tiers: dict[int, Tier] = {}
         self.numbers = itertools.count()
 
     def __len__(self) -> int:
         return len(self.tickets)
 
-    def add(self, waiting: Waiting) -> None:
+    def add(self, waiting: WaitingTicket) -> None:
         """Take in a ticket."""
         ticket = waiting.ticket
         tier = self.tiers.setdefault(ticket.tier_rank, Tier())
         account = tier.accounts.get(ticket.account)
         if account is None:
-            account = Account(tier.virtual, {lane: [] for lane in LANES})
+            account = Account(tier.virtual_time, {lane: [] for lane in LANES})
             tier.accounts[ticket.account] = account
         if account.count == 0:
-            account.tag = max(account.tag, tier.virtual)
+            account.start_tag = max(account.start_tag, tier.virtual_time)
         entry = (waiting.order, next(self.numbers), waiting)
         heapq.heappush(account.lanes[waiting.lane], entry)
         account.count += 1
-        account.since = min(account.since, waiting.arrived)
+        account.oldest_arrival = min(account.oldest_arrival, waiting.arrived)
         tier.count += 1
         tier.seconds += waiting.seconds
         waiting.is_queued = True
         self.tickets[ticket.ticket_id] = waiting
 
-    def remove(self, ticket_id: ids.TicketId) -> Waiting | None:
+    def remove(self, ticket_id: ids.TicketId) -> WaitingTicket | None:
         """Take out a ticket; its entry in the heap goes when it reaches the top."""
         waiting = self.tickets.pop(ticket_id, None)
         if waiting is None:
@@ -157,10 +157,10 @@
         tier.count -= 1
         tier.seconds -= waiting.seconds
         if account.count == 0:
-            account.since = math.inf
+            account.oldest_arrival = math.inf
             for heap in account.lanes.values():
                 heap.clear()
-            if account.tag <= tier.virtual:
+            if account.start_tag <= tier.virtual_time:
                 del tier.accounts[ticket.account]
         return waiting
 
@@ -171,14 +171,14 @@
         if account is None:
             return
         if tokens > 0:
-            tier.virtual = max(tier.virtual, account.tag)
-        account.tag = max(account.tag + tokens, 0.0)
+            tier.virtual_time = max(tier.virtual_time, account.start_tag)
+        account.start_tag = max(account.start_tag + tokens, 0.0)
 
     def ranks(self) -> list[int]:
         """Return the tiers with queued tickets, highest first."""
         return sorted(rank for rank, tier in self.tiers.items() if tier.count)
 
-    def below(self, rank: int) -> list[Waiting]:
+    def below(self, rank: int) -> list[WaitingTicket]:
         """Return the tickets of lower tiers, lowest tier first."""
         lower = [w for w in self.tickets.values() if w.ticket.tier_rank > rank]
         return sorted(lower, key=lambda w: -w.ticket.tier_rank)
@@ -187,7 +187,7 @@
         """Tell whether anything of a lower tier is queued."""
         return any(r > rank and tier.count for r, tier in self.tiers.items())
 
-    def seconds_before(self, rank: int) -> float:
+    def backlog_seconds(self, rank: int) -> float:
         """Return the predicted work that goes before a new ticket of a tier."""
         found = (tier.seconds for r, tier in self.tiers.items() if r <= rank)
         return max(0.0, sum(found))
--- a/src/tealcove/dispatch/servers.py
+++ b/src/tealcove/dispatch/servers.py
@@ -54,20 +54,20 @@
     preempted_at: ids.Instant | None = None
     preempted_for: ids.TicketId | None = None
     # When its entry last told of it.
-    told: ids.Instant = ids.Instant(0.0)
+    refreshed_at: ids.Instant = ids.Instant(0.0)
     # Set when the entry is gone, and with it the word of the request's end.
-    ends_by: ids.Instant | None = None
+    orphaned_until: ids.Instant | None = None
 
-    def tell(self, ticket: messages.Ticket, now: ids.Instant) -> None:
+    def refresh(self, ticket: messages.Ticket, now: ids.Instant) -> None:
         """Learn that the request still runs, maybe for another entry by now.
 
         An entry that takes a lost one's run over keeps its ticket. Orders to stop
         it must reach that entry, and the slot isn't free when the old one is missed.
         """
-        self.told = now
+        self.refreshed_at = now
         if ticket.entry != self.ticket.entry:
             self.ticket = ticket
-            self.ends_by = None
+            self.orphaned_until = None
 
     def prefill_spent(self, now: ids.Instant) -> float:
         """Return the prompt tokens computed so far, as far as it is known."""
--- a/src/tealcove/dispatch/shedding.py
+++ b/src/tealcove/dispatch/shedding.py
@@ -22,12 +22,12 @@
 
 def retry_after(waiting: queue.Queue, servers_of_cell: fleet.Fleet, rank: int) -> float:
     """Return the seconds after which the backlog ahead of a tier is worked off."""
-    backlog = waiting.seconds_before(rank) / max(1, servers_of_cell.slots)
+    backlog = waiting.backlog_seconds(rank) / max(1, servers_of_cell.slots)
     return min(LONGEST_RETRY, max(SHORTEST_RETRY, backlog))
 
 
 def frees_itself(
-    waiting: queue.Waiting,
+    waiting: queue.WaitingTicket,
     servers_of_cell: fleet.Fleet,
     ahead: int,
     now: ids.Instant,
@@ -50,7 +50,7 @@
 
 
 def find_victim(
-    waiting: queue.Waiting, servers_of_cell: fleet.Fleet, now: ids.Instant
+    waiting: queue.WaitingTicket, servers_of_cell: fleet.Fleet, now: ids.Instant
 ) -> servers.Running | None:
     """Return the running request to stop for a ticket; None when none may be.
 
@@ -76,13 +76,13 @@
 
 
 def may_stop(
-    running: servers.Running, waiting: queue.Waiting, now: ids.Instant
+    running: servers.Running, waiting: queue.WaitingTicket, now: ids.Instant
 ) -> bool:
     """Tell whether a request may be stopped for a ticket."""
     ticket = running.ticket
     if not ticket.idempotent or ticket.tier_rank <= waiting.ticket.tier_rank:
         return False
-    return running.preempted_at is None and running.ends_by is None
+    return running.preempted_at is None and running.orphaned_until is None
 
 
 def victim_key(running: servers.Running, now: ids.Instant) -> tuple[int, bool, float]:
