--- a/src/tealcove/dispatch/cellstate.py
+++ b/src/tealcove/dispatch/cellstate.py
@@ -109,7 +109,7 @@
             server=server.name,
             host=server.spec.host,
             port=server.spec.port,
-            alone=server.isolated == ticket.ticket_id,
+            alone=server.isolated_ticket == ticket.ticket_id,
             revision=self.fleet.revision,
         )
         return scheduler.Outgoing(ticket.entry, grant)
@@ -190,11 +190,11 @@
     """Return what is remembered of a ticket while it holds a slot."""
     ticket = waiting.ticket
     uncached = server.uncached_tokens(ticket)
-    first = expected = math.inf
+    first = expected_total = math.inf
     if server.is_known:
         others = server.spec.slots - 1.0
         first = server.model.prefill.at(uncached)
-        expected = server.model.predict(uncached, ticket.output_tokens, others)
+        expected_total = server.model.predict(uncached, ticket.output_tokens, others)
     return servers.Running(
         ticket=ticket,
         started=now,
@@ -203,6 +203,6 @@
         is_short=waiting.lane.is_short,
         uncached=uncached,
         expected_first=first,
-        expected=expected,
+        expected_total=expected_total,
         charged=uncached + ticket.output_tokens,
     )
--- a/src/tealcove/dispatch/choice.py
+++ b/src/tealcove/dispatch/choice.py
@@ -28,22 +28,24 @@
     tokens: float
 
 
-def estimate(ticket: messages.Ticket, found: Iterable[servers.ServerState]) -> Estimate:
+def estimate(
+    ticket: messages.Ticket, candidates: Iterable[servers.ServerState]
+) -> Estimate:
     """Return the best of some servers; zeros when there are none."""
     idle = loaded = least = math.inf
     slowest = 0.0
     output = ticket.output_tokens
-    for server in found:
+    for server in candidates:
         uncached = server.uncached_tokens(ticket)
-        alone, crowded = server.bounds(uncached, output)
+        alone, full_batch = server.bounds(uncached, output)
         if uncached < least:
             least = uncached
         if alone < idle:
             idle = alone
-        if crowded < loaded:
-            loaded = crowded
-        if server.pace is servers.Pace.NORMAL and slowest < crowded < math.inf:
-            slowest = crowded
+        if full_batch < loaded:
+            loaded = full_batch
+        if server.pace is servers.Pace.NORMAL and slowest < full_batch < math.inf:
+            slowest = full_batch
     if least == math.inf:
         return Estimate(0.0, 0.0, 0.0, ticket.prompt_tokens + output)
     return Estimate(idle, loaded, slowest, least + output)
@@ -51,20 +53,20 @@
 
 def choose(
     waiting: queue.WaitingTicket,
-    found: Iterable[servers.ServerState],
+    candidates: Iterable[servers.ServerState],
     now: ids.Instant,
-    crowd: int,
-    keeps_short: bool,
+    queued_count: int,
+    keep_reserved: bool,
 ) -> servers.ServerState | None:
     """Return the server with a free slot that ends a ticket soonest, in time.
 
-    `crowd` is how many tickets wait: they will soon fill the batch, so that a
+    `queued_count` is how many tickets wait: they will soon fill the batch, so that a
     prediction for the batch of now would be too good.
     """
     best = None
     best_seconds = waiting.deadline - DEADLINE_MARGIN - now
-    for server in found:
-        if not has_room(server, waiting, keeps_short):
+    for server in candidates:
+        if not has_free_slot(server, waiting, keep_reserved):
             continue
         if server.name in waiting.ticket.excluded:
             continue
@@ -72,20 +74,20 @@
             return server
         if server.pace is servers.Pace.PROBED:
             continue
-        others = min(server.spec.slots - 1, len(server.running) + crowd)
-        seconds = server.seconds(waiting.ticket, others)
+        others = min(server.spec.slots - 1, len(server.running) + queued_count)
+        seconds = server.predict_total(waiting.ticket, others)
         if seconds <= best_seconds:
             best, best_seconds = server, seconds
     return best
 
 
-def has_room(
-    server: servers.ServerState, waiting: queue.WaitingTicket, keeps_short: bool
+def has_free_slot(
+    server: servers.ServerState, waiting: queue.WaitingTicket, keep_reserved: bool
 ) -> bool:
     """Tell whether a server has a slot free that a ticket may take."""
     if waiting.lane.is_short:
-        return server.free() > 0
-    return server.free_long(keeps_short) > 0
+        return server.free_slots() > 0
+    return server.free_long_slots(keep_reserved) > 0
 
 
 def is_probe(
@@ -104,5 +106,7 @@
     if now > waiting.start_by - PROBE_SLACK:
         return False
     ticket = waiting.ticket
-    usual = server.baseline.predict(ticket.prompt_tokens, ticket.output_tokens, 0.0)
-    return now + usual + DEADLINE_MARGIN <= waiting.deadline
+    baseline_seconds = server.baseline.predict(
+        ticket.prompt_tokens, ticket.output_tokens, 0.0
+    )
+    return now + baseline_seconds + DEADLINE_MARGIN <= waiting.deadline
--- a/src/tealcove/dispatch/fair.py
+++ b/src/tealcove/dispatch/fair.py
@@ -55,11 +55,11 @@
         self.is_gathering = True
         self.gather_until = until
         for server in self.state.fleet.servers.values():
-            server.forget_expected()
+            server.discard_predictions()
 
     def depth(self) -> tuple[int, int]:
         """See Scheduler."""
-        return len(self.state.queue), len(self.state.fleet.where)
+        return len(self.state.queue), len(self.state.fleet.server_of_ticket)
 
     def configure(self, cell: cells.Cell, now: ids.Instant) -> list[scheduler.Outgoing]:
         """See Scheduler."""
@@ -77,7 +77,7 @@
         if ticket.running_on is not None:
             self.state.adopt(ticket, now)
             return []
-        server = self.state.fleet.where.get(ticket.ticket_id)
+        server = self.state.fleet.server_of_ticket.get(ticket.ticket_id)
         if server is not None:
             # The entry asks again: it didn't get the grant.
             server.running[ticket.ticket_id].refreshed_at = now
@@ -135,7 +135,7 @@
         self, progress: messages.Progress, now: ids.Instant
     ) -> list[scheduler.Outgoing]:
         """See Scheduler."""
-        server = self.state.fleet.where.get(progress.ticket_id)
+        server = self.state.fleet.server_of_ticket.get(progress.ticket_id)
         if server is not None:
             server.running[progress.ticket_id].has_first_token = True
         return []
@@ -165,7 +165,7 @@
         outgoing = []
         promised = self.state.queue.tickets.get(running.preempted_for)
         if promised is not None:
-            found = choice.choose(promised, (server,), now, 0, keeps_short=False)
+            found = choice.choose(promised, (server,), now, 0, keep_reserved=False)
             if found is not None:
                 outgoing.append(self.state.grant(promised, found, now))
         freed = (server,)
@@ -187,7 +187,7 @@
         found.reachable = load is not None
         if load is not None:
             found.leaving = load.state == "leaving"
-            found.take_report(load, now)
+            found.apply_load_report(load, now)
         return self.decide((found,), now)
 
     def cached(
@@ -249,7 +249,7 @@
         for server in found:
             self.drop_orphans(server, now)
         stragglers.judge(found, now)
-        self.state.fleet.keep_short(now)
+        self.state.fleet.update_short_reservation(now)
         return self.decide(found, now)
 
     def drop_orphans(self, server: servers.ServerState, now: ids.Instant) -> None:
@@ -260,7 +260,7 @@
             )
             if running.orphaned_until is not None and not server.reachable:
                 # The entry that would have told of the crash is gone as well.
-                alone = server.isolated == ticket_id
+                alone = server.isolated_ticket == ticket_id
                 self.state.suspicion.lost(running.ticket, server.name, alone, now)
                 is_orphan = True
             # Of a lost entry's requests nobody tells: they have the time above.
--- a/src/tealcove/dispatch/filling.py
+++ b/src/tealcove/dispatch/filling.py
@@ -32,13 +32,13 @@
         """Grant free slots in the queue's order until none fits any more."""
         outgoing = []
         for rank in self.state.queue.ranks():
-            free = [server for server in freed if server.free() > 0]
+            free = [server for server in freed if server.free_slots() > 0]
             while free:
                 granted = self.fill_one(rank, free, now)
                 if granted is None:
                     break
                 outgoing.append(granted)
-                free = [server for server in free if server.free() > 0]
+                free = [server for server in free if server.free_slots() > 0]
         return outgoing
 
     def fill_one(
@@ -62,12 +62,12 @@
     ) -> list[queue.Lane]:
         """Return the lanes that some of the free slots are open to."""
         fleet = self.state.fleet
-        long_open = any(s.free_long(keeps_short=True) > 0 for s in free)
+        long_open = any(s.free_long_slots(keep_reserved=True) > 0 for s in free)
         return [
             lane
             for lane in queue.SHARED
             if (lane.is_short or long_open)
-            and not fleet.keeps_back(rank, lane.idempotent)
+            and not fleet.at_non_idempotent_limit(rank, lane.idempotent)
         ]
 
     def place(
@@ -75,9 +75,11 @@
     ) -> list[scheduler.Outgoing]:
         """Grant a new ticket one of the slots that nobody before it could use."""
         fleet = self.state.fleet
-        if fleet.keeps_back(waiting.ticket.tier_rank, waiting.lane.idempotent):
+        if fleet.at_non_idempotent_limit(
+            waiting.ticket.tier_rank, waiting.lane.idempotent
+        ):
             return []
-        free = [server for server in fleet.servers.values() if server.free() > 0]
+        free = [server for server in fleet.servers.values() if server.free_slots() > 0]
         server = self.choose(waiting, free, now)
         return [] if server is None else [self.grant(waiting, server, now)]
 
@@ -88,8 +90,8 @@
         now: ids.Instant,
     ) -> servers.ServerState | None:
         """Return the server for a ticket, among some with free slots."""
-        crowd = len(self.state.queue)
-        return choice.choose(waiting, free, now, crowd, keeps_short=True)
+        queued_count = len(self.state.queue)
+        return choice.choose(waiting, free, now, queued_count, keep_reserved=True)
 
     def grant(
         self,
--- a/src/tealcove/dispatch/fleet.py
+++ b/src/tealcove/dispatch/fleet.py
@@ -10,7 +10,7 @@
 # Part of a cell's slots that non-idempotent work of lower tiers can't take; at
 # least one slot. Such work can't be preempted, so if it held all slots a higher
 # tier would have to be refused while lower work is being served.
-STOPPABLE_SHARE = 0.25
+PREEMPTIBLE_SHARE = 0.25
 TOP_RANK = 0
 # Slots kept for short work, by the slots that it would fill all the time.
 SHORT_HEADROOM = 1.5
@@ -23,11 +23,11 @@
 
     def __init__(self) -> None:
         self.servers: dict[ids.BackendServerId, servers.ServerState] = {}
-        self.where: dict[ids.TicketId, servers.ServerState] = {}
+        self.server_of_ticket: dict[ids.TicketId, servers.ServerState] = {}
         # Running requests by tier: all, and those that a higher tier may stop.
         self.running: collections.Counter[int] = collections.Counter()
-        self.stoppable: collections.Counter[int] = collections.Counter()
-        self.unstoppable_lower = 0
+        self.preemptible: collections.Counter[int] = collections.Counter()
+        self.non_preemptible_lower = 0
         self.slots = 0
         # Of the pool that the servers are of.
         self.revision = ids.Revision(0)
@@ -57,10 +57,10 @@
             if name not in names:
                 lost.extend(self.servers.pop(name).running)
         self.slots = sum(spec.slots for spec in cell.servers)
-        self.set_kept()
+        self.reserve_short_slots()
         return lost
 
-    def keep_short(self, now: ids.Instant) -> None:
+    def update_short_reservation(self, now: ids.Instant) -> None:
         """Follow the amount of short work with the slots that are kept for it."""
         seconds = now - self.short_since
         if seconds <= 0.0:
@@ -73,9 +73,9 @@
             self.short_demand = self.slots * self.short_share / SHORT_HEADROOM
         self.short_since = now
         self.short_seconds = 0.0
-        self.set_kept()
+        self.reserve_short_slots()
 
-    def set_kept(self) -> None:
+    def reserve_short_slots(self) -> None:
         """Keep slots of each server for short work.
 
         The pool's share is the most; less is kept where little short work comes,
@@ -88,59 +88,59 @@
             share = min(share, wanted)
         for server in self.servers.values():
             most = int(server.spec.slots * self.short_share)
-            server.kept_short = max(min(1, most), int(server.spec.slots * share))
+            server.reserved_short = max(min(1, most), int(server.spec.slots * share))
 
     def start(
         self, server: servers.ServerState, running: servers.Running, now: ids.Instant
     ) -> None:
         """Give a slot to a ticket."""
         server.start(running, now)
-        self.where[running.ticket.ticket_id] = server
-        self.count(running, 1)
+        self.server_of_ticket[running.ticket.ticket_id] = server
+        self.update_counts(running, 1)
 
     def end(
         self, ticket_id: ids.TicketId, now: ids.Instant
     ) -> tuple[servers.ServerState, servers.Running] | None:
         """Take a ticket's slot back; None when it holds none."""
-        server = self.where.pop(ticket_id, None)
+        server = self.server_of_ticket.pop(ticket_id, None)
         if server is None:
             return None
         running = server.end(ticket_id, now)
-        self.count(running, -1)
+        self.update_counts(running, -1)
         if running.preempted_at is None:
-            self.stoppable[running.ticket.tier_rank] -= running.ticket.idempotent
+            self.preemptible[running.ticket.tier_rank] -= running.ticket.idempotent
         return server, running
 
-    def count(self, running: servers.Running, change: int) -> None:
+    def update_counts(self, running: servers.Running, change: int) -> None:
         """Keep the counts by tier; a preempted request is stoppable no more."""
         ticket = running.ticket
         self.running[ticket.tier_rank] += change
         if change > 0:
-            self.stoppable[ticket.tier_rank] += ticket.idempotent
+            self.preemptible[ticket.tier_rank] += ticket.idempotent
         if not ticket.idempotent and ticket.tier_rank > TOP_RANK:
-            self.unstoppable_lower += change
+            self.non_preemptible_lower += change
 
     def note_preempted(self, running: servers.Running, now: ids.Instant) -> None:
         """Remember that an entry was told to stop a request."""
         if running.preempted_at is None:
-            self.stoppable[running.ticket.tier_rank] -= 1
+            self.preemptible[running.ticket.tier_rank] -= 1
         running.preempted_at = now
 
     def runs_below(self, rank: int) -> bool:
         """Tell whether work of a lower tier runs."""
         return any(count > 0 and r > rank for r, count in self.running.items())
 
-    def can_stop_below(self, rank: int) -> bool:
+    def can_preempt_below(self, rank: int) -> bool:
         """Tell whether work of a lower tier runs that may be stopped."""
-        return any(count > 0 and r > rank for r, count in self.stoppable.items())
+        return any(count > 0 and r > rank for r, count in self.preemptible.items())
 
-    def keeps_back(self, rank: int, idempotent: bool) -> bool:
+    def at_non_idempotent_limit(self, rank: int, idempotent: bool) -> bool:
         """Tell whether non-idempotent work has to leave the free slots alone."""
         if idempotent or rank <= TOP_RANK:
             return False
-        kept = max(1, int(self.slots * STOPPABLE_SHARE))
+        kept = max(1, int(self.slots * PREEMPTIBLE_SHARE))
         # A cell of one slot would otherwise never run such work.
-        return self.unstoppable_lower >= max(1, self.slots - kept)
+        return self.non_preemptible_lower >= max(1, self.slots - kept)
 
     def usable(self, ticket: messages.Ticket) -> list[servers.ServerState]:
         """Return the servers that a ticket might run on."""
--- a/src/tealcove/dispatch/isolation.py
+++ b/src/tealcove/dispatch/isolation.py
@@ -70,7 +70,7 @@
         is_kept = self.state.fleet.servers.get(self.server.name) is self.server
         if is_queued and is_kept and self.server.is_usable:
             return
-        self.server.isolated = None
+        self.server.isolated_ticket = None
         self.server = self.ticket_id = None
 
     def choose(self, now: ids.Instant) -> None:
@@ -79,7 +79,7 @@
             server = self.find_server(waiting, now)
             if server is not None:
                 self.server, self.ticket_id = server, waiting.ticket.ticket_id
-                server.isolated = self.ticket_id
+                server.isolated_ticket = self.ticket_id
                 return
 
     def find_server(
@@ -89,9 +89,9 @@
         best = None
         best_end = waiting.deadline - choice.DEADLINE_MARGIN
         for server in self.state.fleet.usable(waiting.ticket):
-            if server.foreign or server.pace is servers.Pace.PROBED:
+            if server.foreign_running or server.pace is servers.Pace.PROBED:
                 continue
-            end = empty_at(server, now) + server.seconds(waiting.ticket, 0.0)
+            end = empty_at(server, now) + server.predict_total(waiting.ticket, 0.0)
             if end <= best_end:
                 best, best_end = server, end
         return best
@@ -101,7 +101,7 @@
     """Return when the last running request is predicted to end."""
     ends = [now]
     for running in server.running.values():
-        seconds = running.expected if running.expected != math.inf else 0.0
+        seconds = running.expected_total if running.expected_total != math.inf else 0.0
         ends.append(running.started + seconds)
     return max(ends)
 
--- a/src/tealcove/dispatch/pressure.py
+++ b/src/tealcove/dispatch/pressure.py
@@ -71,15 +71,15 @@
         has_lower = fleet.runs_below(rank) or self.state.queue.has_below(rank)
         if not (has_lower or is_gathering):
             return None
-        if fleet.keeps_back(rank, waiting.lane.idempotent):
+        if fleet.at_non_idempotent_limit(rank, waiting.lane.idempotent):
             return None
         waiting.next_attempt = ids.Instant(now + shedding.STOP_SECONDS)
         server = choice.choose(
-            waiting, fleet.servers.values(), now, 0, keeps_short=False
+            waiting, fleet.servers.values(), now, 0, keep_reserved=False
         )
         if server is not None:
             return self.state.grant(waiting, server, now)
-        if not fleet.can_stop_below(rank):
+        if not fleet.can_preempt_below(rank):
             return None
         if shedding.frees_itself(waiting, fleet, ahead, now):
             return None
--- a/src/tealcove/dispatch/servers.py
+++ b/src/tealcove/dispatch/servers.py
@@ -42,7 +42,7 @@
     # Seconds to the first and to the last token, predicted for a full batch;
     # infinite when the server's speed wasn't known.
     expected_first: float = math.inf
-    expected: float = math.inf
+    expected_total: float = math.inf
     # Tokens charged to the client account.
     charged: float = 0.0
     has_first_token: bool = False
@@ -86,15 +86,15 @@
         self.running: dict[ids.TicketId, Running] = {}
         self.long_running = 0
         # Slots that long work may not take.
-        self.kept_short = 0
+        self.reserved_short = 0
         self.reachable = True
         self.leaving = False
         # Set while a suspect runs alone or the server empties for it.
-        self.isolated: ids.TicketId | None = None
+        self.isolated_ticket: ids.TicketId | None = None
         self.index = prefixindex.PrefixIndex()
         # Its own observations, and the slower average of the same.
         self.speed = speeds.default()
-        self.usual = speeds.default()
+        self.long_term_speed = speeds.default()
         self.learned_at = ids.Instant(0.0)
         # What speeds are predicted from while it has no observations.
         self.prior: speeds.Speed | None = None
@@ -104,7 +104,7 @@
         self.probe_at = ids.Instant(0.0)
         self.probe_interval = 0.0
         # Requests of other dispatchers that hold its slots.
-        self.foreign = 0
+        self.foreign_running = 0
         self.excess_since: ids.Instant | None = None
         self.last_report: engine.LoadReport | None = None
         self.report_changed = ids.Instant(0.0)
@@ -136,9 +136,9 @@
     @property
     def baseline(self) -> speeds.Speed:
         """What its speed is held against."""
-        return self.prior or self.usual
+        return self.prior or self.long_term_speed
 
-    def allowed(self) -> int:
+    def allowed_slots(self) -> int:
         """Return the slots that it may use at its present pace."""
         if self.pace is Pace.PROBED:
             return 1
@@ -146,27 +146,31 @@
             return max(1, int(self.spec.slots / self.slowness))
         return self.spec.slots
 
-    def free(self) -> int:
+    def free_slots(self) -> int:
         """Return the slots that may be granted now."""
         if len(self.running) >= self.spec.slots:
             # By far the most frequent case under load, and asked for each ticket.
             return 0
-        if not self.is_usable or self.isolated is not None:
+        if not self.is_usable or self.isolated_ticket is not None:
             return 0
-        return self.allowed() - len(self.running) - self.foreign
+        return self.allowed_slots() - len(self.running) - self.foreign_running
 
-    def free_long(self, keeps_short: bool) -> int:
+    def free_long_slots(self, keep_reserved: bool) -> int:
         """Return the slots that may be granted to long work now.
 
-        `keeps_short` says whether the slots kept for short work are left alone.
+        `keep_reserved` says whether the slots kept for short work are left alone.
         """
-        kept = self.kept_short if keeps_short else 0
-        room = max(1, self.allowed() - kept) - self.long_running - self.foreign
-        return min(self.free(), room)
+        kept = self.reserved_short if keep_reserved else 0
+        room = (
+            max(1, self.allowed_slots() - kept)
+            - self.long_running
+            - self.foreign_running
+        )
+        return min(self.free_slots(), room)
 
     def is_empty(self) -> bool:
         """Tell whether nothing runs there, as far as is known."""
-        return not self.running and self.foreign == 0
+        return not self.running and self.foreign_running == 0
 
     def integrate(self, now: ids.Instant) -> None:
         """Bring the batch integral up to now; called before the batch changes."""
@@ -190,18 +194,18 @@
         running = self.running.pop(ticket_id)
         self.long_running -= not running.is_short
         self.note_count(now)
-        if self.isolated == ticket_id:
-            self.isolated = None
+        if self.isolated_ticket == ticket_id:
+            self.isolated_ticket = None
         return running
 
-    def forget_expected(self) -> None:
+    def discard_predictions(self) -> None:
         """Judge the server by none of its running work.
 
         After a pause of this process the word of their ends is still on its way,
         and all would look late.
         """
         for running in self.running.values():
-            running.expected = running.expected_first = math.inf
+            running.expected_total = running.expected_first = math.inf
 
     def note_count(self, now: ids.Instant) -> None:
         """Remember how many own requests run, for late load reports."""
@@ -210,12 +214,12 @@
         while len(self.counts) > 1 and self.counts[1][0] <= now - FOREIGN_AFTER:
             self.counts.popleft()
 
-    def most_running(self, now: ids.Instant) -> int:
+    def peak_running(self, now: ids.Instant) -> int:
         """Return the most own requests that any recent load report could show."""
         self.note_count(now)
         return max(count for _, count in self.counts)
 
-    def others(self, running: Running, now: ids.Instant) -> float:
+    def mean_others(self, running: Running, now: ids.Instant) -> float:
         """Return the mean number of other requests in a request's batch."""
         self.integrate(now)
         seconds = now - running.started
@@ -224,22 +228,22 @@
         mean = (self.batch_integral - running.batch_at_start) / seconds
         return max(0.0, mean - 1.0)
 
-    def take_report(self, report: engine.LoadReport, now: ids.Instant) -> None:
+    def apply_load_report(self, report: engine.LoadReport, now: ids.Instant) -> None:
         """Correct the count of taken slots by a lagging load report."""
         if report != self.last_report:
             self.last_report = report
             self.report_changed = now
         self.index.set_capacity(report.cache_blocks)
-        excess = report.running + report.waiting - self.most_running(now)
+        excess = report.running + report.waiting - self.peak_running(now)
         if excess <= 0 or now - self.report_changed > STUCK_AFTER:
             self.excess_since = None
-            self.foreign = 0
+            self.foreign_running = 0
             return
         if self.excess_since is None:
             self.excess_since = now
         if now - self.excess_since >= FOREIGN_AFTER:
             # One slot stays in use, so that a wrong report can't idle a server.
-            self.foreign = min(excess, self.spec.slots - 1)
+            self.foreign_running = min(excess, self.spec.slots - 1)
 
     def cached_tokens(self, ticket: messages.Ticket) -> float:
         """Return how much of a prompt is expected to be cached."""
@@ -250,26 +254,26 @@
         """Return how much of a prompt is expected to have to be computed."""
         return ticket.prompt_tokens - self.cached_tokens(ticket)
 
-    def seconds(self, ticket: messages.Ticket, others: float) -> float:
+    def predict_total(self, ticket: messages.Ticket, others: float) -> float:
         """Return the seconds to a ticket's last token, beside so many others."""
         uncached = self.uncached_tokens(ticket)
-        return self.seconds_for(uncached, ticket.output_tokens, others)
+        return self.predict_total_for(uncached, ticket.output_tokens, others)
 
     def bounds(self, uncached: float, output: float) -> tuple[float, float]:
         """Return the seconds to the last token alone, and in a full batch."""
         others = self.spec.slots - 1.0
         if self.pace is not Pace.NORMAL:
-            alone = self.seconds_for(uncached, output, 0.0)
-            return alone, self.seconds_for(uncached, output, others)
+            alone = self.predict_total_for(uncached, output, 0.0)
+            return alone, self.predict_total_for(uncached, output, others)
         model = self.model
         alone = model.predict(uncached, output, 0.0)
         return alone, alone + model.decode.slope * others * max(0.0, output - 1.0)
 
-    def seconds_for(self, uncached: float, output: float, others: float) -> float:
+    def predict_total_for(self, uncached: float, output: float, others: float) -> float:
         """Return the seconds to the last of so many tokens."""
         predicted = self.model.predict(uncached, output, others)
         if self.pace is Pace.NORMAL:
             return predicted
         # Running work that is late tells of a slow server before any completion.
-        usual = self.baseline.predict(uncached, output, 0.0)
-        return max(predicted, usual * self.slowness)
+        baseline_seconds = self.baseline.predict(uncached, output, 0.0)
+        return max(predicted, baseline_seconds * self.slowness)
--- a/src/tealcove/dispatch/shedding.py
+++ b/src/tealcove/dispatch/shedding.py
@@ -45,7 +45,7 @@
             continue
         for running in server.running.values():
             # One that is overdue has shown its prediction to be wrong.
-            ends += now < running.started + running.expected <= by
+            ends += now < running.started + running.expected_total <= by
     return ends > ahead
 
 
@@ -61,10 +61,10 @@
     best_key: tuple[int, bool, float] | None = None
     left = waiting.deadline - choice.DEADLINE_MARGIN - STOP_SECONDS - now
     for server in servers_of_cell.usable(waiting.ticket):
-        if server.isolated is not None or server.pace is servers.Pace.PROBED:
+        if server.isolated_ticket is not None or server.pace is servers.Pace.PROBED:
             continue
         others = max(0, len(server.running) - 1)
-        if server.seconds(waiting.ticket, others) > left:
+        if server.predict_total(waiting.ticket, others) > left:
             continue
         for running in server.running.values():
             if not may_stop(running, waiting, now):
@@ -87,6 +87,6 @@
 
 def victim_key(running: servers.Running, now: ids.Instant) -> tuple[int, bool, float]:
     """Return the order in which requests are stopped, least first."""
-    expected = running.expected
+    expected = running.expected_total
     is_late = expected != math.inf and now - running.started > LATE_PART * expected
     return (-running.ticket.tier_rank, is_late, running.prefill_spent(now))
--- a/src/tealcove/dispatch/stragglers.py
+++ b/src/tealcove/dispatch/stragglers.py
@@ -50,7 +50,7 @@
     """Learn a server's speed from a completed request."""
     others = max(0, len(server.running) - 1)
     if running is not None:
-        others = server.others(running, now)
+        others = server.mean_others(running, now)
     is_probe = running is not None and running.is_probe
     if is_probe or server.pace is servers.Pace.PROBED:
         server.speed.prefill.doubt(DOUBTED_WEIGHT)
@@ -60,7 +60,7 @@
         server.speed = speeds.copy(server.prior)
     for speed, keep in (
         (server.speed, KEEP),
-        (server.usual, USUAL_KEEP),
+        (server.long_term_speed, USUAL_KEEP),
     ):
         speed.observe(
             done.prompt_tokens - done.cached_tokens,
@@ -136,7 +136,7 @@
 
 def lateness(running: servers.Running, now: ids.Instant) -> float:
     """Return how many times longer than predicted a request runs already."""
-    expected = running.expected
+    expected = running.expected_total
     if not running.has_first_token:
         expected = running.expected_first
     elapsed = now - running.started - LATE_GRACE
--- a/src/tealcove/dispatch/tests/test_choice.py
+++ b/src/tealcove/dispatch/tests/test_choice.py
@@ -80,7 +80,7 @@
         found.enqueue(builders.ticket(), now)
         now = ids.Instant(now + 0.25)
         found.tick(now)
-    assert found.state.fleet.servers["s0"].kept_short == 2
+    assert found.state.fleet.servers["s0"].reserved_short == 2
 
 
 def test_a_long_prompt_that_is_cached_is_short_work() -> None:
@@ -106,7 +106,10 @@
     found.configure(builders.cell(*specs), NOW)
     states = found.state.fleet.servers
     ticket = builders.ticket()
-    known, new = states["s0"].seconds(ticket, 0), states["s3"].seconds(ticket, 0)
+    known, new = (
+        states["s0"].predict_total(ticket, 0),
+        states["s3"].predict_total(ticket, 0),
+    )
     assert new == pytest.approx(known, rel=0.01)
 
 
--- a/src/tealcove/dispatch/tests/test_machine.py
+++ b/src/tealcove/dispatch/tests/test_machine.py
@@ -165,7 +165,7 @@
     def books_agree(self) -> None:
         state = self.scheduler.state
         assert set(state.queue.tickets) == self.waiting
-        assert set(state.fleet.where) == set(self.running)
+        assert set(state.fleet.server_of_ticket) == set(self.running)
         assert not self.waiting & self.ended
 
     def teardown(self) -> None:
--- a/src/tealcove/dispatch/tests/test_order.py
+++ b/src/tealcove/dispatch/tests/test_order.py
@@ -19,7 +19,9 @@
     order = []
     while grants:
         grant = grants.pop()
-        held = found.state.fleet.where[grant.ticket_id].running[grant.ticket_id]
+        held = found.state.fleet.server_of_ticket[grant.ticket_id].running[
+            grant.ticket_id
+        ]
         used = builders.done(
             grant,
             prompt_tokens=held.ticket.prompt_tokens,
--- a/src/tealcove/dispatch/tests/test_slots.py
+++ b/src/tealcove/dispatch/tests/test_slots.py
@@ -67,7 +67,7 @@
     found = open_one(slots=4)
     found.report("s0", builders.load(3), builders.instant(1))
     found.report("s0", builders.load(2), builders.instant(2))
-    assert found.state.fleet.servers["s0"].free() == 4
+    assert found.state.fleet.servers["s0"].free_slots() == 4
     found.report("s0", builders.load(3), builders.instant(3.1))
     assert len(builders.fill(found, 4, builders.instant(3.2))) == 1
 
@@ -79,15 +79,15 @@
         found.done(builders.done(grant), builders.instant(3))
     for seconds in (3.1, 4.0, 4.9):
         found.report("s0", builders.load(4), builders.instant(seconds))
-    assert found.state.fleet.servers["s0"].foreign == 0
+    assert found.state.fleet.servers["s0"].foreign_running == 0
 
 
 def test_a_stuck_report_doesn_t_idle_a_server() -> None:
     found = open_one(slots=4)
     for seconds in range(1, 13):
         found.report("s0", builders.load(9), builders.instant(seconds))
-        assert found.state.fleet.servers["s0"].free() >= 1
-    assert found.state.fleet.servers["s0"].free() == 4
+        assert found.state.fleet.servers["s0"].free_slots() >= 1
+    assert found.state.fleet.servers["s0"].free_slots() == 4
 
 
 @pytest.mark.parametrize("outcome", ["not_sent", "crashed"])
@@ -159,7 +159,7 @@
     found.lose_entry(builders.ENTRY, builders.instant(4))
     builders.tell_again(found, builders.instant(3 + fair.ORPHAN_SECONDS))
     found.tick(builders.instant(4 + fair.ORPHAN_SECONDS))
-    assert found.state.fleet.servers["s0"].free() == 0
+    assert found.state.fleet.servers["s0"].free_slots() == 0
     urgent = builders.ticket(remaining=1.3, tier_rank=0, entry="other")
     outgoing = found.enqueue(urgent, builders.instant(4 + fair.ORPHAN_SECONDS))
     told = [out for out in outgoing if isinstance(out.message, messages.Preempt)]
@@ -172,7 +172,7 @@
     builders.fill(found, 2, NOW, remaining=60.0)
     found.tick(builders.instant(2 + scheduler.UNTOLD_SECONDS))
     assert len(found.state.queue) == 0
-    assert found.state.fleet.servers["s0"].free() == 1
+    assert found.state.fleet.servers["s0"].free_slots() == 1
 
 
 def test_untold_slots_of_a_living_entry_are_free_soon() -> None:
@@ -196,4 +196,4 @@
     found.done(builders.done(grants[1]), builders.instant(5))
     state: servers.ServerState = found.state.fleet.servers["s0"]
     running = state.running[grants[0].ticket_id]
-    assert state.others(running, builders.instant(10)) == pytest.approx(0.5)
+    assert state.mean_others(running, builders.instant(10)) == pytest.approx(0.5)
