--- a/src/tealcove/dispatch/cellstate.py
+++ b/src/tealcove/dispatch/cellstate.py
@@ -52,7 +52,7 @@
             seconds=found.loaded,
             refreshed_at=now,
             had_slack=ticket.remaining + ticket.waited
-            > found.loaded + choice.DEADLINE_MARGIN + shedding.LEAD,
+            > found.loaded + choice.DEADLINE_MARGIN + shedding.RISK_LEAD,
         )
         if is_short:
             self.fleet.short_seconds += found.loaded
@@ -180,7 +180,7 @@
     work of the same tier: the ticket would be refused while slower servers go on
     with work of lower tiers.
     """
-    seconds = max(found.loaded, found.slowest) + shedding.LEAD
+    seconds = max(found.loaded, found.slowest) + shedding.RISK_LEAD
     return ids.Instant(deadline - choice.DEADLINE_MARGIN - seconds)
 
 
--- a/src/tealcove/dispatch/fair.py
+++ b/src/tealcove/dispatch/fair.py
@@ -12,11 +12,11 @@
     cells,
     cellstate,
     choice,
-    filling,
+    granting,
     holds,
     isolation,
     messages,
-    pressure,
+    preemption,
     scheduler,
     servers,
     stragglers,
@@ -39,9 +39,9 @@
 
     def __init__(self) -> None:
         self.state = cellstate.CellState()
-        self.pressure = pressure.Pressure(self.state)
+        self.preemption = preemption.Preemption(self.state)
         self.isolation = isolation.Isolation(self.state)
-        self.filling = filling.Filling(self.state)
+        self.granter = granting.SlotGranter(self.state)
         self.is_gathering = False
         self.gather_until = ids.Instant(0.0)
         self.next_review = ids.Instant(0.0)
@@ -98,7 +98,7 @@
         waiting = self.state.queue_ticket(ticket, found, now)
         outgoing = []
         if not waiting.lane.is_suspect and not self.is_gathering:
-            outgoing.extend(self.filling.place(waiting, now))
+            outgoing.extend(self.granter.grant_on_arrival(waiting, now))
         outgoing.extend(self.decide((), now))
         # A grant or refusal at once says as well that this dispatcher is there.
         return [answer, *outgoing] if waiting.is_queued else outgoing
@@ -286,6 +286,6 @@
         outgoing = []
         if not self.is_gathering:
             outgoing.extend(self.isolation.advance(now))
-            outgoing.extend(self.filling.fill(freed, now))
-        outgoing.extend(self.pressure.advance(now, self.is_gathering))
+            outgoing.extend(self.granter.grant_free_slots(freed, now))
+        outgoing.extend(self.preemption.advance(now, self.is_gathering))
         return outgoing
--- a/src/tealcove/dispatch/filling.py
+++ b/src/tealcove/dispatch/granting.py
@@ -20,13 +20,13 @@
 LOOK_AHEAD = 4
 
 
-class Filling:
+class SlotGranter:
     """Gives each free slot to the first ticket in order that it fits."""
 
     def __init__(self, state: cellstate.CellState) -> None:
         self.state = state
 
-    def fill(
+    def grant_free_slots(
         self, freed: Iterable[servers.ServerState], now: ids.Instant
     ) -> list[scheduler.Outgoing]:
         """Grant free slots in the queue's order until none fits any more."""
@@ -34,14 +34,14 @@
         for rank in self.state.queue.ranks():
             free = [server for server in freed if server.free_slots() > 0]
             while free:
-                granted = self.fill_one(rank, free, now)
+                granted = self.grant_one(rank, free, now)
                 if granted is None:
                     break
                 outgoing.append(granted)
                 free = [server for server in free if server.free_slots() > 0]
         return outgoing
 
-    def fill_one(
+    def grant_one(
         self, rank: int, free: list[servers.ServerState], now: ids.Instant
     ) -> scheduler.Outgoing | None:
         """Grant one slot to the next ticket of a tier that fits."""
@@ -70,7 +70,7 @@
             and not fleet.at_non_idempotent_limit(rank, lane.idempotent)
         ]
 
-    def place(
+    def grant_on_arrival(
         self, waiting: queue.WaitingTicket, now: ids.Instant
     ) -> list[scheduler.Outgoing]:
         """Grant a new ticket one of the slots that nobody before it could use."""
--- a/src/tealcove/dispatch/isolation.py
+++ b/src/tealcove/dispatch/isolation.py
@@ -27,29 +27,29 @@
         self.server: servers.ServerState | None = None
         self.ticket_id: ids.TicketId | None = None
         # The suspicion's version by which the queued tickets were judged.
-        self.judged = 0
+        self.applied_version = 0
 
     def advance(self, now: ids.Instant) -> list[scheduler.Outgoing]:
         """Take the next step that the present state of the servers allows."""
-        outgoing = self.judge_again()
+        outgoing = self.reclassify()
         self.release()
         if self.server is None:
-            self.choose(now)
+            self.choose_next(now)
         waiting = self.state.suspects.get(self.ticket_id)
         if waiting is None or not self.server.is_empty():
             return outgoing
         return [*outgoing, self.state.grant(waiting, self.server, now)]
 
-    def judge_again(self) -> list[scheduler.Outgoing]:
+    def reclassify(self) -> list[scheduler.Outgoing]:
         """Look at the queued tickets again once the suspicion has changed.
 
         Without this, copies of a crashing request that were queued before the
         first crash would run beside others, and go on after the second one.
         """
         suspicion = self.state.suspicion
-        if suspicion.version == self.judged:
+        if suspicion.version == self.applied_version:
             return []
-        self.judged = suspicion.version
+        self.applied_version = suspicion.version
         outgoing = []
         for waiting in list(self.state.queue.tickets.values()):
             digest = waiting.ticket.digest
@@ -73,9 +73,9 @@
         self.server.isolated_ticket = None
         self.server = self.ticket_id = None
 
-    def choose(self, now: ids.Instant) -> None:
+    def choose_next(self, now: ids.Instant) -> None:
         """Pick the next suspect and the server that is empty first."""
-        for waiting in sorted(self.state.suspects.values(), key=order):
+        for waiting in sorted(self.state.suspects.values(), key=suspect_order):
             server = self.find_server(waiting, now)
             if server is not None:
                 self.server, self.ticket_id = server, waiting.ticket.ticket_id
@@ -91,13 +91,15 @@
         for server in self.state.fleet.usable(waiting.ticket):
             if server.foreign_running or server.pace is servers.Pace.PROBED:
                 continue
-            end = empty_at(server, now) + server.predict_total(waiting.ticket, 0.0)
+            end = predicted_idle_at(server, now) + server.predict_total(
+                waiting.ticket, 0.0
+            )
             if end <= best_end:
                 best, best_end = server, end
         return best
 
 
-def empty_at(server: servers.ServerState, now: ids.Instant) -> float:
+def predicted_idle_at(server: servers.ServerState, now: ids.Instant) -> float:
     """Return when the last running request is predicted to end."""
     ends = [now]
     for running in server.running.values():
@@ -106,6 +108,6 @@
     return max(ends)
 
 
-def order(waiting: queue.WaitingTicket) -> tuple[int, float]:
+def suspect_order(waiting: queue.WaitingTicket) -> tuple[int, float]:
     """Return the order of suspects: tier, then least slack."""
     return (waiting.ticket.tier_rank, waiting.start_by)
--- a/src/tealcove/dispatch/pressure.py
+++ b/src/tealcove/dispatch/preemption.py
@@ -14,10 +14,10 @@
 )
 
 # A refusal is put off when present speeds give a ticket more time than this.
-MORE_TIME = 0.01
+LEAST_POSTPONEMENT = 0.01
 
 
-class Pressure:
+class Preemption:
     """The tickets near their last instant to start."""
 
     def __init__(self, state: cellstate.CellState) -> None:
@@ -35,28 +35,28 @@
         for waiting in self.state.risks.due(now):
             self.at_risk[waiting.ticket.ticket_id] = waiting
         if self.at_risk:
-            outgoing.extend(self.rescue_all(now, is_gathering))
+            outgoing.extend(self.find_slots(now, is_gathering))
         for waiting in self.state.expiries.due(now):
             outgoing.extend(self.expire(waiting, now))
         return outgoing
 
-    def rescue_all(
+    def find_slots(
         self, now: ids.Instant, is_gathering: bool
     ) -> list[scheduler.Outgoing]:
         """Look for a slot for each ticket at risk, highest tier first."""
         outgoing = []
         ahead = 0
-        for ticket_id, waiting in sorted(self.at_risk.items(), key=rank_of):
+        for ticket_id, waiting in sorted(self.at_risk.items(), key=risk_order):
             if not waiting.is_queued:
                 del self.at_risk[ticket_id]
                 continue
-            found = self.rescue(waiting, ahead, now, is_gathering)
+            found = self.find_slot(waiting, ahead, now, is_gathering)
             ahead += 1
             if found is not None:
                 outgoing.append(found)
         return outgoing
 
-    def rescue(
+    def find_slot(
         self,
         waiting: queue.WaitingTicket,
         ahead: int,
@@ -73,7 +73,7 @@
             return None
         if fleet.at_non_idempotent_limit(rank, waiting.lane.idempotent):
             return None
-        waiting.next_attempt = ids.Instant(now + shedding.STOP_SECONDS)
+        waiting.next_attempt = ids.Instant(now + shedding.PREEMPT_SECONDS)
         server = choice.choose(
             waiting, fleet.servers.values(), now, 0, keep_reserved=False
         )
@@ -81,18 +81,18 @@
             return self.state.grant(waiting, server, now)
         if not fleet.can_preempt_below(rank):
             return None
-        if shedding.frees_itself(waiting, fleet, ahead, now):
+        if shedding.slot_frees_in_time(waiting, fleet, ahead, now):
             return None
         victim = shedding.find_victim(waiting, fleet, now)
-        return None if victim is None else self.stop(victim, waiting, now)
+        return None if victim is None else self.request_preemption(victim, waiting, now)
 
-    def stop(
+    def request_preemption(
         self, victim: servers.Running, waiting: queue.WaitingTicket, now: ids.Instant
     ) -> scheduler.Outgoing:
         """Have a running request stopped for a ticket."""
         self.state.fleet.note_preempted(victim, now)
         victim.preempted_for = waiting.ticket.ticket_id
-        waiting.preemption_deadline = ids.Instant(now + shedding.STOP_TIMEOUT)
+        waiting.preemption_deadline = ids.Instant(now + shedding.PREEMPT_TIMEOUT)
         waiting.next_attempt = waiting.preemption_deadline
         ticket = victim.ticket
         after = shedding.retry_after(
@@ -117,7 +117,7 @@
             return [self.state.refuse(waiting, reason)]
         found = choice.estimate(waiting.ticket, usable)
         latest = cellstate.start_by(waiting.deadline, found)
-        if latest > now + MORE_TIME:
+        if latest > now + LEAST_POSTPONEMENT:
             # Its servers have turned out faster than when it was queued.
             self.state.expiries.add(latest, waiting)
             return []
@@ -142,7 +142,7 @@
         return [*outgoing, self.state.refuse(waiting, overload)]
 
 
-def rank_of(item: tuple[ids.TicketId, queue.WaitingTicket]) -> tuple[int, float]:
+def risk_order(item: tuple[ids.TicketId, queue.WaitingTicket]) -> tuple[int, float]:
     """Return the order in which tickets at risk are looked after."""
     waiting = item[1]
     return (waiting.ticket.tier_rank, waiting.start_by)
--- a/src/tealcove/dispatch/shedding.py
+++ b/src/tealcove/dispatch/shedding.py
@@ -8,27 +8,27 @@
 from tealcove.dispatch import choice, fleet, queue, servers
 
 # Seconds from the order to stop a request until its slot can be granted again.
-STOP_SECONDS = 0.05
+PREEMPT_SECONDS = 0.05
 # An order to stop that isn't answered in this time is taken for lost.
-STOP_TIMEOUT = 0.2
+PREEMPT_TIMEOUT = 0.2
 # How long before a ticket's last instant to start a slot is looked for by force.
-LEAD = 0.3
+RISK_LEAD = 0.3
 # A request beyond this part of its predicted time is stopped only if no other is
 # left: it would free its slot soon anyway.
-LATE_PART = 0.7
+NEARLY_DONE_PART = 0.7
 SHORTEST_RETRY = 0.5
 LONGEST_RETRY = 60.0
 
 
-def retry_after(waiting: queue.Queue, servers_of_cell: fleet.Fleet, rank: int) -> float:
+def retry_after(waiting: queue.Queue, cell_fleet: fleet.Fleet, rank: int) -> float:
     """Return the seconds after which the backlog ahead of a tier is worked off."""
-    backlog = waiting.backlog_seconds(rank) / max(1, servers_of_cell.slots)
+    backlog = waiting.backlog_seconds(rank) / max(1, cell_fleet.slots)
     return min(LONGEST_RETRY, max(SHORTEST_RETRY, backlog))
 
 
-def frees_itself(
+def slot_frees_in_time(
     waiting: queue.WaitingTicket,
-    servers_of_cell: fleet.Fleet,
+    cell_fleet: fleet.Fleet,
     ahead: int,
     now: ids.Instant,
 ) -> bool:
@@ -36,11 +36,11 @@
 
     `ahead` is the number of tickets that would take such a slot first.
     """
-    by = waiting.start_by - 2 * STOP_SECONDS
+    by = waiting.start_by - 2 * PREEMPT_SECONDS
     if now >= by:
         return False
     ends = 0
-    for server in servers_of_cell.usable(waiting.ticket):
+    for server in cell_fleet.usable(waiting.ticket):
         if server.pace is not servers.Pace.NORMAL:
             continue
         for running in server.running.values():
@@ -50,7 +50,7 @@
 
 
 def find_victim(
-    waiting: queue.WaitingTicket, servers_of_cell: fleet.Fleet, now: ids.Instant
+    waiting: queue.WaitingTicket, cell_fleet: fleet.Fleet, now: ids.Instant
 ) -> servers.Running | None:
     """Return the running request to stop for a ticket; None when none may be.
 
@@ -59,15 +59,15 @@
     """
     best = None
     best_key: tuple[int, bool, float] | None = None
-    left = waiting.deadline - choice.DEADLINE_MARGIN - STOP_SECONDS - now
-    for server in servers_of_cell.usable(waiting.ticket):
+    left = waiting.deadline - choice.DEADLINE_MARGIN - PREEMPT_SECONDS - now
+    for server in cell_fleet.usable(waiting.ticket):
         if server.isolated_ticket is not None or server.pace is servers.Pace.PROBED:
             continue
         others = max(0, len(server.running) - 1)
         if server.predict_total(waiting.ticket, others) > left:
             continue
         for running in server.running.values():
-            if not may_stop(running, waiting, now):
+            if not may_preempt(running, waiting, now):
                 continue
             key = victim_key(running, now)
             if best_key is None or key < best_key:
@@ -75,7 +75,7 @@
     return best
 
 
-def may_stop(
+def may_preempt(
     running: servers.Running, waiting: queue.WaitingTicket, now: ids.Instant
 ) -> bool:
     """Tell whether a request may be stopped for a ticket."""
@@ -88,5 +88,7 @@
 def victim_key(running: servers.Running, now: ids.Instant) -> tuple[int, bool, float]:
     """Return the order in which requests are stopped, least first."""
     expected = running.expected_total
-    is_late = expected != math.inf and now - running.started > LATE_PART * expected
-    return (-running.ticket.tier_rank, is_late, running.prefill_spent(now))
+    is_nearly_done = (
+        expected != math.inf and now - running.started > NEARLY_DONE_PART * expected
+    )
+    return (-running.ticket.tier_rank, is_nearly_done, running.prefill_spent(now))
