--- a/src/tealcove/dispatch/cellstate.py
+++ b/src/tealcove/dispatch/cellstate.py
@@ -193,7 +193,7 @@
     first = expected_total = math.inf
     if server.is_known:
         others = server.spec.slots - 1.0
-        first = server.model.prefill.at(uncached)
+        first = server.model.prefill.value_at(uncached)
         expected_total = server.model.predict(uncached, ticket.output_tokens, others)
     return servers.Running(
         ticket=ticket,
--- a/src/tealcove/dispatch/fair.py
+++ b/src/tealcove/dispatch/fair.py
@@ -67,7 +67,7 @@
         for ticket_id in fleet.configure(cell):
             # The server is no longer the cell's; its work goes on without a slot.
             fleet.end(ticket_id, now)
-        stragglers.judge(fleet.servers.values(), now)
+        stragglers.update_paces(fleet.servers.values(), now)
         return self.decide(fleet.servers.values(), now)
 
     def enqueue(
@@ -146,7 +146,7 @@
         if server is not None:
             if done.outcome is messages.Outcome.COMPLETED:
                 running = server.running.get(done.ticket_id)
-                stragglers.learn(server, running, done, now)
+                stragglers.observe_completion(server, running, done, now)
             if done.outcome in (messages.Outcome.NOT_SENT, messages.Outcome.CRASHED):
                 server.reachable = False
             if done.outcome is messages.Outcome.CRASHED:
@@ -248,7 +248,7 @@
         self.drop_stale_tickets(now)
         for server in found:
             self.drop_orphans(server, now)
-        stragglers.judge(found, now)
+        stragglers.update_paces(found, now)
         self.state.fleet.update_short_reservation(now)
         return self.decide(found, now)
 
--- a/src/tealcove/dispatch/granting.py
+++ b/src/tealcove/dispatch/granting.py
@@ -106,7 +106,7 @@
         outgoing = self.state.grant(waiting, server, now)
         if is_probe:
             running = server.running[waiting.ticket.ticket_id]
-            stragglers.note_probe(server, running, now)
+            stragglers.schedule_next_probe(server, running, now)
         return outgoing
 
 
--- a/src/tealcove/dispatch/line.py
+++ b/src/tealcove/dispatch/regression.py
@@ -5,15 +5,15 @@
 import msgspec
 
 # The part of its weight that an observation keeps when the next one comes.
-KEEP = 0.9
+DECAY = 0.9
 # What the line that it starts from counts, against 1 for a whole observation.
 PRIOR_WEIGHT = 0.5
 # Where x varies by less than this part of the line's span (as a standard
 # deviation), its start tells more of the slope than the observations.
-LEAST_SPREAD = 0.1
+MIN_SPREAD = 0.1
 
 
-class Line(msgspec.Struct):
+class LinearRegression(msgspec.Struct):
     """y = intercept + slope * x, both never below zero."""
 
     intercept: float
@@ -21,7 +21,7 @@
     # The range of x over which the line is of use.
     span: float
     # The slope that it started from.
-    start_slope: float
+    prior_slope: float
     # Sums over the observations: of weights, x, y, x * x and x * y.
     weight: float = 0.0
     sum_x: float = 0.0
@@ -30,32 +30,34 @@
     sum_xy: float = 0.0
 
     @classmethod
-    def start(cls, intercept: float, slope: float, span: float) -> Line:
+    def from_prior(
+        cls, intercept: float, slope: float, span: float
+    ) -> LinearRegression:
         """Return a line to start from, known at 0 and at `span`."""
-        line = cls(intercept, slope, span, slope)
-        line.add(0.0, intercept, PRIOR_WEIGHT)
-        line.add(span, intercept + slope * span, PRIOR_WEIGHT)
-        return line
+        fitted = cls(intercept, slope, span, slope)
+        fitted.add(0.0, intercept, PRIOR_WEIGHT)
+        fitted.add(span, intercept + slope * span, PRIOR_WEIGHT)
+        return fitted
 
-    def at(self, x: float) -> float:
+    def value_at(self, x: float) -> float:
         """Return y at x."""
         return self.intercept + self.slope * x
 
     def observe(
-        self, x: float, y: float, weight: float = 1.0, keep: float = KEEP
+        self, x: float, y: float, weight: float = 1.0, decay: float = DECAY
     ) -> None:
-        """Take in an observation; `keep` says how fast it may push out the old."""
+        """Take in an observation; `decay` says how fast it may push out the old."""
         # A light observation fades the others by its own weight only.
-        self.fade(1.0 - (1.0 - keep) * min(1.0, weight))
+        self.scale_weights(1.0 - (1.0 - decay) * min(1.0, weight))
         self.add(x, y, weight)
-        self.solve()
+        self.fit()
 
-    def doubt(self, weight: float) -> None:
+    def limit_weight(self, weight: float) -> None:
         """Let all observations together count so much at the most."""
         if self.weight > weight:
-            self.fade(weight / self.weight)
+            self.scale_weights(weight / self.weight)
 
-    def fade(self, factor: float) -> None:
+    def scale_weights(self, factor: float) -> None:
         """Let all observations count less."""
         self.weight *= factor
         self.sum_x *= factor
@@ -71,7 +73,7 @@
         self.sum_xx += weight * x * x
         self.sum_xy += weight * x * y
 
-    def solve(self) -> None:
+    def fit(self) -> None:
         """Fit the line to the sums: least squares, drawn to the start's slope.
 
         Without that, a server that is always full would have a slope of noise, and
@@ -81,8 +83,8 @@
         mean_y = self.sum_y / self.weight
         spread = self.sum_xx / self.weight - mean_x * mean_x
         product = self.sum_xy / self.weight - mean_x * mean_y
-        pull = (LEAST_SPREAD * self.span) ** 2
-        slope = (product + pull * self.start_slope) / (max(0.0, spread) + pull)
+        pull = (MIN_SPREAD * self.span) ** 2
+        slope = (product + pull * self.prior_slope) / (max(0.0, spread) + pull)
         self.slope = max(0.0, slope)
         self.intercept = mean_y - self.slope * mean_x
         if self.intercept < 0.0:
--- a/src/tealcove/dispatch/stragglers.py
+++ b/src/tealcove/dispatch/stragglers.py
@@ -29,9 +29,9 @@
 # What all older observations count together against a probe's 1: so two good
 # probes are enough to bring a server back.
 DOUBTED_WEIGHT = 0.25
-KEEP = 0.9
+DECAY = 0.9
 # What an observation leaves in place of a server's usual speed.
-USUAL_KEEP = 0.995
+LONG_TERM_DECAY = 0.995
 # A server without a generation that has completed fewer requests, and got none for so
 # many seconds, counts as one of which nothing is known: its only completion may have
 # been late by the machine's other work. It was never chosen again, however fast it was.
@@ -41,7 +41,7 @@
 SAMPLE_OUTPUT = 64
 
 
-def learn(
+def observe_completion(
     server: servers.ServerState,
     running: servers.Running | None,
     done: messages.Done,
@@ -53,14 +53,14 @@
         others = server.mean_others(running, now)
     is_probe = running is not None and running.is_probe
     if is_probe or server.pace is servers.Pace.PROBED:
-        server.speed.prefill.doubt(DOUBTED_WEIGHT)
-        server.speed.decode.doubt(DOUBTED_WEIGHT)
+        server.speed.prefill.limit_weight(DOUBTED_WEIGHT)
+        server.speed.decode.limit_weight(DOUBTED_WEIGHT)
     server.learned_at = now
     if server.speed.observations == 0 and server.prior is not None:
         server.speed = speeds.copy(server.prior)
-    for speed, keep in (
-        (server.speed, KEEP),
-        (server.long_term_speed, USUAL_KEEP),
+    for speed, decay in (
+        (server.speed, DECAY),
+        (server.long_term_speed, LONG_TERM_DECAY),
     ):
         speed.observe(
             done.prompt_tokens - done.cached_tokens,
@@ -68,11 +68,11 @@
             others,
             done.first_token_seconds,
             done.total_seconds,
-            keep,
+            decay,
         )
 
 
-def judge(found: Iterable[servers.ServerState], now: ids.Instant) -> None:
+def update_paces(found: Iterable[servers.ServerState], now: ids.Instant) -> None:
     """Bring priors, slowness and pace of all servers up to date.
 
     Servers of one named generation are held against their median; one without a
@@ -83,19 +83,19 @@
     for server in known:
         by_generation.setdefault(server.spec.generation, []).append(server)
     for server in known:
-        forget_doubtful(server, now)
+        reset_doubtful(server, now)
     for generation, members in by_generation.items():
         reference = None
         if generation:
             reference = speeds.median(server.speed for server in members)
         for server in members:
             server.prior = reference
-            server.slowness = measure(server, now)
+            server.slowness = measure_slowness(server, now)
             set_pace(server, now)
-    keep_some(known)
+    relax_if_all_probed(known)
 
 
-def forget_doubtful(server: servers.ServerState, now: ids.Instant) -> None:
+def reset_doubtful(server: servers.ServerState, now: ids.Instant) -> None:
     """Forget a speed that rests on too little, so that the server is tried again.
 
     Those that are held against others, or are probed already, have ways of their own.
@@ -107,7 +107,7 @@
         server.speed = speeds.default()
 
 
-def keep_some(known: list[servers.ServerState]) -> None:
+def relax_if_all_probed(known: list[servers.ServerState]) -> None:
     """Let slow servers work if a cell has no others.
 
     Where all are late, they are no stragglers: it's the load, or the word of their
@@ -121,7 +121,7 @@
             server.pace = servers.Pace.SLOW
 
 
-def measure(server: servers.ServerState, now: ids.Instant) -> float:
+def measure_slowness(server: servers.ServerState, now: ids.Instant) -> float:
     """Return how many times slower than expected a server is."""
     late = max((lateness(r, now) for r in server.running.values()), default=1.0)
     own = server.speed
@@ -164,7 +164,7 @@
         log.info("{} is {}: {:.1f} times as slow", server.name, pace, slowness)
 
 
-def note_probe(
+def schedule_next_probe(
     server: servers.ServerState, running: servers.Running, now: ids.Instant
 ) -> None:
     """Set the time of the next probe, further away each time."""
--- a/src/tealcove/dispatch/tests/test_choice.py
+++ b/src/tealcove/dispatch/tests/test_choice.py
@@ -6,7 +6,7 @@
 
 from tealcove import ids
 from tealcove.backends import engine
-from tealcove.dispatch import fair, line, messages, servers, speeds
+from tealcove.dispatch import fair, messages, regression, servers, speeds
 from tealcove.dispatch.tests import builders
 
 NOW = builders.instant(1)
@@ -125,14 +125,14 @@
 
 
 def test_noise_at_one_place_doesn_t_tilt_a_line() -> None:
-    found = line.Line.start(1.0, 0.01, 1000.0)
+    found = regression.LinearRegression.from_prior(1.0, 0.01, 1000.0)
     for number in range(500):
         found.observe(100 + number % 3, 2.0 + 0.1 * (number % 2))
-    assert found.at(1000) == pytest.approx(2.05 + 9.0, rel=0.1)
+    assert found.value_at(1000) == pytest.approx(2.05 + 9.0, rel=0.1)
 
 
 def test_an_estimate_is_never_below_zero() -> None:
-    found = line.Line.start(0.0, 0.0, 10.0)
+    found = regression.LinearRegression.from_prior(0.0, 0.0, 10.0)
     for x, y in ((0.0, 0.0), (5.0, 0.1), (10.0, 5.0), (2.0, 0.0)):
         found.observe(x, y)
         assert found.intercept >= 0 and found.slope >= 0
