--- a/src/tealcove/dispatch/holds.py
+++ b/src/tealcove/dispatch/holds.py
@@ -53,22 +53,22 @@
     """
 
     def __init__(self) -> None:
-        self.until: dict[Address, ids.Instant] = {}
-        self.numbers: dict[Address, ids.FencingNumber] = {}
+        self.held_until: dict[Address, ids.Instant] = {}
+        self.fencing_numbers: dict[Address, ids.FencingNumber] = {}
 
-    def take(self, hold: Hold, now: ids.Instant) -> None:
+    def apply(self, hold: Hold, now: ids.Instant) -> None:
         """Put a hold in force, or end it.
 
         A steward that was frozen gives back, when it wakes, what its successor
         holds by now: the engine would get work while its version changes.
         """
         address = Address(hold.host, hold.port)
-        if hold.number < self.numbers.get(address, hold.number):
+        if hold.number < self.fencing_numbers.get(address, hold.number):
             return
-        self.numbers[address] = hold.number
-        self.until.pop(address, None)
+        self.fencing_numbers[address] = hold.number
+        self.held_until.pop(address, None)
         if hold.seconds > 0:
-            self.until[address] = ids.Instant(now + hold.seconds)
+            self.held_until[address] = ids.Instant(now + hold.seconds)
 
     def of_cell(self, cell: cells.Cell, now: ids.Instant) -> list[ids.BackendServerId]:
         """Return the servers of a cell that get no new work."""
@@ -80,11 +80,11 @@
 
     def is_held(self, host: str, port: int, now: ids.Instant) -> bool:
         """Tell whether a server gets no new work."""
-        until = self.until.get(Address(host, port))
+        until = self.held_until.get(Address(host, port))
         return until is not None and now < until
 
 
-def answer(hold: Hold, is_held: bool) -> HoldReport:
+def new_report(hold: Hold, is_held: bool) -> HoldReport:
     """Return a report on a hold of a dispatcher that has granted nothing."""
     return HoldReport(
         cell=hold.cell,
--- a/src/tealcove/dispatch/role.py
+++ b/src/tealcove/dispatch/role.py
@@ -13,11 +13,11 @@
     backendview,
     cells,
     exposure,
-    heldcell,
     holds,
     messages,
     reading,
     scheduler,
+    servedcell,
     spans,
     suspicion,
 )
@@ -85,7 +85,7 @@
         self.members_changed = clock.now()
         # The entries that tickets came from, as they were then.
         self.entries: dict[ids.InstanceId, ids.Incarnation] = {}
-        self.held: dict[ids.CellId, heldcell.HeldCell] = {}
+        self.held: dict[ids.CellId, servedcell.ServedCell] = {}
         self.has_cells = asyncio.Event()
         self.ticker: asyncio.Task[None] | None = None
         self.next_release = ids.Instant(clock.now() + RELEASE_INTERVAL)
@@ -123,19 +123,19 @@
             self.send([scheduler.Outgoing(ticket.entry, refusal)])
             return
         fitting = reading.without_lacking(ticket, held.holdings)
-        self.send(held.decider.enqueue(fitting, clock.now()))
+        self.send(held.scheduler.enqueue(fitting, clock.now()))
 
     def take_hold(self, sender: ids.InstanceId, hold: holds.Hold) -> None:
         """Keep a server from new work, or end that, and report to the steward."""
         now = clock.now()
-        self.holds.take(hold, now)
+        self.holds.apply(hold, now)
         held = self.held.get(hold.cell)
         is_held = self.holds.is_held(hold.host, hold.port, now)
-        report = holds.answer(hold, is_held)
+        report = holds.new_report(hold, is_held)
         if held is not None:
             if is_held:
-                self.send(held.decider.hold_back(hold.server, now))
-            report = held.decider.report_hold(report)
+                self.send(held.scheduler.hold_back(hold.server, now))
+            report = held.scheduler.report_hold(report)
         peer = self.members.endpoint_of(sender)
         if peer is not None:
             self.transport.send(peer, report)
@@ -147,7 +147,7 @@
         self.spans.end(withdrawal.ticket_id, spans.WITHDRAWN)
         held = self.held.get(withdrawal.cell)
         if held is not None:
-            self.send(held.decider.withdraw(withdrawal.ticket_id, clock.now()))
+            self.send(held.scheduler.withdraw(withdrawal.ticket_id, clock.now()))
 
     def take_progress(
         self, sender: ids.InstanceId, progress: messages.Progress
@@ -155,17 +155,17 @@
         """Learn of a first token."""
         held = self.held.get(progress.cell)
         if held is not None:
-            self.send(held.decider.progress(progress, clock.now()))
+            self.send(held.scheduler.progress(progress, clock.now()))
 
     def take_done(self, sender: ids.InstanceId, done: messages.Done) -> None:
         """Learn that a slot is free."""
         held = self.held.get(done.cell)
         if held is not None:
             if done.outcome in LOST:
-                held.lost[done.server] = clock.now()
-            self.send(held.decider.done(done, clock.now()))
+                held.lost_at[done.server] = clock.now()
+            self.send(held.scheduler.done(done, clock.now()))
 
-    def hold(self, ticket: messages.Ticket) -> heldcell.HeldCell | None:
+    def hold(self, ticket: messages.Ticket) -> servedcell.ServedCell | None:
         """Return a ticket's cell, served from now on; None: it doesn't exist."""
         held = self.held.get(ticket.cell)
         if held is not None:
@@ -174,18 +174,18 @@
         if cell is None:
             return None
         now = clock.now()
-        held = heldcell.HeldCell(
+        held = servedcell.ServedCell(
             cell, self.new_scheduler(), self.reader, self.poll_interval, self.send
         )
-        held.decider.suspect_by(self.suspicion)
-        held.decider.expose_by(self.exposures.of_pool(cell.pool))
+        held.scheduler.suspect_by(self.suspicion)
+        held.scheduler.expose_by(self.exposures.of_pool(cell.pool))
         self.held[ticket.cell] = held
         self.has_cells.set()
         if self.may_be_served_elsewhere(ticket, now):
-            held.decider.gather(ids.Instant(now + self.gather_seconds))
-        self.send(held.decider.configure(cell, now))
+            held.scheduler.gather(ids.Instant(now + self.gather_seconds))
+        self.send(held.scheduler.configure(cell, now))
         for server in self.holds.of_cell(cell, now):
-            self.send(held.decider.hold_back(server, now))
+            self.send(held.scheduler.hold_back(server, now))
         held.poll_servers()
         return held
 
@@ -207,7 +207,7 @@
         """Return the servers of each pool for which this instance decides."""
         found: dict[ids.PoolId, list[backendview.BackendView]] = {}
         for held in self.held.values():
-            found.setdefault(held.cell.pool, []).extend(held.decider.backend_views())
+            found.setdefault(held.cell.pool, []).extend(held.scheduler.backend_views())
         return found
 
     def note_change(self) -> None:
@@ -222,7 +222,7 @@
                 cell = cells.Cell(cell_id, held.cell.pool, ())
             if cell != held.cell:
                 held.cell = cell
-                self.send(held.decider.configure(cell, clock.now()))
+                self.send(held.scheduler.configure(cell, clock.now()))
                 held.poll_servers()
 
     async def tick(self) -> None:
@@ -251,7 +251,7 @@
         """Decide what only the passing of time decides."""
         self.drop_lost_entries(now)
         for held in self.held.values():
-            self.send(held.decider.tick(now))
+            self.send(held.scheduler.tick(now))
         if now >= self.next_release:
             self.next_release = ids.Instant(now + RELEASE_INTERVAL)
             self.release_cells(now)
@@ -265,7 +265,7 @@
         for cell_id, held in list(self.held.items()):
             ranked = self.members.rank(cell_id, now, held.cell.data_centre)
             is_own = bool(ranked) and ranked[0] == self.members.own.instance
-            if is_own or held.decider.depth() != (0, 0):
+            if is_own or held.scheduler.depth() != (0, 0):
                 held.needed_at = now
             if now - held.needed_at < RELEASE_AFTER:
                 continue
@@ -279,7 +279,7 @@
         that are counted as free here.
         """
         for held in self.held.values():
-            held.decider.gather(ids.Instant(now + self.gather_seconds))
+            held.scheduler.gather(ids.Instant(now + self.gather_seconds))
 
     def drop_lost_entries(self, now: ids.Instant) -> None:
         """Tell the schedulers which entries are silent or were replaced."""
@@ -288,7 +288,7 @@
                 continue
             del self.entries[entry]
             for held in self.held.values():
-                self.send(held.decider.lose_entry(entry, now))
+                self.send(held.scheduler.lose_entry(entry, now))
 
     def is_present(
         self, entry: ids.InstanceId, incarnation: ids.Incarnation, now: ids.Instant
--- a/src/tealcove/dispatch/heldcell.py
+++ b/src/tealcove/dispatch/servedcell.py
@@ -13,7 +13,7 @@
 from tealcove.dispatch import cells, reading, scheduler
 
 # Load reports between two readings of an engine's state and cache events.
-REPORTS_PER_EVENTS = 2
+REPORTS_PER_STATE_READ = 2
 
 Send = Callable[[list[scheduler.Outgoing]], None]
 
@@ -25,19 +25,19 @@
     task: asyncio.Task[None]
 
 
-class HeldCell:
+class ServedCell:
     """The scheduler of a cell, with a task that polls for each backend server."""
 
     def __init__(
         self,
         cell: cells.Cell,
-        decider: scheduler.Scheduler,
+        cell_scheduler: scheduler.Scheduler,
         reader: reading.Reader,
         poll_interval: float,
         send: Send,
     ) -> None:
         self.cell = cell
-        self.decider = decider
+        self.scheduler = cell_scheduler
         self.reader = reader
         self.poll_interval = poll_interval
         self.send = send
@@ -45,7 +45,7 @@
         # What each engine has loaded, as far as it's known.
         self.holdings: reading.Holdings = {}
         # When a server was last found to be lost; older readings don't count.
-        self.lost: dict[ids.BackendServerId, ids.Instant] = {}
+        self.lost_at: dict[ids.BackendServerId, ids.Instant] = {}
         # When it was last seen to have tickets, or to belong to this instance.
         self.needed_at = clock.now()
 
@@ -86,11 +86,11 @@
         for number in itertools.count():
             began = clock.now()
             load = await self.reader.load(server)
-            if began > self.lost.get(server.name, began - 1.0):
-                self.send(self.decider.report(server.name, load, clock.now()))
+            if began > self.lost_at.get(server.name, began - 1.0):
+                self.send(self.scheduler.report(server.name, load, clock.now()))
             # A plain service would take the question for a call of one of its paths.
             may_ask = load is not None and self.cell.has_engines
-            if may_ask and number % REPORTS_PER_EVENTS == 0:
+            if may_ask and number % REPORTS_PER_STATE_READ == 0:
                 await self.read_engine(server)
             await asyncio.sleep(self.poll_interval)
 
@@ -99,7 +99,7 @@
         holding = await self.reader.holding(server)
         if holding is not None:
             self.holdings[server.name] = holding
-        after = self.decider.last_event(server.name)
+        after = self.scheduler.last_event(server.name)
         events = await self.reader.events(server, after)
         if events is not None:
-            self.send(self.decider.cached(server.name, events, clock.now()))
+            self.send(self.scheduler.cached(server.name, events, clock.now()))
--- a/src/tealcove/dispatch/spread.py
+++ b/src/tealcove/dispatch/spread.py
@@ -15,8 +15,8 @@
 
 # By so many tickets of this entry for each of its slots the near cell must be
 # fuller than the other one before a request goes there, away from the cache.
-LEAD = 0.5
-HASH_BYTES = 8
+LOAD_LEAD = 0.5
+DIGEST_BYTES = 8
 
 Delay = Callable[[ids.DataCentreId], float]
 
@@ -41,7 +41,7 @@
         """The pools now."""
 
 
-class Divided(msgspec.Struct, frozen=True):
+class PoolDivision(msgspec.Struct, frozen=True):
     """A pool as it was divided, and the cells that are nearest."""
 
     pool: kinds.Resource
@@ -68,13 +68,13 @@
         self.delay = delay
         # Backend servers in one cell at the most.
         self.cell_servers = cell_servers
-        self.divided: dict[str, Divided] = {}
+        self.divisions: dict[str, PoolDivision] = {}
         # Tickets of this entry that wait or run, by cell.
         self.tickets: collections.Counter[ids.CellId] = collections.Counter()
 
-    def divide(self, pool: kinds.Resource) -> Divided:
+    def divide(self, pool: kinds.Resource) -> PoolDivision:
         """Return the cells of a pool, divided anew only when it has changed."""
-        known = self.divided.get(pool.metadata.name)
+        known = self.divisions.get(pool.metadata.name)
         if known is not None and known.pool is pool:
             return known
         found = cells.of_pool(
@@ -86,8 +86,8 @@
         )
         nearest = min(self.distance(cell) for cell in found)
         near = tuple(cell for cell in found if self.distance(cell) == nearest)
-        divided = Divided(pool, found, near)
-        self.divided[pool.metadata.name] = divided
+        divided = PoolDivision(pool, found, near)
+        self.divisions[pool.metadata.name] = divided
         return divided
 
     def distance(self, cell: cells.Cell) -> float:
@@ -116,10 +116,12 @@
         divided = self.divide(pool)
         if len(divided.cells) == 1:
             return divided.cells[0]
-        digest = hashlib.blake2b(affinity.encode(), digest_size=2 * HASH_BYTES).digest()
-        first = pick(divided.near, digest[:HASH_BYTES])
-        second = pick(divided.cells, digest[HASH_BYTES:])
-        if self.load(first) > self.load(second) + LEAD:
+        digest = hashlib.blake2b(
+            affinity.encode(), digest_size=2 * DIGEST_BYTES
+        ).digest()
+        first = pick(divided.near, digest[:DIGEST_BYTES])
+        second = pick(divided.cells, digest[DIGEST_BYTES:])
+        if self.load(first) > self.load(second) + LOAD_LEAD:
             return second
         return first
 
--- a/src/tealcove/dispatch/tests/test_holds.py
+++ b/src/tealcove/dispatch/tests/test_holds.py
@@ -29,11 +29,11 @@
 
 def test_hold_ends_by_itself_or_when_told():
     found = holds.Holds()
-    found.take(hold("a", 3.0), builders.instant(0))
-    found.take(hold("b", 3.0), builders.instant(0))
+    found.apply(hold("a", 3.0), builders.instant(0))
+    found.apply(hold("b", 3.0), builders.instant(0))
     assert found.is_held("a", 1, builders.instant(2.9))
     assert not found.is_held("a", 1, builders.instant(3.0))
-    found.take(hold("b", 0.0), builders.instant(1))
+    found.apply(hold("b", 0.0), builders.instant(1))
     assert not found.is_held("b", 1, builders.instant(1))
     cell = builders.cell(msgspec.structs.replace(builders.server("s"), host="a"))
     cell = msgspec.structs.replace(
@@ -44,8 +44,8 @@
 
 def test_release_of_replaced_steward_is_ignored():
     found = holds.Holds()
-    found.take(hold("a", 3.0, number=2), builders.instant(0))
-    found.take(hold("a", 0.0, number=1), builders.instant(1))
+    found.apply(hold("a", 3.0, number=2), builders.instant(0))
+    found.apply(hold("a", 0.0, number=1), builders.instant(1))
     assert found.is_held("a", 1, builders.instant(1))
 
 
--- a/src/tealcove/dispatch/tests/test_role.py
+++ b/src/tealcove/dispatch/tests/test_role.py
@@ -97,7 +97,7 @@
 
     @property
     def server(self) -> object:
-        return self.role.held[builders.CELL].decider.state.fleet.servers["s0"]
+        return self.role.held[builders.CELL].scheduler.state.fleet.servers["s0"]
 
     async def until(self, check: Callable[[], bool]) -> None:
         async with asyncio.timeout(PATIENCE):
@@ -133,7 +133,7 @@
     serving.settle()
     waiting = serving.ask(waited=0.4)
     running = [serving.ask(running_on="s0") for _ in range(4)]
-    decider = serving.role.held[builders.CELL].decider
+    decider = serving.role.held[builders.CELL].scheduler
     await serving.until(lambda: not decider.is_gathering)
     assert not serving.sent(messages.Grant)
     done = builders.done(msgspec.structs.replace(grant_of(running[0]), server="s0"))
@@ -222,7 +222,7 @@
     serving.settle()
     for _ in range(5):
         serving.ask()
-    queue = serving.role.held[builders.CELL].decider.state.queue
+    queue = serving.role.held[builders.CELL].scheduler.state.queue
     assert len(queue) == 1
     successor = msgspec.structs.replace(
         serving.peer, incarnation=ids.Incarnation("another")
@@ -291,7 +291,7 @@
     Cause: the exception ends the only task that ticks.
     """
     serving.ask()
-    decider = serving.role.held[builders.CELL].decider
+    decider = serving.role.held[builders.CELL].scheduler
     tick = decider.tick
     ticks: list[ids.Instant] = []
 
--- a/src/tealcove/gauges.py
+++ b/src/tealcove/gauges.py
@@ -95,7 +95,7 @@
 
         def read(index: int) -> list[metrics.Observation]:
             return [
-                metrics.Observation(held.decider.depth()[index], {"cell": cell})
+                metrics.Observation(held.scheduler.depth()[index], {"cell": cell})
                 for cell, held in list(dispatcher.held.items())
             ]
 
--- a/src/tealcove/orders/tests/test_drains.py
+++ b/src/tealcove/orders/tests/test_drains.py
@@ -29,7 +29,7 @@
 def answer(found: drains.Drains, mesh: transport.NotingMesh, **changes: object) -> None:
     """Let both dispatchers answer the last hold, in their way."""
     hold = mesh.sent[-1].content
-    report = holds.answer(hold, is_held=hold.seconds > 0)
+    report = holds.new_report(hold, is_held=hold.seconds > 0)
     drain = found.found[A]
     for instance in found.told(drain, NOW):
         found.take(instance, msgspec.structs.replace(report, **changes), NOW)
@@ -72,7 +72,7 @@
     found.release(A, NOW)
     found.begin(test_plan.target(test_plan.A).servers[A], NOW)
     for instance in found.told(found.found[A], NOW):
-        found.take(instance, holds.answer(late, True), NOW)
+        found.take(instance, holds.new_report(late, True), NOW)
     assert not found.is_granted_nothing(A, NOW)
 
 
