--- a/src/tealcove/dispatch/cellstate.py
+++ b/src/tealcove/dispatch/cellstate.py
@@ -1,4 +1,4 @@
-"""The queue and servers of a cell, and the steps that change both."""
+"""The queue and servers of a cell, and the operations that change both."""
 
 from __future__ import annotations
 
@@ -19,21 +19,21 @@
     suspicion,
 )
 
-# Seconds that a request of another dispatcher is given if its entry doesn't say.
+# Assumed seconds to the deadline of an adopted request whose ticket has none left.
 UNKNOWN_DEADLINE = 60.0
 
 
 class CellState:
-    """What a scheduler knows; each ticket is queued, holds a slot, or is unknown."""
+    """The state of a scheduler; a ticket is queued, holds a slot, or is unknown."""
 
     def __init__(self) -> None:
         self.queue = queue.Queue()
         self.fleet = fleet.Fleet()
         self.suspicion: suspicion.Suspicion = suspicion.NoSuspicion()
-        # When to look for a slot by force, and when to refuse.
+        # When to start looking for a slot to preempt, and when to refuse.
         self.risks = alarms.Alarms()
         self.expiries = alarms.Alarms()
-        # Queued suspects, which run one at a time.
+        # Queued tickets suspected of crashing servers; they run one at a time.
         self.suspects: dict[ids.TicketId, queue.WaitingTicket] = {}
 
     def queue_ticket(
@@ -62,7 +62,7 @@
         return waiting
 
     def add_to_queue(self, waiting: queue.WaitingTicket) -> None:
-        """Put a ticket into the queue and where else it has to stand."""
+        """Add a ticket to the queue and its alarms, and to the suspects if it is one."""
         if waiting.lane.is_suspect:
             self.suspects[waiting.ticket.ticket_id] = waiting
         self.queue.add(waiting)
@@ -70,16 +70,16 @@
         self.expiries.add(waiting.start_by, waiting)
 
     def change_lane(self, waiting: queue.WaitingTicket) -> None:
-        """Let a queued ticket run alone from now on, or no longer."""
+        """Move a queued ticket to the suspects' lane, or out of it."""
         self.remove_from_queue(waiting)
         lane = queue.SUSPECTS
         if waiting.lane.is_suspect:
             lane = queue.Lane(False, waiting.ticket.idempotent)
-        # A new entry: the old one still stands in its old lane's heap.
+        # A new object: the old one stays in its lane's heap until it's skipped.
         self.add_to_queue(msgspec.structs.replace(waiting, lane=lane))
 
     def remove_from_queue(self, waiting: queue.WaitingTicket) -> None:
-        """Take a ticket out of the queue."""
+        """Remove a ticket from the queue."""
         ticket_id = waiting.ticket.ticket_id
         self.queue.remove(ticket_id)
         self.suspects.pop(ticket_id, None)
@@ -90,7 +90,7 @@
         server: servers.ServerState,
         now: ids.Instant,
     ) -> scheduler.Outgoing:
-        """Give a slot to a queued ticket."""
+        """Grant a slot to a queued ticket and charge its account."""
         ticket = waiting.ticket
         running = new_running(waiting, server, now)
         self.queue.charge(ticket, running.charged)
@@ -102,7 +102,7 @@
     def grant_message(
         self, ticket: messages.Ticket, server: servers.ServerState
     ) -> scheduler.Outgoing:
-        """Return the message that a ticket holds a slot."""
+        """Return the message that grants a ticket its slot."""
         grant = messages.Grant(
             ticket_id=ticket.ticket_id,
             cell=ticket.cell,
@@ -117,14 +117,14 @@
     def refuse(
         self, waiting: queue.WaitingTicket, reason: messages.RefusalReason
     ) -> scheduler.Outgoing:
-        """Take a ticket out of the queue for good."""
+        """Remove a ticket from the queue and return its refusal."""
         self.remove_from_queue(waiting)
         return self.refusal_message(waiting.ticket, reason)
 
     def refusal_message(
         self, ticket: messages.Ticket, reason: messages.RefusalReason
     ) -> scheduler.Outgoing:
-        """Return the message that a ticket won't get a slot."""
+        """Return the message that refuses a ticket a slot."""
         after = shedding.retry_after(self.queue, self.fleet, ticket.tier_rank)
         refusal = messages.Refusal(
             ticket_id=ticket.ticket_id, reason=reason, retry_after=after
@@ -132,7 +132,7 @@
         return scheduler.Outgoing(ticket.entry, refusal)
 
     def adopt(self, ticket: messages.Ticket, now: ids.Instant) -> None:
-        """Take in a request that another dispatcher granted."""
+        """Record a running request that another dispatcher granted."""
         queued = self.queue.tickets.get(ticket.ticket_id)
         if queued is not None:
             self.remove_from_queue(queued)
@@ -159,7 +159,7 @@
     def end(
         self, ticket_id: ids.TicketId, now: ids.Instant, tokens: float = 0.0
     ) -> tuple[servers.ServerState, servers.Running] | None:
-        """Take a slot back, and charge the account only for what was used."""
+        """Release a slot and refund the account the tokens that weren't used."""
         ended = self.fleet.end(ticket_id, now)
         if ended is not None:
             running = ended[1]
@@ -168,17 +168,20 @@
 
 
 def start_by(deadline: ids.Instant, found: choice.Estimate) -> ids.Instant:
-    """Return the last instant to start a ticket on a server with a full batch."""
+    """Return the latest start at which the best server ends a ticket in time.
+
+    Predicted for a full batch.
+    """
     return ids.Instant(deadline - choice.DEADLINE_MARGIN - found.loaded)
 
 
 def risk_from(deadline: ids.Instant, found: choice.Estimate) -> ids.Instant:
-    """Return from when on a slot is looked for by force.
+    """Return the instant from which lower tiers may be preempted for a ticket.
 
-    While the slower servers could still end the ticket in time. Counted from the
-    fastest one, only its slots would be left to look for, and those may all have
-    work of the same tier: the ticket would be refused while slower servers go on
-    with work of lower tiers.
+    It's early enough for the slower servers to end the ticket in time. Computed for
+    the fastest server, only that server's slots would qualify, and those may all run
+    work of the same tier: the ticket would be refused while slower servers run work
+    of lower tiers.
     """
     seconds = max(found.loaded, found.slowest) + shedding.RISK_LEAD
     return ids.Instant(deadline - choice.DEADLINE_MARGIN - seconds)
@@ -187,7 +190,7 @@
 def new_running(
     waiting: queue.WaitingTicket, server: servers.ServerState, now: ids.Instant
 ) -> servers.Running:
-    """Return what is remembered of a ticket while it holds a slot."""
+    """Return the record of a ticket that is granted a slot."""
     ticket = waiting.ticket
     uncached = server.uncached_tokens(ticket)
     first = expected_total = math.inf
--- a/src/tealcove/dispatch/choice.py
+++ b/src/tealcove/dispatch/choice.py
@@ -1,4 +1,4 @@
-"""Which backend server a ticket gets: the one that ends it soonest, in time."""
+"""Choice of a ticket's backend server: the one that ends it soonest, in time."""
 
 from __future__ import annotations
 
@@ -10,28 +10,28 @@
 from tealcove import ids
 from tealcove.dispatch import messages, queue, servers
 
-# Seconds kept free between the predicted end of a request and its deadline.
+# Safety margin in seconds between a request's predicted end and its deadline.
 DEADLINE_MARGIN = 0.05
-# A ticket with less time than this, in seconds, isn't used to try out a server.
+# Least slack in seconds of a ticket that may probe a slow server.
 PROBE_SLACK = 0.5
 
 
 class Estimate(msgspec.Struct, frozen=True):
-    """Predicted work of a ticket at the best of several servers."""
+    """The predicted service time of a ticket on the best of several servers."""
 
-    # Seconds with nothing else running, and with all slots taken.
+    # Seconds on an idle server, and in a full batch.
     idle: float
     loaded: float
-    # Seconds with all slots taken at the slowest that isn't a straggler.
+    # Seconds in a full batch on the slowest server that isn't a straggler.
     slowest: float
-    # Tokens that have to be computed: uncached prompt and output.
+    # Tokens to compute: uncached prompt and output.
     tokens: float
 
 
 def estimate(
     ticket: messages.Ticket, candidates: Iterable[servers.ServerState]
 ) -> Estimate:
-    """Return the best of some servers; zeros when there are none."""
+    """Return the best prediction over some servers; zero seconds if there are none."""
     idle = loaded = least = math.inf
     slowest = 0.0
     output = ticket.output_tokens
@@ -60,8 +60,8 @@
 ) -> servers.ServerState | None:
     """Return the server with a free slot that ends a ticket soonest, in time.
 
-    `queued_count` is how many tickets wait: they will soon fill the batch, so that a
-    prediction for the batch of now would be too good.
+    `queued_count` is the length of the queue: queued tickets will soon fill the batch,
+    so that a prediction for the current batch would be too optimistic.
     """
     best = None
     best_seconds = waiting.deadline - DEADLINE_MARGIN - now
@@ -84,7 +84,7 @@
 def has_free_slot(
     server: servers.ServerState, waiting: queue.WaitingTicket, keep_reserved: bool
 ) -> bool:
-    """Tell whether a server has a slot free that a ticket may take."""
+    """Tell whether a server has a free slot that a ticket may take."""
     if waiting.lane.is_short:
         return server.free_slots() > 0
     return server.free_long_slots(keep_reserved) > 0
@@ -93,11 +93,11 @@
 def is_probe(
     server: servers.ServerState, waiting: queue.WaitingTicket, now: ids.Instant
 ) -> bool:
-    """Tell whether a ticket may try out a server that was too slow.
+    """Tell whether a ticket may probe a server that was too slow.
 
-    It has to be work that may be lost: short, safe to send again, and in time if
-    the server has recovered. Its own speed is no measure: by that no ticket
-    would ever be in time there, and the server would never be tried.
+    A probe has to be expendable: short, idempotent, and in time if the server has
+    recovered. It isn't predicted by the server's own speed: by that no ticket would
+    ever be in time there, and the server would never be probed.
     """
     if now < server.probe_at or not server.is_empty():
         return False
--- a/src/tealcove/dispatch/fair.py
+++ b/src/tealcove/dispatch/fair.py
@@ -1,4 +1,4 @@
-"""The scheduler that holds the queue back and protects higher tiers."""
+"""The scheduler that queues tickets centrally and protects higher tiers."""
 
 from __future__ import annotations
 
@@ -23,18 +23,18 @@
     suspicion,
 )
 
-# Seconds between two looks at all servers' pace and all free slots.
+# Seconds between two reviews of all servers' pace and all free slots.
 REVIEW_INTERVAL = 0.25
-# A slot whose entry is gone is kept for so long: the engine may still work on
-# the request, since it waits for the entry to resume the stream.
+# Seconds for which the slot of a lost entry's request stays taken: the engine may
+# still work on the request, since it waits for the entry to resume the stream.
 ORPHAN_SECONDS = 5.0
 
 
 class FairScheduler(scheduler.Scheduler):
-    """Tier, then fair among client accounts, then least slack.
+    """Schedule by tier, then fairly among client accounts, then by least slack.
 
-    Every event ends with the same steps: free slots are granted, tickets whose
-    time runs out get a slot by force, and what is too late is refused.
+    Every event ends with the same steps: free slots are granted, lower tiers are
+    preempted for tickets near their latest start, and late tickets are refused.
     """
 
     def __init__(self) -> None:
@@ -65,7 +65,7 @@
         """See Scheduler."""
         fleet = self.state.fleet
         for ticket_id in fleet.configure(cell):
-            # The server is no longer the cell's; its work goes on without a slot.
+            # The server has left the cell; its requests run on without a slot.
             fleet.end(ticket_id, now)
         stragglers.update_paces(fleet.servers.values(), now)
         return self.decide(fleet.servers.values(), now)
@@ -79,7 +79,7 @@
             return []
         server = self.state.fleet.server_of_ticket.get(ticket.ticket_id)
         if server is not None:
-            # The entry asks again: it didn't get the grant.
+            # The entry has sent the ticket again: the grant was lost.
             server.running[ticket.ticket_id].refreshed_at = now
             return [self.state.grant_message(ticket, server)]
         queued = messages.Queued(ticket_id=ticket.ticket_id)
@@ -100,23 +100,23 @@
         if not waiting.lane.is_suspect and not self.is_gathering:
             outgoing.extend(self.granter.grant_on_arrival(waiting, now))
         outgoing.extend(self.decide((), now))
-        # A grant or refusal at once says as well that this dispatcher is there.
+        # An immediate grant or refusal replaces the acknowledgement.
         return [answer, *outgoing] if waiting.is_queued else outgoing
 
     def refusal_reason(
         self, ticket: messages.Ticket, found: choice.Estimate
     ) -> messages.RefusalReason | None:
-        """Return why a ticket isn't queued, if so."""
+        """Return the reason to refuse a new ticket, or None to queue it."""
         if self.state.suspicion.is_quarantined(ticket.digest):
             return messages.RefusalReason.QUARANTINED
-        # Time spent waiting elsewhere counts: work that an idle fleet could have
-        # ended in time is not refused for its deadline.
+        # Time spent waiting at other dispatchers counts: a request that an idle fleet
+        # could have completed in time isn't refused for its deadline.
         if found.idle > ticket.remaining + ticket.waited:
             return messages.RefusalReason.DEADLINE
         return None
 
     def may_become_usable(self, ticket: messages.Ticket) -> bool:
-        """Tell whether a server that can't be reached just now may come back."""
+        """Tell whether an unreachable server may become usable again."""
         return any(
             name not in ticket.excluded and not server.leaving and not server.reachable
             for name, server in self.state.fleet.servers.items()
@@ -157,7 +157,7 @@
     def end(
         self, ticket_id: ids.TicketId, tokens: float, now: ids.Instant
     ) -> list[scheduler.Outgoing]:
-        """Take back a slot and grant it again, first to whom it was promised."""
+        """Release a slot and grant it again, first to the ticket it was freed for."""
         ended = self.state.end(ticket_id, now, tokens)
         if ended is None:
             return self.decide((), now)
@@ -170,7 +170,7 @@
                 outgoing.append(self.state.grant(promised, found, now))
         freed = (server,)
         if not running.ticket.idempotent:
-            # The limit on such work is the cell's, so any free slot may do now.
+            # The limit on such work holds for the cell, so any slot may be granted.
             freed = self.state.fleet.servers.values()
         return [*outgoing, *self.decide(freed, now)]
 
@@ -253,17 +253,17 @@
         return self.decide(found, now)
 
     def drop_orphans(self, server: servers.ServerState, now: ids.Instant) -> None:
-        """Take back slots whose end nobody will tell of."""
+        """Release slots for whose requests no end will be reported."""
         for ticket_id, running in list(server.running.items()):
             is_orphan = (
                 running.orphaned_until is not None and running.orphaned_until <= now
             )
             if running.orphaned_until is not None and not server.reachable:
-                # The entry that would have told of the crash is gone as well.
+                # The entry that would have reported the crash is lost as well.
                 alone = server.isolated_ticket == ticket_id
                 self.state.suspicion.lost(running.ticket, server.name, alone, now)
                 is_orphan = True
-            # Of a lost entry's requests nobody tells: they have the time above.
+            # A lost entry refreshes nothing: its requests have `orphaned_until`.
             is_stale = running.orphaned_until is None and (
                 now - running.refreshed_at > scheduler.UNTOLD_SECONDS
             )
@@ -271,7 +271,7 @@
                 self.state.end(ticket_id, now, running.charged)
 
     def drop_stale_tickets(self, now: ids.Instant) -> None:
-        """Forget queued tickets whose withdrawal must have got lost."""
+        """Remove queued tickets whose entry has stopped refreshing them."""
         for waiting in list(self.state.queue.tickets.values()):
             if now - waiting.refreshed_at > scheduler.UNTOLD_SECONDS:
                 self.state.remove_from_queue(waiting)
@@ -279,7 +279,7 @@
     def decide(
         self, freed: Iterable[servers.ServerState], now: ids.Instant
     ) -> list[scheduler.Outgoing]:
-        """Grant the slots of some servers, then look at what time has run out."""
+        """Grant the slots of some servers, then handle tickets near their deadline."""
         if self.is_gathering and now >= self.gather_until:
             self.is_gathering = False
             freed = self.state.fleet.servers.values()
--- a/src/tealcove/dispatch/fleet.py
+++ b/src/tealcove/dispatch/fleet.py
@@ -1,4 +1,4 @@
-"""The backend servers of a cell together, and who holds their slots."""
+"""The backend servers of a cell and the tickets that hold their slots."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 from tealcove import ids
 from tealcove.dispatch import cells, messages, servers
 
-# Part of a cell's slots that non-idempotent work of lower tiers can't take; at
-# least one slot. Such work can't be preempted, so if it held all slots a higher
-# tier would have to be refused while lower work is being served.
+# Share of a cell's slots closed to non-idempotent requests of lower tiers; at least
+# one slot. Such requests can't be preempted, so if they held all slots, a higher tier
+# would have to be refused while lower tiers are being served.
 PREEMPTIBLE_SHARE = 0.25
 TOP_RANK = 0
-# Slots kept for short work, by the slots that it would fill all the time.
+# Slots reserved for short work, as a multiple of its mean slot usage.
 SHORT_HEADROOM = 1.5
 # Seconds over which the amount of short work is averaged.
 SHORT_WINDOW = 5.0
@@ -24,23 +24,23 @@
     def __init__(self) -> None:
         self.servers: dict[ids.BackendServerId, servers.ServerState] = {}
         self.server_of_ticket: dict[ids.TicketId, servers.ServerState] = {}
-        # Running requests by tier: all, and those that a higher tier may stop.
+        # Running requests by tier: all, and those that a higher tier may preempt.
         self.running: collections.Counter[int] = collections.Counter()
         self.preemptible: collections.Counter[int] = collections.Counter()
         self.non_preemptible_lower = 0
         self.slots = 0
-        # Of the pool that the servers are of.
+        # The revision of the servers' pool.
         self.revision = ids.Revision(0)
         self.short_share = 0.0
         self.short_tokens = 0
-        # Slots that short work would fill all the time; None: not known yet.
+        # Mean number of slots used by short work; None: not known yet.
         self.short_demand: float | None = None
-        # Predicted seconds of short work that arrived since then.
+        # Predicted seconds of the short work that arrived since `short_since`.
         self.short_seconds = 0.0
         self.short_since = ids.Instant(0.0)
 
     def configure(self, cell: cells.Cell) -> list[ids.TicketId]:
-        """Take over the cell's servers; return tickets that ran on dropped ones."""
+        """Apply the cell's configuration; return the tickets of removed servers."""
         self.revision = cell.revision
         self.short_share = cell.short_share
         self.short_tokens = cell.short_tokens
@@ -61,7 +61,7 @@
         return lost
 
     def update_short_reservation(self, now: ids.Instant) -> None:
-        """Follow the amount of short work with the slots that are kept for it."""
+        """Adapt the slots reserved for short work to how much of it arrives."""
         seconds = now - self.short_since
         if seconds <= 0.0:
             return
@@ -76,11 +76,11 @@
         self.reserve_short_slots()
 
     def reserve_short_slots(self) -> None:
-        """Keep slots of each server for short work.
+        """Set how many slots of each server are reserved for short work.
 
-        The pool's share is the most; less is kept where little short work comes,
-        since kept slots idle while long work waits. One slot always stays, if the
-        share is as much, so that the first short request needn't wait.
+        The pool's share is the maximum. Fewer are reserved when little short work
+        arrives, since reserved slots idle while long work waits. If the share amounts
+        to a slot, one always stays reserved, so that a short request needn't wait.
         """
         share = self.short_share
         if self.short_demand is not None:
@@ -93,7 +93,7 @@
     def start(
         self, server: servers.ServerState, running: servers.Running, now: ids.Instant
     ) -> None:
-        """Give a slot to a ticket."""
+        """Record that a ticket got a slot."""
         server.start(running, now)
         self.server_of_ticket[running.ticket.ticket_id] = server
         self.update_counts(running, 1)
@@ -101,7 +101,7 @@
     def end(
         self, ticket_id: ids.TicketId, now: ids.Instant
     ) -> tuple[servers.ServerState, servers.Running] | None:
-        """Take a ticket's slot back; None when it holds none."""
+        """Release a ticket's slot; return None when it holds none."""
         server = self.server_of_ticket.pop(ticket_id, None)
         if server is None:
             return None
@@ -112,7 +112,7 @@
         return server, running
 
     def update_counts(self, running: servers.Running, change: int) -> None:
-        """Keep the counts by tier; a preempted request is stoppable no more."""
+        """Update the counts by tier for a request that starts or ends."""
         ticket = running.ticket
         self.running[ticket.tier_rank] += change
         if change > 0:
@@ -121,29 +121,29 @@
             self.non_preemptible_lower += change
 
     def note_preempted(self, running: servers.Running, now: ids.Instant) -> None:
-        """Remember that an entry was told to stop a request."""
+        """Record that an entry was asked to stop a request."""
         if running.preempted_at is None:
             self.preemptible[running.ticket.tier_rank] -= 1
         running.preempted_at = now
 
     def runs_below(self, rank: int) -> bool:
-        """Tell whether work of a lower tier runs."""
+        """Tell whether requests of lower tiers are running."""
         return any(count > 0 and r > rank for r, count in self.running.items())
 
     def can_preempt_below(self, rank: int) -> bool:
-        """Tell whether work of a lower tier runs that may be stopped."""
+        """Tell whether preemptible requests of lower tiers are running."""
         return any(count > 0 and r > rank for r, count in self.preemptible.items())
 
     def at_non_idempotent_limit(self, rank: int, idempotent: bool) -> bool:
-        """Tell whether non-idempotent work has to leave the free slots alone."""
+        """Tell whether a tier's non-idempotent requests may take no more slots."""
         if idempotent or rank <= TOP_RANK:
             return False
         kept = max(1, int(self.slots * PREEMPTIBLE_SHARE))
-        # A cell of one slot would otherwise never run such work.
+        # A cell of one slot would otherwise never run such requests.
         return self.non_preemptible_lower >= max(1, self.slots - kept)
 
     def usable(self, ticket: messages.Ticket) -> list[servers.ServerState]:
-        """Return the servers that a ticket might run on."""
+        """Return the usable servers that a ticket doesn't exclude."""
         return [
             server
             for name, server in self.servers.items()
--- a/src/tealcove/dispatch/granting.py
+++ b/src/tealcove/dispatch/granting.py
@@ -1,4 +1,4 @@
-"""Grants free slots in the queue's order."""
+"""Granting of free slots in queue order."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
     stragglers,
 )
 
-# Tickets of one account that are tried when the first ones don't fit the free
-# slots; without this bound each event could cost a walk through the whole queue.
+# Tickets of one account that are tried per slot; without this bound, each event could
+# scan the whole queue when the first tickets don't fit the free slots.
 LOOK_AHEAD = 4
 
 
 class SlotGranter:
-    """Gives each free slot to the first ticket in order that it fits."""
+    """Grants each free slot to the first ticket in order that can use it."""
 
     def __init__(self, state: cellstate.CellState) -> None:
         self.state = state
@@ -29,7 +29,7 @@
     def grant_free_slots(
         self, freed: Iterable[servers.ServerState], now: ids.Instant
     ) -> list[scheduler.Outgoing]:
-        """Grant free slots in the queue's order until none fits any more."""
+        """Grant free slots in queue order until no ticket can use one."""
         outgoing = []
         for rank in self.state.queue.ranks():
             free = [server for server in freed if server.free_slots() > 0]
@@ -44,7 +44,7 @@
     def grant_one(
         self, rank: int, free: list[servers.ServerState], now: ids.Instant
     ) -> scheduler.Outgoing | None:
-        """Grant one slot to the next ticket of a tier that fits."""
+        """Grant one slot to the next ticket of a tier that can use one."""
         lanes = self.open_lanes(rank, free)
         accounts = self.state.queue.tiers[rank].accounts.values()
         waiting_accounts = [account for account in accounts if account.count]
@@ -60,7 +60,7 @@
     def open_lanes(
         self, rank: int, free: list[servers.ServerState]
     ) -> list[queue.Lane]:
-        """Return the lanes that some of the free slots are open to."""
+        """Return the lanes whose tickets may use some of the free slots."""
         fleet = self.state.fleet
         long_open = any(s.free_long_slots(keep_reserved=True) > 0 for s in free)
         return [
@@ -73,7 +73,7 @@
     def grant_on_arrival(
         self, waiting: queue.WaitingTicket, now: ids.Instant
     ) -> list[scheduler.Outgoing]:
-        """Grant a new ticket one of the slots that nobody before it could use."""
+        """Grant a new ticket a slot that no ticket ahead of it could use."""
         fleet = self.state.fleet
         if fleet.at_non_idempotent_limit(
             waiting.ticket.tier_rank, waiting.lane.idempotent
@@ -89,7 +89,7 @@
         free: list[servers.ServerState],
         now: ids.Instant,
     ) -> servers.ServerState | None:
-        """Return the server for a ticket, among some with free slots."""
+        """Return the best server for a ticket among some with free slots."""
         queued_count = len(self.state.queue)
         return choice.choose(waiting, free, now, queued_count, keep_reserved=True)
 
@@ -99,7 +99,7 @@
         server: servers.ServerState,
         now: ids.Instant,
     ) -> scheduler.Outgoing:
-        """Grant a slot; a server that is probed has had its probe."""
+        """Grant a slot, and schedule the next probe if the ticket is a probe."""
         is_probe = server.pace is not servers.Pace.NORMAL and choice.is_probe(
             server, waiting, now
         )
@@ -111,5 +111,5 @@
 
 
 def account_order(account: queue.Account) -> tuple[float, float]:
-    """Return the order of accounts: least start tag, then the oldest ticket."""
+    """Return the sort key of accounts: least start tag, then the oldest ticket."""
     return (account.start_tag, account.oldest_arrival)
--- a/src/tealcove/dispatch/isolation.py
+++ b/src/tealcove/dispatch/isolation.py
@@ -1,4 +1,4 @@
-"""Runs requests that may crash their backend server alone, one at a time."""
+"""Isolation of requests that may crash their backend server."""
 
 from __future__ import annotations
 
@@ -16,21 +16,21 @@
 
 
 class Isolation:
-    """The suspect of a cell that has a server to itself, or waits for one.
+    """Runs a cell's suspects one at a time, each alone on its server.
 
-    The server chosen for it gets nothing else from then on, until the suspect has
-    ended: if it crashes the server, no other request is lost with it.
+    The server chosen for a suspect gets no other request until the suspect has ended:
+    if it crashes the server, no other request is lost.
     """
 
     def __init__(self, state: cellstate.CellState) -> None:
         self.state = state
         self.server: servers.ServerState | None = None
         self.ticket_id: ids.TicketId | None = None
-        # The suspicion's version by which the queued tickets were judged.
+        # The suspicion's version by which the queued tickets were classified.
         self.applied_version = 0
 
     def advance(self, now: ids.Instant) -> list[scheduler.Outgoing]:
-        """Take the next step that the present state of the servers allows."""
+        """Grant the current suspect its server once that is empty."""
         outgoing = self.reclassify()
         self.release()
         if self.server is None:
@@ -41,10 +41,10 @@
         return [*outgoing, self.state.grant(waiting, self.server, now)]
 
     def reclassify(self) -> list[scheduler.Outgoing]:
-        """Look at the queued tickets again once the suspicion has changed.
+        """Classify the queued tickets again once the suspicion has changed.
 
         Without this, copies of a crashing request that were queued before the
-        first crash would run beside others, and go on after the second one.
+        first crash would share servers with others, and still run after the second.
         """
         suspicion = self.state.suspicion
         if suspicion.version == self.applied_version:
@@ -61,7 +61,7 @@
         return outgoing
 
     def release(self) -> None:
-        """Give the server back once the suspect neither waits nor runs."""
+        """Release the server once the suspect is neither queued nor running."""
         if self.server is None:
             return
         if self.ticket_id in self.server.running:
@@ -74,7 +74,7 @@
         self.server = self.ticket_id = None
 
     def choose_next(self, now: ids.Instant) -> None:
-        """Pick the next suspect and the server that is empty first."""
+        """Choose the next suspect and reserve the server that ends it soonest."""
         for waiting in sorted(self.state.suspects.values(), key=suspect_order):
             server = self.find_server(waiting, now)
             if server is not None:
@@ -100,7 +100,7 @@
 
 
 def predicted_idle_at(server: servers.ServerState, now: ids.Instant) -> float:
-    """Return when the last running request is predicted to end."""
+    """Return when a server's last running request is predicted to end."""
     ends = [now]
     for running in server.running.values():
         seconds = running.expected_total if running.expected_total != math.inf else 0.0
@@ -109,5 +109,5 @@
 
 
 def suspect_order(waiting: queue.WaitingTicket) -> tuple[int, float]:
-    """Return the order of suspects: tier, then least slack."""
+    """Return the sort key of suspects: tier, then least slack."""
     return (waiting.ticket.tier_rank, waiting.start_by)
--- a/src/tealcove/dispatch/preemption.py
+++ b/src/tealcove/dispatch/preemption.py
@@ -1,4 +1,4 @@
-"""Finds slots by force for tickets whose time runs out, and refuses the rest."""
+"""Preemption for tickets near their latest start, and refusal of late ones."""
 
 from __future__ import annotations
 
@@ -13,23 +13,23 @@
     shedding,
 )
 
-# A refusal is put off when present speeds give a ticket more time than this.
+# A refusal is postponed when current speeds give a ticket more seconds than this.
 LEAST_POSTPONEMENT = 0.01
 
 
 class Preemption:
-    """The tickets near their last instant to start."""
+    """Finds slots for the tickets that are near their latest start."""
 
     def __init__(self, state: cellstate.CellState) -> None:
         self.state = state
         self.at_risk: dict[ids.TicketId, queue.WaitingTicket] = {}
 
     def advance(self, now: ids.Instant, is_gathering: bool) -> list[scheduler.Outgoing]:
-        """Stop lower work for tickets at risk and refuse what is too late.
+        """Preempt lower tiers for tickets at risk, and refuse tickets that are late.
 
-        While running work of another dispatcher is still being told of, a ticket
-        at risk gets a free slot all the same: it may turn out to be taken, but
-        without it the ticket would surely be too late.
+        A ticket at risk gets a free slot even while running requests of another
+        dispatcher are being gathered: the slot may turn out to be taken, but without
+        it the ticket would surely be too late.
         """
         outgoing: list[scheduler.Outgoing] = []
         for waiting in self.state.risks.due(now):
@@ -43,7 +43,7 @@
     def find_slots(
         self, now: ids.Instant, is_gathering: bool
     ) -> list[scheduler.Outgoing]:
-        """Look for a slot for each ticket at risk, highest tier first."""
+        """Find slots for the tickets at risk, highest tier first."""
         outgoing = []
         ahead = 0
         for ticket_id, waiting in sorted(self.at_risk.items(), key=risk_order):
@@ -63,7 +63,7 @@
         now: ids.Instant,
         is_gathering: bool,
     ) -> scheduler.Outgoing | None:
-        """Find a slot for one ticket, at the cost of lower tiers only."""
+        """Grant a ticket a free slot, or preempt a request of a lower tier for it."""
         rank = waiting.ticket.tier_rank
         fleet = self.state.fleet
         if waiting.lane.is_suspect or now < waiting.next_attempt:
@@ -89,7 +89,7 @@
     def request_preemption(
         self, victim: servers.Running, waiting: queue.WaitingTicket, now: ids.Instant
     ) -> scheduler.Outgoing:
-        """Have a running request stopped for a ticket."""
+        """Return the message that preempts a running request for a ticket."""
         self.state.fleet.note_preempted(victim, now)
         victim.preempted_for = waiting.ticket.ticket_id
         waiting.preemption_deadline = ids.Instant(now + shedding.PREEMPT_TIMEOUT)
@@ -104,9 +104,9 @@
     def expire(
         self, waiting: queue.WaitingTicket, now: ids.Instant
     ) -> list[scheduler.Outgoing]:
-        """Refuse a ticket that can't end in time any more."""
+        """Refuse a ticket that can no longer end in time."""
         if not waiting.is_queued:
-            # Shed a moment ago, together with its tier.
+            # Already shed, together with its tier.
             return []
         if now < waiting.preemption_deadline:
             self.state.expiries.add(waiting.preemption_deadline, waiting)
@@ -118,17 +118,17 @@
         found = choice.estimate(waiting.ticket, usable)
         latest = cellstate.start_by(waiting.deadline, found)
         if latest > now + LEAST_POSTPONEMENT:
-            # Its servers have turned out faster than when it was queued.
+            # The servers' estimated speeds have risen since it was queued.
             self.state.expiries.add(latest, waiting)
             return []
         return self.shed(waiting)
 
     def shed(self, waiting: queue.WaitingTicket) -> list[scheduler.Outgoing]:
-        """Refuse a ticket, for overload only if nothing lower is served.
+        """Refuse a ticket, for overload only if no lower tier is being served.
 
-        What is queued of lower tiers is refused first. Where lower work still
-        runs, it can't be stopped, or stopping it can't help in time any more:
-        then it is the ticket's deadline that can't be met.
+        Queued tickets of lower tiers are refused first. If requests of lower tiers
+        still run, they can't be preempted, or it's too late for that to help: then the
+        reason is the ticket's deadline.
         """
         rank = waiting.ticket.tier_rank
         by_deadline = not waiting.had_slack or waiting.lane.is_suspect
@@ -143,6 +143,6 @@
 
 
 def risk_order(item: tuple[ids.TicketId, queue.WaitingTicket]) -> tuple[int, float]:
-    """Return the order in which tickets at risk are looked after."""
+    """Return the sort key of tickets at risk: tier, then latest start."""
     waiting = item[1]
     return (waiting.ticket.tier_rank, waiting.start_by)
--- a/src/tealcove/dispatch/queue.py
+++ b/src/tealcove/dispatch/queue.py
@@ -1,4 +1,4 @@
-"""The queue of a cell: tier, then fair among client accounts, then least slack."""
+"""The queue of a cell: by tier, fair among client accounts, then by least slack."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Lane(msgspec.Struct, frozen=True):
-    """Tickets for which the same slots are open."""
+    """A class of tickets that may use the same slots."""
 
     is_short: bool
     idempotent: bool
@@ -23,7 +23,7 @@
 
 
 SUSPECTS = Lane(is_short=False, idempotent=False, is_suspect=True)
-# The lanes of tickets that run beside others.
+# The lanes of tickets that may share a server.
 SHARED = tuple(Lane(s, i) for s in (True, False) for i in (True, False))
 LANES = (*SHARED, SUSPECTS)
 
@@ -32,29 +32,29 @@
     """A ticket in the queue."""
 
     ticket: messages.Ticket
-    # When it began to wait, at whichever dispatcher.
+    # When it was first queued, at any dispatcher.
     arrived: ids.Instant
     deadline: ids.Instant
-    # The last instant to start, on the best server with a full batch.
+    # The latest start in time, on the best server with a full batch.
     start_by: ids.Instant
-    # From when on a slot is looked for by force.
+    # From when on lower tiers may be preempted for it.
     risk_from: ids.Instant
     lane: Lane
-    # Predicted seconds of work.
+    # Predicted seconds of service.
     seconds: float
-    # Whether its deadline left it time to wait at all.
+    # Whether its deadline left any time to wait when it was queued.
     had_slack: bool = True
-    # Before when looking for a slot by force again is of no use.
+    # When to look next for a slot to preempt.
     next_attempt: ids.Instant = ids.Instant(0.0)
-    # Until when a slot that another request was told to leave is awaited.
+    # Until when to wait for the slot of a request that was preempted for it.
     preemption_deadline: ids.Instant = ids.Instant(0.0)
     is_queued: bool = False
-    # When its entry last told of it.
+    # When its entry last sent it.
     refreshed_at: ids.Instant = ids.Instant(0.0)
 
     @property
     def order(self) -> tuple[float, float]:
-        """The place within its account: least slack first, then the oldest."""
+        """The sort key within its account: least slack first, then the oldest."""
         return (self.start_by, self.arrived)
 
 
@@ -66,14 +66,14 @@
     # Heaps of (order, number, ticket); the number keeps tickets from being compared.
     lanes: dict[Lane, list[tuple[tuple[float, float], int, WaitingTicket]]]
     count: int = 0
-    # The earliest arrival since it last had nothing queued.
+    # The earliest arrival since the account's queue was last empty.
     oldest_arrival: float = math.inf
 
     def tickets_in_order(self, lanes: list[Lane]) -> Iterator[WaitingTicket]:
-        """Yield the tickets of some lanes in order; removed ones are skipped.
+        """Yield the queued tickets of some lanes in order, skipping removed ones.
 
-        Each lane's heap is sorted only as far as the caller reads on, which most
-        often is the first ticket.
+        Each lane's heap is traversed only as far as the caller iterates, mostly just
+        to the first ticket.
         """
         heaps = [heap for lane in lanes if (heap := self.lanes[lane])]
         for heap in heaps:
@@ -89,7 +89,7 @@
 
 
 def iterate_heap(heap: list[tuple]) -> Iterator[tuple]:
-    """Yield a heap's entries in order and leave the heap as it is."""
+    """Yield a heap's entries in order without changing the heap."""
     if not heap:
         return
     frontier = [(heap[0], 0)]
@@ -105,17 +105,17 @@
     """The tickets of one tier."""
 
     def __init__(self) -> None:
-        # The start tag of the last ticket granted: where accounts that come
-        # back to the queue start, so that an idle time earns no credit.
+        # The start tag of the last ticket granted. Accounts that become backlogged
+        # start from it, so that idle time earns no credit.
         self.virtual_time = 0.0
         self.accounts: dict[ids.AccountId, Account] = {}
         self.count = 0
-        # Predicted seconds of all queued work.
+        # Predicted seconds of service of all queued tickets.
         self.seconds = 0.0
 
 
 class Queue:
-    """All queued tickets of a cell, by id and in order."""
+    """All queued tickets of a cell, by id and in scheduling order."""
 
     def __init__(self) -> None:
         self.tickets: dict[ids.TicketId, WaitingTicket] = {}
@@ -126,7 +126,7 @@
         return len(self.tickets)
 
     def add(self, waiting: WaitingTicket) -> None:
-        """Take in a ticket."""
+        """Add a ticket."""
         ticket = waiting.ticket
         tier = self.tiers.setdefault(ticket.tier_rank, Tier())
         account = tier.accounts.get(ticket.account)
@@ -145,7 +145,7 @@
         self.tickets[ticket.ticket_id] = waiting
 
     def remove(self, ticket_id: ids.TicketId) -> WaitingTicket | None:
-        """Take out a ticket; its entry in the heap goes when it reaches the top."""
+        """Remove a ticket; its heap entry is dropped once it reaches the top."""
         waiting = self.tickets.pop(ticket_id, None)
         if waiting is None:
             return None
@@ -165,7 +165,7 @@
         return waiting
 
     def charge(self, ticket: messages.Ticket, tokens: float) -> None:
-        """Charge granted work to its account; negative tokens are given back."""
+        """Charge tokens to a ticket's account; negative ones are a refund."""
         tier = self.tiers.get(ticket.tier_rank)
         account = None if tier is None else tier.accounts.get(ticket.account)
         if account is None:
@@ -184,10 +184,10 @@
         return sorted(lower, key=lambda w: -w.ticket.tier_rank)
 
     def has_below(self, rank: int) -> bool:
-        """Tell whether anything of a lower tier is queued."""
+        """Tell whether a ticket of a lower tier is queued."""
         return any(r > rank and tier.count for r, tier in self.tiers.items())
 
     def backlog_seconds(self, rank: int) -> float:
-        """Return the predicted work that goes before a new ticket of a tier."""
+        """Return the predicted seconds of service ahead of a tier's new ticket."""
         found = (tier.seconds for r, tier in self.tiers.items() if r <= rank)
         return max(0.0, sum(found))
--- a/src/tealcove/dispatch/shedding.py
+++ b/src/tealcove/dispatch/shedding.py
@@ -1,4 +1,4 @@
-"""Whose work is stopped or refused when a cell has too much of it."""
+"""Choice of the requests to preempt or refuse when a cell is overloaded."""
 
 from __future__ import annotations
 
@@ -7,21 +7,21 @@
 from tealcove import ids
 from tealcove.dispatch import choice, fleet, queue, servers
 
-# Seconds from the order to stop a request until its slot can be granted again.
+# Seconds from the preemption of a request until its slot can be granted again.
 PREEMPT_SECONDS = 0.05
-# An order to stop that isn't answered in this time is taken for lost.
+# Seconds after which an unanswered preemption counts as lost.
 PREEMPT_TIMEOUT = 0.2
-# How long before a ticket's last instant to start a slot is looked for by force.
+# Seconds before a ticket's latest start from which lower tiers are preempted for it.
 RISK_LEAD = 0.3
-# A request beyond this part of its predicted time is stopped only if no other is
-# left: it would free its slot soon anyway.
+# A request past this share of its predicted time is preempted only if there is no
+# other candidate: it would free its slot soon anyway.
 NEARLY_DONE_PART = 0.7
 SHORTEST_RETRY = 0.5
 LONGEST_RETRY = 60.0
 
 
 def retry_after(waiting: queue.Queue, cell_fleet: fleet.Fleet, rank: int) -> float:
-    """Return the seconds after which the backlog ahead of a tier is worked off."""
+    """Return the seconds until the backlog ahead of a tier is cleared."""
     backlog = waiting.backlog_seconds(rank) / max(1, cell_fleet.slots)
     return min(LONGEST_RETRY, max(SHORTEST_RETRY, backlog))
 
@@ -32,7 +32,7 @@
     ahead: int,
     now: ids.Instant,
 ) -> bool:
-    """Tell whether enough slots are predicted to fall free in time anyway.
+    """Tell whether enough slots are predicted to become free in time anyway.
 
     `ahead` is the number of tickets that would take such a slot first.
     """
@@ -44,7 +44,7 @@
         if server.pace is not servers.Pace.NORMAL:
             continue
         for running in server.running.values():
-            # One that is overdue has shown its prediction to be wrong.
+            # An overdue request has proved its prediction wrong.
             ends += now < running.started + running.expected_total <= by
     return ends > ahead
 
@@ -52,10 +52,10 @@
 def find_victim(
     waiting: queue.WaitingTicket, cell_fleet: fleet.Fleet, now: ids.Instant
 ) -> servers.Running | None:
-    """Return the running request to stop for a ticket; None when none may be.
+    """Return the running request to preempt for a ticket, or None.
 
-    Lowest tier first; there, work that isn't nearly done, and least prefill spent
-    first. Only on servers that would still end the waiting ticket in time.
+    Lowest tier first; within a tier, requests that aren't nearly done first, then by
+    least prefill spent. Only servers that would still end the ticket in time count.
     """
     best = None
     best_key: tuple[int, bool, float] | None = None
@@ -78,7 +78,7 @@
 def may_preempt(
     running: servers.Running, waiting: queue.WaitingTicket, now: ids.Instant
 ) -> bool:
-    """Tell whether a request may be stopped for a ticket."""
+    """Tell whether a request may be preempted for a ticket."""
     ticket = running.ticket
     if not ticket.idempotent or ticket.tier_rank <= waiting.ticket.tier_rank:
         return False
@@ -86,7 +86,7 @@
 
 
 def victim_key(running: servers.Running, now: ids.Instant) -> tuple[int, bool, float]:
-    """Return the order in which requests are stopped, least first."""
+    """Return the sort key of requests to preempt, first one least."""
     expected = running.expected_total
     is_nearly_done = (
         expected != math.inf and now - running.started > NEARLY_DONE_PART * expected
