--- a/src/tealcove/dispatch/cellstate.py
+++ b/src/tealcove/dispatch/cellstate.py
@@ -62,7 +62,7 @@
         return waiting
 
     def add_to_queue(self, waiting: queue.WaitingTicket) -> None:
-        """Add a ticket to the queue and its alarms, and to the suspects if it is one."""
+        """Add a ticket to the queue, the alarms and, if suspect, the suspects."""
         if waiting.lane.is_suspect:
             self.suspects[waiting.ticket.ticket_id] = waiting
         self.queue.add(waiting)
--- a/src/tealcove/dispatch/holds.py
+++ b/src/tealcove/dispatch/holds.py
@@ -1,4 +1,4 @@
-"""Backend servers that a pool's steward keeps from new work."""
+"""Holds: backend servers that get no new work, by order of a pool's steward."""
 
 from __future__ import annotations
 
@@ -10,36 +10,36 @@
 
 
 class Hold(message.Message):
-    """Give a server no new work; the steward repeats it until it's over."""
+    """Order to give a server no new work; repeated until the hold is over."""
 
     cell: ids.CellId
     server: ids.BackendServerId
     host: str
     port: int
-    # The steward's fencing number; an older one's holds and releases don't count.
+    # The steward's fencing number; holds and releases with older ones are ignored.
     number: ids.FencingNumber
-    # Which of the steward's holds this is; its report names the same.
+    # The number of the hold, repeated in its report.
     sequence: int
-    # Seconds until the hold ends by itself; 0 ends it now.
+    # Seconds until the hold expires; 0 releases it now.
     seconds: float
 
 
 class HoldReport(message.Message):
-    """What a dispatcher has done about a hold."""
+    """A dispatcher's answer to a hold."""
 
     cell: ids.CellId
     server: ids.BackendServerId
     sequence: int
-    # Whether the server gets no new work, because of the hold or by itself.
+    # Whether the server gets no new work, by the hold or by its own state.
     is_held: bool
-    # Requests that this dispatcher has granted the server and that haven't ended.
+    # Unfinished requests that this dispatcher has granted the server.
     running: int
-    # Whether the entries are still to tell what another dispatcher has granted.
+    # Whether requests granted by another dispatcher are still being gathered.
     is_gathering: bool = False
 
 
 class Address(msgspec.Struct, frozen=True):
-    """Where a server listens; its name is known in one pool only."""
+    """A server's address; a name identifies a server in one pool only."""
 
     host: str
     port: int
@@ -48,8 +48,8 @@
 class Holds:
     """The holds in force on an instance, whether it serves their cells or not.
 
-    They end by themselves: the holds of a steward that has died would otherwise
-    keep its servers idle for ever.
+    They expire: the holds of a steward that has died would otherwise keep its servers
+    idle for ever.
     """
 
     def __init__(self) -> None:
@@ -57,10 +57,10 @@
         self.fencing_numbers: dict[Address, ids.FencingNumber] = {}
 
     def apply(self, hold: Hold, now: ids.Instant) -> None:
-        """Put a hold in force, or end it.
+        """Put a hold in force, or release it.
 
-        A steward that was frozen gives back, when it wakes, what its successor
-        holds by now: the engine would get work while its version changes.
+        Older fencing numbers are ignored: a steward resumed after a freeze would release
+        its successor's hold, and the engine would get work while its version changes.
         """
         address = Address(hold.host, hold.port)
         if hold.number < self.fencing_numbers.get(address, hold.number):
@@ -85,7 +85,7 @@
 
 
 def new_report(hold: Hold, is_held: bool) -> HoldReport:
-    """Return a report on a hold of a dispatcher that has granted nothing."""
+    """Return the report of a dispatcher that has granted the server nothing."""
     return HoldReport(
         cell=hold.cell,
         server=hold.server,
--- a/src/tealcove/dispatch/isolation.py
+++ b/src/tealcove/dispatch/isolation.py
@@ -30,7 +30,7 @@
         self.applied_version = 0
 
     def advance(self, now: ids.Instant) -> list[scheduler.Outgoing]:
-        """Grant the current suspect its server once that is empty."""
+        """Reclassify the queue and grant a suspect its server once that is empty."""
         outgoing = self.reclassify()
         self.release()
         if self.server is None:
--- a/src/tealcove/dispatch/regression.py
+++ b/src/tealcove/dispatch/regression.py
@@ -1,28 +1,28 @@
-"""A straight line fitted to observations, of which old ones count less and less."""
+"""Linear regression with exponentially decaying weights."""
 
 from __future__ import annotations
 
 import msgspec
 
-# The part of its weight that an observation keeps when the next one comes.
+# Factor by which each new observation reduces the weight of older ones.
 DECAY = 0.9
-# What the line that it starts from counts, against 1 for a whole observation.
+# Weight of each of the prior's two points, against 1 for a full observation.
 PRIOR_WEIGHT = 0.5
-# Where x varies by less than this part of the line's span (as a standard
-# deviation), its start tells more of the slope than the observations.
+# Where the standard deviation of x is less than this share of the span, the prior has
+# more influence on the slope than the observations.
 MIN_SPREAD = 0.1
 
 
 class LinearRegression(msgspec.Struct):
-    """y = intercept + slope * x, both never below zero."""
+    """y = intercept + slope * x, with neither below zero."""
 
     intercept: float
     slope: float
-    # The range of x over which the line is of use.
+    # The expected range of x.
     span: float
-    # The slope that it started from.
+    # The slope of the prior.
     prior_slope: float
-    # Sums over the observations: of weights, x, y, x * x and x * y.
+    # Weighted sums over the observations: of 1, x, y, x * x and x * y.
     weight: float = 0.0
     sum_x: float = 0.0
     sum_y: float = 0.0
@@ -33,32 +33,32 @@
     def from_prior(
         cls, intercept: float, slope: float, span: float
     ) -> LinearRegression:
-        """Return a line to start from, known at 0 and at `span`."""
+        """Return a regression whose prior is two points, at 0 and at `span`."""
         fitted = cls(intercept, slope, span, slope)
         fitted.add(0.0, intercept, PRIOR_WEIGHT)
         fitted.add(span, intercept + slope * span, PRIOR_WEIGHT)
         return fitted
 
     def value_at(self, x: float) -> float:
-        """Return y at x."""
+        """Return the fitted y at x."""
         return self.intercept + self.slope * x
 
     def observe(
         self, x: float, y: float, weight: float = 1.0, decay: float = DECAY
     ) -> None:
-        """Take in an observation; `decay` says how fast it may push out the old."""
-        # A light observation fades the others by its own weight only.
+        """Add an observation, reduce the weight of older ones, and fit the line."""
+        # An observation of a small weight reduces the others' in proportion.
         self.scale_weights(1.0 - (1.0 - decay) * min(1.0, weight))
         self.add(x, y, weight)
         self.fit()
 
     def limit_weight(self, weight: float) -> None:
-        """Let all observations together count so much at the most."""
+        """Limit the total weight of all observations."""
         if self.weight > weight:
             self.scale_weights(weight / self.weight)
 
     def scale_weights(self, factor: float) -> None:
-        """Let all observations count less."""
+        """Multiply the weights of all observations by a factor."""
         self.weight *= factor
         self.sum_x *= factor
         self.sum_y *= factor
@@ -74,9 +74,9 @@
         self.sum_xy += weight * x * y
 
     def fit(self) -> None:
-        """Fit the line to the sums: least squares, drawn to the start's slope.
+        """Fit by least squares, with the slope regularised towards the prior's.
 
-        Without that, a server that is always full would have a slope of noise, and
+        Otherwise the slope of a server that is always full would be noise, and
         predictions for the empty server would be far off.
         """
         mean_x = self.mean()
@@ -92,5 +92,5 @@
             self.slope = self.sum_xy / self.sum_xx if self.sum_xx else 0.0
 
     def mean(self) -> float:
-        """Return the mean x of the observations: where the line is known best."""
+        """Return the mean x of the observations, where the fit is most precise."""
         return self.sum_x / self.weight if self.weight else 0.0
--- a/src/tealcove/dispatch/servedcell.py
+++ b/src/tealcove/dispatch/servedcell.py
@@ -1,4 +1,4 @@
-"""A cell that this instance serves, and what it reads of the cell's servers."""
+"""A cell that this instance serves, with the polling of its servers."""
 
 from __future__ import annotations
 
@@ -12,21 +12,21 @@
 from tealcove.backends import engine
 from tealcove.dispatch import cells, reading, scheduler
 
-# Load reports between two readings of an engine's state and cache events.
+# Load reports per read of an engine's loaded models and cache events.
 REPORTS_PER_STATE_READ = 2
 
 Send = Callable[[list[scheduler.Outgoing]], None]
 
 
 class Poll(msgspec.Struct, frozen=True):
-    """The task that reads one server, and the address that it reads."""
+    """The task that polls one server, and the server's address."""
 
     server: engine.Server
     task: asyncio.Task[None]
 
 
 class ServedCell:
-    """The scheduler of a cell, with a task that polls for each backend server."""
+    """The scheduler of a cell, with a polling task for each backend server."""
 
     def __init__(
         self,
@@ -42,24 +42,24 @@
         self.poll_interval = poll_interval
         self.send = send
         self.polls: dict[ids.BackendServerId, Poll] = {}
-        # What each engine has loaded, as far as it's known.
+        # The models and adapters that each engine was last seen to have loaded.
         self.holdings: reading.Holdings = {}
-        # When a server was last found to be lost; older readings don't count.
+        # When a server was last reported lost; older readings are ignored.
         self.lost_at: dict[ids.BackendServerId, ids.Instant] = {}
-        # When it was last seen to have tickets, or to belong to this instance.
+        # When the cell last had tickets or was assigned to this instance.
         self.needed_at = clock.now()
 
     def stop(self) -> None:
-        """Read the servers no more."""
+        """Stop polling the servers."""
         for poll in self.polls.values():
             poll.task.cancel()
         self.polls.clear()
 
     def poll_servers(self) -> None:
-        """Have one task that polls for each server of the cell.
+        """Start and stop polling tasks, so that each server of the cell has one.
 
-        None with an interval of 0, where servers tell of themselves otherwise and
-        each poll is paid for.
+        There are none with an interval of 0, for servers that report their state by
+        other means and where each poll has a cost.
         """
         if self.poll_interval == 0.0:
             return
@@ -70,8 +70,8 @@
             for spec in self.cell.servers
         }
         for name, poll in list(self.polls.items()):
-            # A server that has moved is another process: what was read at the old
-            # address says nothing of it.
+            # A server with a new address is another process: readings from the old
+            # address don't apply to it.
             if wanted.get(name) != poll.server:
                 poll.task.cancel()
                 del self.polls[name]
@@ -82,20 +82,20 @@
                 self.polls[name] = Poll(server, task)
 
     async def poll(self, server: engine.Server) -> None:
-        """Read a server's load, health and cache events again and again."""
+        """Read a server's load, state and cache events periodically."""
         for number in itertools.count():
             began = clock.now()
             load = await self.reader.load(server)
             if began > self.lost_at.get(server.name, began - 1.0):
                 self.send(self.scheduler.report(server.name, load, clock.now()))
-            # A plain service would take the question for a call of one of its paths.
+            # A plain service would handle the query as a request for one of its paths.
             may_ask = load is not None and self.cell.has_engines
             if may_ask and number % REPORTS_PER_STATE_READ == 0:
                 await self.read_engine(server)
             await asyncio.sleep(self.poll_interval)
 
     async def read_engine(self, server: engine.Server) -> None:
-        """Read what an engine has loaded and what changed in its prefix cache."""
+        """Read an engine's loaded models and the changes of its prefix cache."""
         holding = await self.reader.holding(server)
         if holding is not None:
             self.holdings[server.name] = holding
--- a/src/tealcove/dispatch/servers.py
+++ b/src/tealcove/dispatch/servers.py
@@ -26,7 +26,7 @@
     NORMAL = "normal"
     # Gets fewer slots, in proportion to its slowness, and probes.
     SLOW = "slow"
-    # Gets one short request at a time, to test whether it has recovered.
+    # Gets one short request per probe interval, to test whether it has recovered.
     PROBED = "probed"
 
 
@@ -242,7 +242,7 @@
         if self.excess_since is None:
             self.excess_since = now
         if now - self.excess_since >= FOREIGN_AFTER:
-            # At least one slot stays usable, so that a wrong report can't idle a server.
+            # One slot always stays usable, so that a wrong report can't idle a server.
             self.foreign_running = min(excess, self.spec.slots - 1)
 
     def cached_tokens(self, ticket: messages.Ticket) -> float:
--- a/src/tealcove/dispatch/speeds.py
+++ b/src/tealcove/dispatch/speeds.py
@@ -1,4 +1,4 @@
-"""Speeds of backend servers, learnt from what entries saw at completion."""
+"""Speeds of backend servers, estimated from completed requests."""
 
 from __future__ import annotations
 
@@ -9,32 +9,32 @@
 
 from tealcove.dispatch import regression
 
-# Where nothing is known, a server is taken for a fast one: a guess that is too
-# slow would refuse requests that it could serve, and so never be corrected.
+# An unknown server is assumed to be fast: an estimate that is too slow would refuse
+# requests that it could serve, and so never be corrected.
 DEFAULT_PREFILL_SECONDS = 0.00002
 DEFAULT_DECODE_SECONDS = 0.001
-# Part by which each further request in the batch slows a token.
+# Relative slowdown of a token by each further request in the batch.
 DEFAULT_SLOWDOWN = 0.02
-# Prompts below this are too short to tell the time that a token of them takes.
+# Shorter prompts don't allow an estimate of the time per prompt token.
 MIN_PREFILL_TOKENS = 64
-# Output tokens of the request by which servers are put in order.
+# Output tokens of the reference request by which servers are sorted.
 MEDIAN_OUTPUT = 64
-# What a line that a server starts from is taken to be known for.
+# Spans of the regressions' priors: uncached prompt tokens, and other requests.
 PREFILL_SPAN = 1000.0
 BATCH_SPAN = 7.0
-# Decoded tokens from which a request counts as a whole observation.
+# Output tokens from which a request counts with full weight.
 FULL_WEIGHT_TOKENS = 32
 
 
 class Speed(msgspec.Struct):
-    """How long a server takes, by uncached prompt tokens and by batch size."""
+    """A server's service times, by uncached prompt tokens and by batch size."""
 
     # Seconds to the first token, by uncached prompt tokens.
     prefill: regression.LinearRegression
     # Seconds of each further token, by other requests in the batch.
     decode: regression.LinearRegression
     observations: int = 0
-    # Whether it starts from other servers' speeds, not from the default.
+    # Whether its prior is other servers' speed and not the default.
     is_seeded: bool = False
 
     def predict(self, uncached: float, output: float, others: float) -> float:
@@ -42,7 +42,7 @@
 
         `uncached` and `output` are tokens, `others` requests in the same batch.
         """
-        # Written out, since a ticket costs this twice for each server of its cell.
+        # Inlined, since each ticket calls this twice per server of its cell.
         prefill, decode = self.prefill, self.decode
         first = prefill.intercept + prefill.slope * uncached
         step = decode.intercept + decode.slope * others
@@ -57,7 +57,7 @@
         total_seconds: float,
         decay: float = regression.DECAY,
     ) -> None:
-        """Learn from a completed request."""
+        """Update the estimate with a completed request."""
         if self.observations == 0 and not self.is_seeded:
             self.seed(uncached, output, first_token_seconds, total_seconds)
         self.prefill.observe(max(0.0, uncached), first_token_seconds, decay=decay)
@@ -68,7 +68,7 @@
         self.observations += 1
 
     def seed(self, uncached: float, output: float, first: float, total: float) -> None:
-        """Start from the first observation, since the default is no knowledge."""
+        """Set the prior from the first observation, as the default is only a guess."""
         step = (total - first) / (output - 1) if output > 1 else first
         slope = DEFAULT_PREFILL_SECONDS
         if uncached >= MIN_PREFILL_TOKENS:
@@ -80,7 +80,7 @@
 
 
 def default() -> Speed:
-    """Return the speed of a server of which nothing is known."""
+    """Return the speed assumed for an unknown server."""
     return Speed(
         regression.LinearRegression.from_prior(
             0.0, DEFAULT_PREFILL_SECONDS, PREFILL_SPAN
@@ -90,7 +90,7 @@
 
 
 def copy(speed: Speed) -> Speed:
-    """Return a speed to start from, which its own observations soon replace."""
+    """Return a speed with another one as prior, for a server's own observations."""
     prefill, decode = speed.prefill, speed.decode
     return Speed(
         regression.LinearRegression.from_prior(
@@ -104,11 +104,11 @@
 
 
 def median(found: Iterable[Speed]) -> Speed | None:
-    """Return the middle one of observed speeds; None when there are none.
+    """Return the median of observed speeds; None when there are none.
 
-    Of an even number it is the faster middle one, so that of two servers the
-    slow one is seen to be slow. It is one server's speed as a whole: a mixture of
-    one's intercept and another's slope may be faster than any server is.
+    Of an even number it is the faster middle one, so that of two servers the slow one
+    is detected. It is the speed of one server: combining the intercept of one with
+    the slope of another could give a speed that is faster than any server's.
     """
     observed = [speed for speed in found if speed.observations > 0]
     if not observed:
--- a/src/tealcove/dispatch/spread.py
+++ b/src/tealcove/dispatch/spread.py
@@ -1,4 +1,4 @@
-"""The choice among the cells of a pool, made by the entry."""
+"""The entry's choice among the cells of a pool, by affinity and load."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 from tealcove.dispatch import cells
 from tealcove.resources import kinds
 
-# By so many tickets of this entry for each of its slots the near cell must be
-# fuller than the other one before a request goes there, away from the cache.
+# By how many of this entry's tickets per slot the near cell's load must exceed the
+# other's before a request goes to the other, where its prefix isn't cached.
 LOAD_LEAD = 0.5
 DIGEST_BYTES = 8
 
@@ -22,7 +22,7 @@
 
 
 class Pools(typing.Protocol):
-    """Pools by name, as they are in force."""
+    """The pools in force, by name."""
 
     def pool(self, name: str) -> kinds.Resource | None:
         """Return a pool; None when there is none of that name."""
@@ -34,15 +34,15 @@
 
 
 class PoolsOwner(typing.Protocol):
-    """Whoever keeps the pools that are in force."""
+    """The owner of the pools in force."""
 
     @property
     def current(self) -> Pools:
-        """The pools now."""
+        """The pools in force."""
 
 
 class PoolDivision(msgspec.Struct, frozen=True):
-    """A pool as it was divided, and the cells that are nearest."""
+    """A pool with its cells, and those of them that are nearest."""
 
     pool: kinds.Resource
     cells: tuple[cells.Cell, ...]
@@ -50,12 +50,12 @@
 
 
 class Spread:
-    """Divides each pool once per change, and spreads requests over its cells.
+    """Divides pools into cells and balances requests over them.
 
-    A request goes by the hash of its prompt's beginning, so that those who share
-    a prefix meet in one cell, whose backend servers have it cached. When the cell
-    it leads to has much more of this entry's work than another one, that one is
-    taken (power of two choices): one popular prefix mustn't fill a single cell.
+    The hash of the prompt's beginning chooses the cell, so that requests that share a
+    prefix get the same cell, whose backend servers have it cached. If that cell has
+    much more of this entry's load than a second one, the second is chosen (power of
+    two choices): one popular prefix mustn't overload a single cell.
     """
 
     def __init__(
@@ -66,14 +66,14 @@
     ) -> None:
         self.copy = own
         self.delay = delay
-        # Backend servers in one cell at the most.
+        # The most backend servers in one cell.
         self.cell_servers = cell_servers
         self.divisions: dict[str, PoolDivision] = {}
-        # Tickets of this entry that wait or run, by cell.
+        # This entry's queued or running tickets, by cell.
         self.tickets: collections.Counter[ids.CellId] = collections.Counter()
 
     def divide(self, pool: kinds.Resource) -> PoolDivision:
-        """Return the cells of a pool, divided anew only when it has changed."""
+        """Return the cells of a pool; they are computed once per change of the pool."""
         known = self.divisions.get(pool.metadata.name)
         if known is not None and known.pool is pool:
             return known
@@ -95,7 +95,7 @@
         return 0.0 if cell.data_centre is None else self.delay(cell.data_centre)
 
     def find(self, cell_id: ids.CellId) -> cells.Cell | None:
-        """Return a cell by the configuration in force, or None."""
+        """Return the cell with an id in the configuration in force, or None."""
         name, _, text = cell_id.rpartition("/")
         pool = self.copy.current.pool(name)
         number = count.read(text)
@@ -112,7 +112,7 @@
         return self.copy.current.has_left(name, server, revision)
 
     def choose(self, pool: kinds.Resource, affinity: str) -> cells.Cell:
-        """Return the cell for a request; `affinity` is alike for those that share."""
+        """Return the cell for a request; `affinity` is equal for a shared prefix."""
         divided = self.divide(pool)
         if len(divided.cells) == 1:
             return divided.cells[0]
@@ -126,7 +126,7 @@
         return first
 
     def load(self, cell: cells.Cell) -> float:
-        """Return this entry's tickets for each slot of a cell."""
+        """Return this entry's number of tickets per slot of a cell."""
         slots = sum(server.slots for server in cell.servers)
         return self.tickets[cell.cell_id] / max(1, slots)
 
@@ -135,12 +135,12 @@
         self.tickets[cell_id] += 1
 
     def end(self, cell_id: ids.CellId) -> None:
-        """Count a ticket no longer; a cell without any is forgotten."""
+        """Stop counting a ticket; a cell without tickets is removed."""
         self.tickets[cell_id] -= 1
         if self.tickets[cell_id] <= 0:
             del self.tickets[cell_id]
 
 
 def pick(found: tuple[cells.Cell, ...], digest: bytes) -> cells.Cell:
-    """Return the cell that a digest leads to."""
+    """Return the cell that a digest selects."""
     return found[int.from_bytes(digest) % len(found)]
--- a/src/tealcove/dispatch/stragglers.py
+++ b/src/tealcove/dispatch/stragglers.py
@@ -1,7 +1,7 @@
-"""Finds backend servers that are slower than they should be.
+"""Detection of backend servers that are slower than expected.
 
-Judged from completed requests and from running ones that are late against their
-prediction, never from load reports: these lag, and a frozen server's look fine.
+It uses completed requests and running ones that exceed their predicted times, never
+load reports: these lag, and those of a frozen server look normal.
 """
 
 from __future__ import annotations
@@ -16,28 +16,29 @@
 
 log = logbook.Logger("dispatch")
 
-# Times slower than expected from which a server gets less work, or only probes.
+# Slowness factors from which a server gets less work, or only probes.
 SLOW_FACTOR = 2.0
 PROBE_FACTOR = 5.0
-# A running request counts as late beyond its prediction times this ...
+# A running request counts as late when it exceeds its predicted time by this factor
 LATE_FACTOR = 1.5
-# ... plus these seconds, since short requests vary more.
+# plus these seconds, since the times of short requests vary more.
 LATE_GRACE = 0.5
-# Seconds between probes; doubled while they are slow, up to the longest.
+# Seconds between probes; doubled after each probe, up to the longest.
 PROBE_INTERVAL = 1.0
 LONGEST_PROBE_INTERVAL = 30.0
-# What all older observations count together against a probe's 1: so two good
-# probes are enough to bring a server back.
+# Total weight of all older observations against a probe's 1, so that two fast probes
+# are enough to restore a server.
 DOUBTED_WEIGHT = 0.25
+# Factor by which each new observation reduces the weight of older ones, for a server's
+# current speed and for its long-term one.
 DECAY = 0.9
-# What an observation leaves in place of a server's usual speed.
 LONG_TERM_DECAY = 0.995
-# A server without a generation that has completed fewer requests, and got none for so
-# many seconds, counts as one of which nothing is known: its only completion may have
-# been late by the machine's other work. It was never chosen again, however fast it was.
+# A server without a generation that has fewer observations and has been idle for so
+# many seconds counts as unknown again: its only completion may have been delayed by
+# other load on the machine, and it was never chosen again, however fast it was.
 FEW_OBSERVATIONS = 3
 DOUBTED_AFTER = 5.0
-# Output tokens of the request by which speeds are compared.
+# Output tokens of the reference request by which speeds are compared.
 SAMPLE_OUTPUT = 64
 
 
@@ -47,7 +48,7 @@
     done: messages.Done,
     now: ids.Instant,
 ) -> None:
-    """Learn a server's speed from a completed request."""
+    """Update a server's speeds from a completed request."""
     others = max(0, len(server.running) - 1)
     if running is not None:
         others = server.mean_others(running, now)
@@ -73,10 +74,10 @@
 
 
 def update_paces(found: Iterable[servers.ServerState], now: ids.Instant) -> None:
-    """Bring priors, slowness and pace of all servers up to date.
+    """Update prior, slowness and pace of all servers.
 
-    Servers of one named generation are held against their median; one without a
-    generation only against its own usual speed, since it may differ by design.
+    Servers of a named generation are compared to its median; a server without a
+    generation only to its own long-term speed, since it may differ by design.
     """
     known = list(found)
     by_generation: dict[str, list[servers.ServerState]] = {}
@@ -96,9 +97,9 @@
 
 
 def reset_doubtful(server: servers.ServerState, now: ids.Instant) -> None:
-    """Forget a speed that rests on too little, so that the server is tried again.
+    """Reset a speed that has too few observations, so that the server is tried again.
 
-    Those that are held against others, or are probed already, have ways of their own.
+    Servers with a prior or with a reduced pace recover by other means.
     """
     has_way = server.prior is not None or server.pace is not servers.Pace.NORMAL
     is_doubtful = 0 < server.speed.observations < FEW_OBSERVATIONS
@@ -108,10 +109,10 @@
 
 
 def relax_if_all_probed(known: list[servers.ServerState]) -> None:
-    """Let slow servers work if a cell has no others.
+    """Make all probed servers slow ones if the cell has no others.
 
-    Where all are late, they are no stragglers: it's the load, or the word of their
-    ends that is late, and probes only would refuse nearly everything.
+    If all servers are late, they aren't stragglers: the load is high or the reports of
+    ends are late, and granting only probes would refuse nearly all requests.
     """
     paces = {server.pace for server in known if server.is_usable}
     if paces != {servers.Pace.PROBED}:
@@ -122,12 +123,12 @@
 
 
 def measure_slowness(server: servers.ServerState, now: ids.Instant) -> float:
-    """Return how many times slower than expected a server is."""
+    """Return a server's slowness, as a multiple of the expected time."""
     late = max((lateness(r, now) for r in server.running.values()), default=1.0)
     own = server.speed
     if own.observations == 0:
         return late
-    # Compared where it is known best: elsewhere, lines differ by chance.
+    # Compared at the mean of the observations: elsewhere, the fits differ by chance.
     uncached, others = own.prefill.mean(), own.decode.mean()
     expected = server.baseline.predict(uncached, SAMPLE_OUTPUT, others)
     seen = own.predict(uncached, SAMPLE_OUTPUT, others)
@@ -135,19 +136,19 @@
 
 
 def lateness(running: servers.Running, now: ids.Instant) -> float:
-    """Return how many times longer than predicted a request runs already."""
+    """Return a request's elapsed time as a multiple of the predicted one."""
     expected = running.expected_total
     if not running.has_first_token:
         expected = running.expected_first
     elapsed = now - running.started - LATE_GRACE
     if expected == math.inf or elapsed <= expected * LATE_FACTOR:
         return 1.0
-    # A prediction of next to nothing would make any delay a huge factor.
+    # A prediction near zero would turn any delay into a huge factor.
     return elapsed / max(expected, LATE_GRACE)
 
 
 def set_pace(server: servers.ServerState, now: ids.Instant) -> None:
-    """Decide how much work a server may get."""
+    """Set a server's pace by its slowness."""
     before = server.pace
     was_normal = before is servers.Pace.NORMAL
     if server.slowness >= PROBE_FACTOR:
@@ -167,7 +168,7 @@
 def schedule_next_probe(
     server: servers.ServerState, running: servers.Running, now: ids.Instant
 ) -> None:
-    """Set the time of the next probe, further away each time."""
+    """Schedule the next probe, with a doubled interval each time."""
     running.is_probe = True
     server.probe_at = ids.Instant(now + server.probe_interval)
     doubled = 2 * server.probe_interval
