--- a/src/tealcove/dispatch/cellstate.py
+++ b/src/tealcove/dispatch/cellstate.py
@@ -37,25 +37,25 @@
         self.suspects: dict[ids.TicketId, queue.WaitingTicket] = {}
 
     def queue_ticket(
-        self, ticket: messages.Ticket, found: choice.Estimate, now: ids.Instant
+        self, ticket: messages.Ticket, predicted: choice.Estimate, now: ids.Instant
     ) -> queue.WaitingTicket:
         """Queue a ticket."""
-        is_short = found.tokens <= self.fleet.short_tokens
+        is_short = predicted.tokens <= self.fleet.short_tokens
         deadline = ids.Instant(now + ticket.remaining)
         waiting = queue.WaitingTicket(
             ticket=ticket,
             arrived=ids.Instant(now - ticket.waited),
             deadline=deadline,
-            start_by=start_by(deadline, found),
-            risk_from=risk_from(deadline, found),
+            start_by=start_by(deadline, predicted),
+            risk_from=risk_from(deadline, predicted),
             lane=queue.Lane(is_short, ticket.idempotent),
-            seconds=found.loaded,
+            seconds=predicted.loaded,
             refreshed_at=now,
             had_slack=ticket.remaining + ticket.waited
-            > found.loaded + choice.DEADLINE_MARGIN + shedding.RISK_LEAD,
+            > predicted.loaded + choice.DEADLINE_MARGIN + shedding.RISK_LEAD,
         )
         if is_short:
-            self.fleet.short_seconds += found.loaded
+            self.fleet.short_seconds += predicted.loaded
         if self.suspicion.is_suspect(ticket.digest):
             waiting.lane = queue.SUSPECTS
         self.add_to_queue(waiting)
@@ -167,15 +167,15 @@
         return ended
 
 
-def start_by(deadline: ids.Instant, found: choice.Estimate) -> ids.Instant:
+def start_by(deadline: ids.Instant, predicted: choice.Estimate) -> ids.Instant:
     """Return the latest start at which the best server ends a ticket in time.
 
     Predicted for a full batch.
     """
-    return ids.Instant(deadline - choice.DEADLINE_MARGIN - found.loaded)
+    return ids.Instant(deadline - choice.DEADLINE_MARGIN - predicted.loaded)
 
 
-def risk_from(deadline: ids.Instant, found: choice.Estimate) -> ids.Instant:
+def risk_from(deadline: ids.Instant, predicted: choice.Estimate) -> ids.Instant:
     """Return the instant from which lower tiers may be preempted for a ticket.
 
     It's early enough for the slower servers to end the ticket in time. Computed for
@@ -183,7 +183,7 @@
     work of the same tier: the ticket would be refused while slower servers run work
     of lower tiers.
     """
-    seconds = max(found.loaded, found.slowest) + shedding.RISK_LEAD
+    seconds = max(predicted.loaded, predicted.slowest) + shedding.RISK_LEAD
     return ids.Instant(deadline - choice.DEADLINE_MARGIN - seconds)
 
 
--- a/src/tealcove/dispatch/fair.py
+++ b/src/tealcove/dispatch/fair.py
@@ -89,13 +89,13 @@
             known.refreshed_at = now
             return [answer]
         usable = self.state.fleet.usable(ticket)
-        found = choice.estimate(ticket, usable)
-        reason = self.refusal_reason(ticket, found)
+        predicted = choice.estimate(ticket, usable)
+        reason = self.refusal_reason(ticket, predicted)
         if not usable and reason is None and not self.may_become_usable(ticket):
             reason = messages.RefusalReason.NO_BACKEND_SERVER
         if reason is not None:
             return [self.state.refusal_message(ticket, reason)]
-        waiting = self.state.queue_ticket(ticket, found, now)
+        waiting = self.state.queue_ticket(ticket, predicted, now)
         outgoing = []
         if not waiting.lane.is_suspect and not self.is_gathering:
             outgoing.extend(self.granter.grant_on_arrival(waiting, now))
@@ -104,14 +104,14 @@
         return [answer, *outgoing] if waiting.is_queued else outgoing
 
     def refusal_reason(
-        self, ticket: messages.Ticket, found: choice.Estimate
+        self, ticket: messages.Ticket, predicted: choice.Estimate
     ) -> messages.RefusalReason | None:
         """Return the reason to refuse a new ticket, or None to queue it."""
         if self.state.suspicion.is_quarantined(ticket.digest):
             return messages.RefusalReason.QUARANTINED
         # Time spent waiting at other dispatchers counts: a request that an idle fleet
         # could have completed in time isn't refused for its deadline.
-        if found.idle > ticket.remaining + ticket.waited:
+        if predicted.idle > ticket.remaining + ticket.waited:
             return messages.RefusalReason.DEADLINE
         return None
 
@@ -165,9 +165,9 @@
         outgoing = []
         promised = self.state.queue.tickets.get(running.preempted_for)
         if promised is not None:
-            found = choice.choose(promised, (server,), now, 0, keep_reserved=False)
-            if found is not None:
-                outgoing.append(self.state.grant(promised, found, now))
+            chosen = choice.choose(promised, (server,), now, 0, keep_reserved=False)
+            if chosen is not None:
+                outgoing.append(self.state.grant(promised, chosen, now))
         freed = (server,)
         if not running.ticket.idempotent:
             # The limit on such work holds for the cell, so any slot may be granted.
@@ -181,47 +181,47 @@
         now: ids.Instant,
     ) -> list[scheduler.Outgoing]:
         """See Scheduler."""
-        found = self.state.fleet.servers.get(server)
-        if found is None:
+        server_state = self.state.fleet.servers.get(server)
+        if server_state is None:
             return []
-        found.reachable = load is not None
+        server_state.reachable = load is not None
         if load is not None:
-            found.leaving = load.state == "leaving"
-            found.apply_load_report(load, now)
-        return self.decide((found,), now)
+            server_state.leaving = load.state == "leaving"
+            server_state.apply_load_report(load, now)
+        return self.decide((server_state,), now)
 
     def cached(
         self, server: ids.BackendServerId, events: engine.CacheEvents, now: ids.Instant
     ) -> list[scheduler.Outgoing]:
         """See Scheduler."""
-        found = self.state.fleet.servers.get(server)
-        if found is not None:
-            found.index.take_events(events)
+        server_state = self.state.fleet.servers.get(server)
+        if server_state is not None:
+            server_state.index.take_events(events)
         return []
 
     def last_event(self, server: ids.BackendServerId) -> int:
         """See Scheduler."""
-        found = self.state.fleet.servers.get(server)
-        return 0 if found is None else found.index.last
+        server_state = self.state.fleet.servers.get(server)
+        return 0 if server_state is None else server_state.index.last
 
     def hold_back(
         self, server: ids.BackendServerId, now: ids.Instant
     ) -> list[scheduler.Outgoing]:
         """See Scheduler."""
-        found = self.state.fleet.servers.get(server)
-        if found is not None:
-            found.leaving = True
+        server_state = self.state.fleet.servers.get(server)
+        if server_state is not None:
+            server_state.leaving = True
         return []
 
     def report_hold(self, report: holds.HoldReport) -> holds.HoldReport:
         """See Scheduler."""
-        found = self.state.fleet.servers.get(report.server)
-        if found is None:
+        server_state = self.state.fleet.servers.get(report.server)
+        if server_state is None:
             return report
         return msgspec.structs.replace(
             report,
-            is_held=report.is_held or found.leaving,
-            running=len(found.running),
+            is_held=report.is_held or server_state.leaving,
+            running=len(server_state.running),
             is_gathering=self.is_gathering,
         )
 
@@ -244,13 +244,13 @@
         if now < self.next_review:
             return self.decide((), now)
         self.next_review = ids.Instant(now + REVIEW_INTERVAL)
-        found = self.state.fleet.servers.values()
+        all_servers = self.state.fleet.servers.values()
         self.drop_stale_tickets(now)
-        for server in found:
+        for server in all_servers:
             self.drop_orphans(server, now)
-        stragglers.update_paces(found, now)
+        stragglers.update_paces(all_servers, now)
         self.state.fleet.update_short_reservation(now)
-        return self.decide(found, now)
+        return self.decide(all_servers, now)
 
     def drop_orphans(self, server: servers.ServerState, now: ids.Instant) -> None:
         """Release slots for whose requests no end will be reported."""
--- a/src/tealcove/dispatch/holds.py
+++ b/src/tealcove/dispatch/holds.py
@@ -59,8 +59,9 @@
     def apply(self, hold: Hold, now: ids.Instant) -> None:
         """Put a hold in force, or release it.
 
-        Older fencing numbers are ignored: a steward resumed after a freeze would release
-        its successor's hold, and the engine would get work while its version changes.
+        Older fencing numbers are ignored: a steward that resumes after a freeze would
+        release its successor's hold, and the engine would get work while its version
+        changes.
         """
         address = Address(hold.host, hold.port)
         if hold.number < self.fencing_numbers.get(address, hold.number):
--- a/src/tealcove/dispatch/preemption.py
+++ b/src/tealcove/dispatch/preemption.py
@@ -50,10 +50,10 @@
             if not waiting.is_queued:
                 del self.at_risk[ticket_id]
                 continue
-            found = self.find_slot(waiting, ahead, now, is_gathering)
+            message = self.find_slot(waiting, ahead, now, is_gathering)
             ahead += 1
-            if found is not None:
-                outgoing.append(found)
+            if message is not None:
+                outgoing.append(message)
         return outgoing
 
     def find_slot(
@@ -115,8 +115,8 @@
         if not usable:
             reason = messages.RefusalReason.NO_BACKEND_SERVER
             return [self.state.refuse(waiting, reason)]
-        found = choice.estimate(waiting.ticket, usable)
-        latest = cellstate.start_by(waiting.deadline, found)
+        predicted = choice.estimate(waiting.ticket, usable)
+        latest = cellstate.start_by(waiting.deadline, predicted)
         if latest > now + LEAST_POSTPONEMENT:
             # The servers' estimated speeds have risen since it was queued.
             self.state.expiries.add(latest, waiting)
--- a/src/tealcove/dispatch/queue.py
+++ b/src/tealcove/dispatch/queue.py
@@ -189,5 +189,5 @@
 
     def backlog_seconds(self, rank: int) -> float:
         """Return the predicted seconds of service ahead of a tier's new ticket."""
-        found = (tier.seconds for r, tier in self.tiers.items() if r <= rank)
-        return max(0.0, sum(found))
+        counted = (tier.seconds for r, tier in self.tiers.items() if r <= rank)
+        return max(0.0, sum(counted))
--- a/src/tealcove/dispatch/speeds.py
+++ b/src/tealcove/dispatch/speeds.py
@@ -103,14 +103,14 @@
     )
 
 
-def median(found: Iterable[Speed]) -> Speed | None:
+def median(candidates: Iterable[Speed]) -> Speed | None:
     """Return the median of observed speeds; None when there are none.
 
     Of an even number it is the faster middle one, so that of two servers the slow one
     is detected. It is the speed of one server: combining the intercept of one with
     the slope of another could give a speed that is faster than any server's.
     """
-    observed = [speed for speed in found if speed.observations > 0]
+    observed = [speed for speed in candidates if speed.observations > 0]
     if not observed:
         return None
     uncached = statistics.fmean(speed.prefill.mean() for speed in observed)
--- a/src/tealcove/dispatch/spread.py
+++ b/src/tealcove/dispatch/spread.py
@@ -77,16 +77,16 @@
         known = self.divisions.get(pool.metadata.name)
         if known is not None and known.pool is pool:
             return known
-        found = cells.of_pool(
+        divided_cells = cells.of_pool(
             ids.PoolId(pool.metadata.name), pool.spec, self.cell_servers
         )
         revision = pool.metadata.revision
-        found = tuple(
-            msgspec.structs.replace(cell, revision=revision) for cell in found
+        divided_cells = tuple(
+            msgspec.structs.replace(cell, revision=revision) for cell in divided_cells
         )
-        nearest = min(self.distance(cell) for cell in found)
-        near = tuple(cell for cell in found if self.distance(cell) == nearest)
-        divided = PoolDivision(pool, found, near)
+        nearest = min(self.distance(cell) for cell in divided_cells)
+        near = tuple(cell for cell in divided_cells if self.distance(cell) == nearest)
+        divided = PoolDivision(pool, divided_cells, near)
         self.divisions[pool.metadata.name] = divided
         return divided
 
@@ -101,8 +101,8 @@
         number = count.read(text)
         if pool is None or number is None:
             return None
-        found = self.divide(pool).cells
-        return found[number] if number < len(found) else None
+        pool_cells = self.divide(pool).cells
+        return pool_cells[number] if number < len(pool_cells) else None
 
     def has_left(
         self, cell_id: ids.CellId, server: ids.BackendServerId, revision: ids.Revision
@@ -141,6 +141,6 @@
             del self.tickets[cell_id]
 
 
-def pick(found: tuple[cells.Cell, ...], digest: bytes) -> cells.Cell:
+def pick(choices: tuple[cells.Cell, ...], digest: bytes) -> cells.Cell:
     """Return the cell that a digest selects."""
-    return found[int.from_bytes(digest) % len(found)]
+    return choices[int.from_bytes(digest) % len(choices)]
--- a/src/tealcove/dispatch/stragglers.py
+++ b/src/tealcove/dispatch/stragglers.py
@@ -73,13 +73,13 @@
         )
 
 
-def update_paces(found: Iterable[servers.ServerState], now: ids.Instant) -> None:
+def update_paces(all_servers: Iterable[servers.ServerState], now: ids.Instant) -> None:
     """Update prior, slowness and pace of all servers.
 
     Servers of a named generation are compared to its median; a server without a
     generation only to its own long-term speed, since it may differ by design.
     """
-    known = list(found)
+    known = list(all_servers)
     by_generation: dict[str, list[servers.ServerState]] = {}
     for server in known:
         by_generation.setdefault(server.spec.generation, []).append(server)
--- a/src/tealcove/dispatch/tests/test_holds.py
+++ b/src/tealcove/dispatch/tests/test_holds.py
@@ -28,25 +28,25 @@
 
 
 def test_hold_ends_by_itself_or_when_told():
-    found = holds.Holds()
-    found.apply(hold("a", 3.0), builders.instant(0))
-    found.apply(hold("b", 3.0), builders.instant(0))
-    assert found.is_held("a", 1, builders.instant(2.9))
-    assert not found.is_held("a", 1, builders.instant(3.0))
-    found.apply(hold("b", 0.0), builders.instant(1))
-    assert not found.is_held("b", 1, builders.instant(1))
+    in_force = holds.Holds()
+    in_force.apply(hold("a", 3.0), builders.instant(0))
+    in_force.apply(hold("b", 3.0), builders.instant(0))
+    assert in_force.is_held("a", 1, builders.instant(2.9))
+    assert not in_force.is_held("a", 1, builders.instant(3.0))
+    in_force.apply(hold("b", 0.0), builders.instant(1))
+    assert not in_force.is_held("b", 1, builders.instant(1))
     cell = builders.cell(msgspec.structs.replace(builders.server("s"), host="a"))
     cell = msgspec.structs.replace(
         cell, servers=(msgspec.structs.replace(cell.servers[0], port=1),)
     )
-    assert found.of_cell(cell, builders.instant(1)) == ["s"]
+    assert in_force.of_cell(cell, builders.instant(1)) == ["s"]
 
 
 def test_release_of_replaced_steward_is_ignored():
-    found = holds.Holds()
-    found.apply(hold("a", 3.0, number=2), builders.instant(0))
-    found.apply(hold("a", 0.0, number=1), builders.instant(1))
-    assert found.is_held("a", 1, builders.instant(1))
+    in_force = holds.Holds()
+    in_force.apply(hold("a", 3.0, number=2), builders.instant(0))
+    in_force.apply(hold("a", 0.0, number=1), builders.instant(1))
+    assert in_force.is_held("a", 1, builders.instant(1))
 
 
 def test_held_server_finishes_its_work_and_gets_none():
@@ -56,22 +56,22 @@
     Sequence: a hold comes while requests run on the server and others arrive.
     Cause: the hold waits for the next load report, or doesn't tell what runs.
     """
-    found = builders.opened(builders.server("a"), builders.server("b"))
+    fair_scheduler = builders.opened(builders.server("a"), builders.server("b"))
     now = builders.instant(1)
-    servers = {grant.server for grant in builders.fill(found, 8, now)}
+    servers = {grant.server for grant in builders.fill(fair_scheduler, 8, now)}
     assert servers == {"a", "b"}
-    found.hold_back("a", now)
-    told = found.report_hold(report("a"))
+    fair_scheduler.hold_back("a", now)
+    told = fair_scheduler.report_hold(report("a"))
     assert (told.is_held, told.running) == (True, 4)
-    running = [t for t in found.state.fleet.servers["a"].running]
+    running = [t for t in fair_scheduler.state.fleet.servers["a"].running]
     for ticket_id in running:
-        assert builders.granted(found.withdraw(ticket_id, now)) == []
-    assert builders.fill(found, 1, now) == []
-    assert found.report_hold(report("a")).running == 0
-    found.report("a", builders.load(), now)
-    assert not found.report_hold(report("a")).is_held
-    found.gather(builders.instant(9))
-    assert found.report_hold(report("a")).is_gathering
+        assert builders.granted(fair_scheduler.withdraw(ticket_id, now)) == []
+    assert builders.fill(fair_scheduler, 1, now) == []
+    assert fair_scheduler.report_hold(report("a")).running == 0
+    fair_scheduler.report("a", builders.load(), now)
+    assert not fair_scheduler.report_hold(report("a")).is_held
+    fair_scheduler.gather(builders.instant(9))
+    assert fair_scheduler.report_hold(report("a")).is_gathering
 
 
 def test_ticket_avoids_engines_that_lack_its_model():
--- a/src/tealcove/dispatch/tests/test_order.py
+++ b/src/tealcove/dispatch/tests/test_order.py
@@ -10,16 +10,18 @@
 
 def full_server() -> tuple[fair.FairScheduler, list[messages.Grant]]:
     """Return a scheduler whose only slot is taken."""
-    found = builders.opened(builders.server("s0", slots=1))
-    return found, builders.fill(found, 1, NOW, tier_rank=0)
+    fair_scheduler = builders.opened(builders.server("s0", slots=1))
+    return fair_scheduler, builders.fill(fair_scheduler, 1, NOW, tier_rank=0)
 
 
-def drain(found: fair.FairScheduler, grants: list[messages.Grant]) -> list[str]:
+def drain(
+    fair_scheduler: fair.FairScheduler, grants: list[messages.Grant]
+) -> list[str]:
     """End what runs again and again; return the tickets in order of grants."""
     order = []
     while grants:
         grant = grants.pop()
-        held = found.state.fleet.server_of_ticket[grant.ticket_id].running[
+        held = fair_scheduler.state.fleet.server_of_ticket[grant.ticket_id].running[
             grant.ticket_id
         ]
         used = builders.done(
@@ -27,65 +29,67 @@
             prompt_tokens=held.ticket.prompt_tokens,
             output_tokens=held.ticket.output_tokens,
         )
-        grants = builders.granted(found.done(used, NOW))
+        grants = builders.granted(fair_scheduler.done(used, NOW))
         order.extend(grant.ticket_id for grant in grants)
     return order
 
 
-def enqueue(found: fair.FairScheduler, **changes: object) -> str:
+def enqueue(fair_scheduler: fair.FairScheduler, **changes: object) -> str:
     ticket = builders.ticket(**changes)
-    found.enqueue(ticket, NOW)
+    fair_scheduler.enqueue(ticket, NOW)
     return ticket.ticket_id
 
 
 def test_tiers_go_first_and_least_slack_within_an_account() -> None:
-    found, grants = full_server()
-    low = enqueue(found, tier_rank=2, remaining=5)
-    late = enqueue(found, tier_rank=1, remaining=20)
-    soon = enqueue(found, tier_rank=1, remaining=10)
+    fair_scheduler, grants = full_server()
+    low = enqueue(fair_scheduler, tier_rank=2, remaining=5)
+    late = enqueue(fair_scheduler, tier_rank=1, remaining=20)
+    soon = enqueue(fair_scheduler, tier_rank=1, remaining=10)
     # Later to end, but with more work to do before.
-    long = enqueue(found, tier_rank=1, remaining=16, output_tokens=1000)
-    assert drain(found, grants) == [long, soon, late, low]
+    long = enqueue(fair_scheduler, tier_rank=1, remaining=16, output_tokens=1000)
+    assert drain(fair_scheduler, grants) == [long, soon, late, low]
 
 
 def test_accounts_share_by_tokens_and_not_by_requests() -> None:
-    found, grants = full_server()
+    fair_scheduler, grants = full_server()
     account_of = {}
     for _ in range(9):
-        account_of[enqueue(found, account="many")] = "many"
+        account_of[enqueue(fair_scheduler, account="many")] = "many"
     for _ in range(3):
-        big = enqueue(found, account="big", prompt_tokens=200, output_tokens=400)
+        big = enqueue(
+            fair_scheduler, account="big", prompt_tokens=200, output_tokens=400
+        )
         account_of[big] = "big"
-    order = [account_of[ticket_id] for ticket_id in drain(found, grants)]
+    order = [account_of[ticket_id] for ticket_id in drain(fair_scheduler, grants)]
     # 600 tokens of the one for every 200 of the other, in both halves.
     assert [order[:4].count("big"), order[:8].count("big")] == [1, 2]
 
 
 def test_a_pause_earns_an_account_no_credit() -> None:
-    found, grants = full_server()
+    fair_scheduler, grants = full_server()
     names = {}
-    enqueue(found, account="returned")
+    enqueue(fair_scheduler, account="returned")
     for _ in range(9):
-        names[enqueue(found, account="steady")] = "steady"
+        names[enqueue(fair_scheduler, account="steady")] = "steady"
     for _ in range(5):
-        grants = builders.granted(found.done(builders.done(grants.pop()), NOW))
+        grants = builders.granted(fair_scheduler.done(builders.done(grants.pop()), NOW))
     for _ in range(6):
-        names[enqueue(found, account="returned")] = "returned"
-    order = [names[ticket_id] for ticket_id in drain(found, grants)]
+        names[enqueue(fair_scheduler, account="returned")] = "returned"
+    order = [names[ticket_id] for ticket_id in drain(fair_scheduler, grants)]
     # It starts level with the ticket that runs, and goes first where both are.
     assert order[:6] == ["returned", *("returned", "steady") * 2, "returned"]
 
 
 def test_unused_tokens_are_given_back_to_the_account() -> None:
-    found, grants = full_server()
+    fair_scheduler, grants = full_server()
     names = {}
     for _ in range(3):
-        names[enqueue(found, account="modest", output_tokens=1000)] = "modest"
-        names[enqueue(found, account="other", output_tokens=300)] = "other"
+        names[enqueue(fair_scheduler, account="modest", output_tokens=1000)] = "modest"
+        names[enqueue(fair_scheduler, account="other", output_tokens=300)] = "other"
     order = []
     while grants:
         done = builders.done(grants.pop(), output_tokens=100)
-        grants = builders.granted(found.done(done, NOW))
+        grants = builders.granted(fair_scheduler.done(done, NOW))
         order.extend(names[grant.ticket_id] for grant in grants)
     assert order[:4].count("modest") == 2
 
@@ -96,7 +100,7 @@
     Events: the dispatcher dies; the entries send their tickets to the next in
     rank, the newest first. Cause: the age began anew with each dispatcher.
     """
-    found, grants = full_server()
-    young = enqueue(found, account="a", waited=0.5)
-    old = enqueue(found, account="b", waited=4.0)
-    assert drain(found, grants) == [old, young]
+    fair_scheduler, grants = full_server()
+    young = enqueue(fair_scheduler, account="a", waited=0.5)
+    old = enqueue(fair_scheduler, account="b", waited=4.0)
+    assert drain(fair_scheduler, grants) == [old, young]
--- a/src/tealcove/dispatch/tests/test_spread.py
+++ b/src/tealcove/dispatch/tests/test_spread.py
@@ -42,54 +42,54 @@
     Sequence: requests come for such a pool.
     Cause: every request went to the first cell.
     """
-    found = choosing()
+    balancer = choosing()
     declared = pool()
     used: collections.Counter[str] = collections.Counter()
     for number in range(3000):
-        cell = found.choose(declared, f"prompt {number}")
-        found.begin(cell.cell_id)
+        cell = balancer.choose(declared, f"prompt {number}")
+        balancer.begin(cell.cell_id)
         used[cell.cell_id] += 1
-    assert set(used) == {cell.cell_id for cell in found.divide(declared).cells}
-    assert sum(len(cell.servers) for cell in found.divide(declared).cells) == SERVERS
+    assert set(used) == {cell.cell_id for cell in balancer.divide(declared).cells}
+    assert sum(len(cell.servers) for cell in balancer.divide(declared).cells) == SERVERS
 
 
 def test_requests_that_share_a_beginning_meet_near_by() -> None:
-    found = choosing()
-    chosen = {found.choose(pool(), "shared").cell_id for _ in range(10)}
+    balancer = choosing()
+    chosen = {balancer.choose(pool(), "shared").cell_id for _ in range(10)}
     assert len(chosen) == 1
-    near = {found.choose(pool(), str(n)).data_centre for n in range(50)}
+    near = {balancer.choose(pool(), str(n)).data_centre for n in range(50)}
     assert near == {"dc-2"}
 
 
 def test_a_popular_beginning_spills_over() -> None:
-    found = choosing()
+    balancer = choosing()
     declared = pool()
     chosen = set()
     for _ in range(400):
-        cell = found.choose(declared, "popular-1")
-        found.begin(cell.cell_id)
+        cell = balancer.choose(declared, "popular-1")
+        balancer.begin(cell.cell_id)
         chosen.add(cell.cell_id)
     assert len(chosen) == 2
-    for cell_id, count in list(found.tickets.items()):
+    for cell_id, count in list(balancer.tickets.items()):
         for _ in range(count):
-            found.end(cell_id)
-    assert not found.tickets
+            balancer.end(cell_id)
+    assert not balancer.tickets
 
 
 def test_a_pool_is_divided_once_per_change() -> None:
-    found = choosing()
+    balancer = choosing()
     declared = pool()
-    first = found.divide(declared)
-    assert found.divide(declared) is first
-    assert found.divide(pool(SERVERS + 1, revision=2)) is not first
+    first = balancer.divide(declared)
+    assert balancer.divide(declared) is first
+    assert balancer.divide(pool(SERVERS + 1, revision=2)) is not first
 
 
 def test_cells_are_found_by_id() -> None:
-    found = choosing()
+    balancer = choosing()
     configuration = copy.empty()
     resources = dict(configuration.resources)
     resources[kinds.Kind.ENGINE_POOL] = {"p": pool()}
-    found.copy.move(copy.Configuration(ids.Revision(1), resources))
-    assert isinstance(found.find(ids.CellId("p/2")), cells.Cell)
-    assert found.find(ids.CellId("p/9")) is None
-    assert found.find(ids.CellId("q/0")) is None
+    balancer.copy.move(copy.Configuration(ids.Revision(1), resources))
+    assert isinstance(balancer.find(ids.CellId("p/2")), cells.Cell)
+    assert balancer.find(ids.CellId("p/9")) is None
+    assert balancer.find(ids.CellId("q/0")) is None
