--- a/src/tealcove/dispatch/tests/test_choice.py
+++ b/src/tealcove/dispatch/tests/test_choice.py
@@ -1,4 +1,4 @@
-"""Which server a ticket gets, by learnt speed, cache, deadline and length."""
+"""Tests of the choice of a server by speed, cache, deadline and length."""
 
 from __future__ import annotations
 
@@ -30,12 +30,12 @@
     return [grant.server for grant in grants]
 
 
-def test_the_server_that_ends_soonest_is_taken() -> None:
+def test_server_with_earliest_end_is_chosen() -> None:
     fair_scheduler = open_servers(3.0, 1.0, 2.0, slots=1)
     assert servers_of(builders.fill(fair_scheduler, 3, NOW)) == ["s1", "s2", "s0"]
 
 
-def test_work_that_a_free_server_can_t_end_in_time_waits_for_a_faster_one() -> None:
+def test_ticket_waits_if_free_server_is_too_slow() -> None:
     fair_scheduler = open_servers(1.0, 10.0, slots=1)
     first = builders.fill(fair_scheduler, 1, NOW)[0]
     ticket = builders.ticket(remaining=4)
@@ -46,7 +46,7 @@
     assert servers_of(freed) == ["s0"]
 
 
-def test_excluded_servers_are_left_out() -> None:
+def test_excluded_servers_are_not_chosen() -> None:
     fair_scheduler = open_servers(1.0, 2.0)
     assert servers_of(builders.fill(fair_scheduler, 1, NOW, excluded=("s0",))) == ["s1"]
 
@@ -63,21 +63,21 @@
     assert fair_scheduler.last_event("s1") == 1
 
 
-def test_a_share_of_slots_stays_open_to_short_work() -> None:
+def test_share_of_slots_is_reserved_for_short_work() -> None:
     fair_scheduler = open_servers(1.0, slots=8)
     long = builders.fill(fair_scheduler, 8, NOW, output_tokens=1000)
     assert len(long) == 6
     assert len(builders.fill(fair_scheduler, 8, NOW, output_tokens=100)) == 2
 
 
-def test_less_is_kept_for_short_work_that_doesn_t_come() -> None:
+def test_short_reservation_shrinks_without_short_work() -> None:
     fair_scheduler = open_servers(1.0, slots=8)
     for tenths in range(20, 400):
         fair_scheduler.tick(builders.instant(tenths / 10))
     now = builders.instant(40)
     assert len(builders.fill(fair_scheduler, 8, now, output_tokens=1000)) == 7
     assert len(builders.fill(fair_scheduler, 8, now, output_tokens=100)) == 1
-    # A line of short requests gets more, once slots fall free.
+    # Queued short requests enlarge the reservation.
     for _ in range(40):
         fair_scheduler.enqueue(builders.ticket(), now)
         now = ids.Instant(now + 0.25)
@@ -85,14 +85,14 @@
     assert fair_scheduler.state.fleet.servers["s0"].reserved_short == 2
 
 
-def test_a_long_prompt_that_is_cached_is_short_work() -> None:
+def test_cached_long_prompt_is_short_work() -> None:
     fair_scheduler = open_servers(1.0, slots=4)
     fair_scheduler.state.fleet.servers["s0"].index.note_grant(PREFIX)
     cached = {"prompt_tokens": 32 * 64, "output_tokens": 100, "prefix": PREFIX}
     assert len(builders.fill(fair_scheduler, 4, NOW, **cached)) == 4
 
 
-def test_speed_is_learnt_by_prompt_tokens_and_batch_size() -> None:
+def test_speed_is_estimated_by_prompt_tokens_and_batch_size() -> None:
     speed = speeds.default()
     for round_number in range(60):
         uncached, others = (200, 0) if round_number % 2 else (2000, 7)
@@ -102,7 +102,7 @@
     assert speed.predict(1000, 101, 3) == pytest.approx(0.5 + 100 * 0.023, rel=0.02)
 
 
-def test_a_new_server_is_predicted_by_its_generation_s_median() -> None:
+def test_new_server_is_predicted_by_generation_median() -> None:
     specs = [builders.server(f"s{n}") for n in range(4)]
     fair_scheduler = builders.opened(*specs[:3])
     fair_scheduler.configure(builders.cell(*specs), NOW)
@@ -115,25 +115,25 @@
     assert new == pytest.approx(known, rel=0.01)
 
 
-def test_an_unknown_server_is_tried_although_it_may_be_slow() -> None:
-    """A fleet refuses all work for deadlines that it could have met.
+def test_unknown_server_is_assumed_fast() -> None:
+    """An idle fleet refuses all requests, although it could meet their deadlines.
 
-    Events: nothing has been observed yet. Cause: the prior was slower than the
-    servers, so nothing was granted, and nothing learnt.
+    Without observations, a prior slower than the servers lets nothing be granted, and
+    so nothing be observed.
     """
     fair_scheduler = fair.FairScheduler()
     fair_scheduler.configure(builders.cell(builders.server("s0", generation="")), NOW)
     assert len(builders.fill(fair_scheduler, 1, NOW, remaining=1.0)) == 1
 
 
-def test_noise_at_one_place_doesn_t_tilt_a_line() -> None:
+def test_noise_at_one_x_does_not_change_slope() -> None:
     regressed = regression.LinearRegression.from_prior(1.0, 0.01, 1000.0)
     for number in range(500):
         regressed.observe(100 + number % 3, 2.0 + 0.1 * (number % 2))
     assert regressed.value_at(1000) == pytest.approx(2.05 + 9.0, rel=0.1)
 
 
-def test_an_estimate_is_never_below_zero() -> None:
+def test_regression_is_never_below_zero() -> None:
     regressed = regression.LinearRegression.from_prior(0.0, 0.0, 10.0)
     for x, y in ((0.0, 0.0), (5.0, 0.1), (10.0, 5.0), (2.0, 0.0)):
         regressed.observe(x, y)
--- a/src/tealcove/dispatch/tests/test_holds.py
+++ b/src/tealcove/dispatch/tests/test_holds.py
@@ -1,4 +1,4 @@
-"""Servers that a steward keeps from new work, and engines that lack a model."""
+"""Tests of holds on servers, and of engines that lack a model."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     )
 
 
-def test_hold_ends_by_itself_or_when_told():
+def test_hold_expires_or_is_released():
     in_force = holds.Holds()
     in_force.apply(hold("a", 3.0), builders.instant(0))
     in_force.apply(hold("b", 3.0), builders.instant(0))
@@ -42,19 +42,18 @@
     assert in_force.of_cell(cell, builders.instant(1)) == ["s"]
 
 
-def test_release_of_replaced_steward_is_ignored():
+def test_release_by_a_replaced_steward_is_ignored():
     in_force = holds.Holds()
     in_force.apply(hold("a", 3.0, number=2), builders.instant(0))
     in_force.apply(hold("a", 0.0, number=1), builders.instant(1))
     assert in_force.is_held("a", 1, builders.instant(1))
 
 
-def test_held_server_finishes_its_work_and_gets_none():
-    """A server's version is changed under running requests.
+def test_held_server_finishes_its_requests_and_gets_none():
+    """A server's version changes during running requests, which fail or mix versions.
 
-    Symptom: requests fail, or are answered by two versions, at each update.
-    Sequence: a hold comes while requests run on the server and others arrive.
-    Cause: the hold waits for the next load report, or doesn't tell what runs.
+    This happens if a hold takes effect only with the next load report, or if its report
+    doesn't count the running requests.
     """
     fair_scheduler = builders.opened(builders.server("a"), builders.server("b"))
     now = builders.instant(1)
@@ -75,11 +74,10 @@
 
 
 def test_ticket_avoids_engines_that_lack_its_model():
-    """A request is answered by 404 from an engine that is still loading.
+    """A request gets a 404 from an engine that is still loading its model.
 
-    Symptom: requests fail after a model or an engine is added to a pool.
-    Sequence: the pool names the model; one engine has it, another doesn't yet.
-    Cause: the dispatcher takes all engines of a pool for alike.
+    After a model or an engine is added to a pool, some engines have the model and
+    others don't yet; the dispatcher mustn't treat them alike.
     """
     holdings = {
         "a": engine.Holding({"m": "1"}, {"x": "1"}, "both"),
--- a/src/tealcove/dispatch/tests/test_machine.py
+++ b/src/tealcove/dispatch/tests/test_machine.py
@@ -1,4 +1,4 @@
-"""The scheduler against any sequence of events: what must hold after each."""
+"""A stateful test of the scheduler's invariants under any sequence of events."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from tealcove.dispatch.tests import builders
 
 RANKS = (0, 1, 2)
-# Beyond this, a ticket's deadline leaves time to free a slot for it.
+# Slack in seconds from which there is time to free a slot for a ticket.
 SLACK = 1.0
 LONGEST = 10.0
 
 
 class SchedulerMachine(stateful.RuleBasedStateMachine):
-    """Keeps its own books of what the entries were told."""
+    """Compares the scheduler to a model built from its messages to the entries."""
 
     @stateful.initialize(slots=st.lists(st.integers(1, 4), min_size=1, max_size=3))
     def open(self, slots: list[int]) -> None:
@@ -32,24 +32,24 @@
         self.preempted: set[ids.TicketId] = set()
         self.ended: set[ids.TicketId] = set()
 
-    def take(self, outgoing: list[scheduler.Outgoing]) -> None:
+    def apply(self, outgoing: list[scheduler.Outgoing]) -> None:
         for out in outgoing:
             message = out.message
             if isinstance(message, messages.Grant):
-                self.take_grant(message)
+                self.apply_grant(message)
             elif isinstance(message, messages.Refusal):
-                self.take_refusal(message)
+                self.apply_refusal(message)
             elif isinstance(message, messages.Preempt):
-                self.take_preempt(message)
+                self.apply_preempt(message)
 
-    def take_grant(self, grant: messages.Grant) -> None:
+    def apply_grant(self, grant: messages.Grant) -> None:
         assert grant.ticket_id in self.waiting, "granted twice, or after its end"
         self.waiting.remove(grant.ticket_id)
         self.running[grant.ticket_id] = grant
         held = [g for g in self.running.values() if g.server == grant.server]
         assert len(held) <= self.slots[grant.server]
 
-    def take_refusal(self, refusal: messages.Refusal) -> None:
+    def apply_refusal(self, refusal: messages.Refusal) -> None:
         assert refusal.ticket_id in self.waiting
         self.waiting.remove(refusal.ticket_id)
         self.ended.add(refusal.ticket_id)
@@ -59,23 +59,23 @@
             live = [*self.waiting, *self.running]
             assert all(self.tickets[t].tier_rank <= rank for t in live)
         if refusal.reason is messages.RefusalReason.DEADLINE:
-            self.check_nothing_to_stop(self.tickets[refusal.ticket_id])
+            self.check_nothing_to_preempt(self.tickets[refusal.ticket_id])
 
-    def check_nothing_to_stop(self, ticket: messages.Ticket) -> None:
-        """No lower work that could have been stopped in time still runs."""
-        may_stop = ticket.idempotent or ticket.tier_rank == 0
-        if ticket.remaining < SLACK + ticket.output_tokens * 0.013 or not may_stop:
+    def check_nothing_to_preempt(self, ticket: messages.Ticket) -> None:
+        """Assert that no preemptible request of a lower tier still runs."""
+        may_preempt = ticket.idempotent or ticket.tier_rank == 0
+        if ticket.remaining < SLACK + ticket.output_tokens * 0.013 or not may_preempt:
             return
         states = self.scheduler.state.fleet.servers
         for ticket_id, grant in self.running.items():
             lower = self.tickets[ticket_id]
             if states[grant.server].pace is not servers.Pace.NORMAL:
-                # Work that is late tells of a server too slow for the ticket.
+                # Late requests show that the server is too slow for the ticket.
                 continue
             if lower.tier_rank > ticket.tier_rank and lower.idempotent:
                 assert ticket_id in self.preempted or grant.server in self.unreachable
 
-    def take_preempt(self, preempt: messages.Preempt) -> None:
+    def apply_preempt(self, preempt: messages.Preempt) -> None:
         assert preempt.ticket_id in self.running
         assert preempt.ticket_id not in self.preempted
         victim = self.tickets[preempt.ticket_id]
@@ -93,7 +93,7 @@
     def enqueue(
         self, rank: int, account: int, idempotent: bool, output: int, remaining: float
     ) -> None:
-        # The same in each replay, so that hypothesis can draw from them again.
+        # Deterministic ids, so that hypothesis can draw the same ones in a replay.
         number = len(self.tickets)
         ticket = builders.ticket(
             ticket_id=ids.TicketId(f"tkt-{number:04}"),
@@ -106,9 +106,9 @@
         self.tickets[ticket.ticket_id] = ticket
         self.waiting.add(ticket.ticket_id)
         told = self.scheduler.enqueue(ticket, self.now)
-        # Without any answer the entry would think that the dispatcher is gone.
+        # Without an answer the entry would consider the dispatcher lost.
         assert ticket.ticket_id in [out.message.ticket_id for out in told]
-        self.take(told)
+        self.apply(told)
 
     @stateful.precondition(lambda self: self.waiting)
     @stateful.rule(data=st.data())
@@ -116,7 +116,7 @@
         ticket_id = data.draw(st.sampled_from(sorted(self.waiting)))
         self.waiting.remove(ticket_id)
         self.ended.add(ticket_id)
-        self.take(self.scheduler.withdraw(ticket_id, self.now))
+        self.apply(self.scheduler.withdraw(ticket_id, self.now))
 
     @stateful.precondition(lambda self: self.running)
     @stateful.rule(data=st.data(), outcome=st.sampled_from(messages.Outcome))
@@ -131,20 +131,20 @@
         if outcome in (messages.Outcome.NOT_SENT, messages.Outcome.CRASHED):
             self.unreachable.add(grant.server)
         done = builders.done(grant, outcome=outcome)
-        self.take(self.scheduler.done(done, self.now))
+        self.apply(self.scheduler.done(done, self.now))
 
     @stateful.rule(seconds=st.sampled_from((0.01, 0.1, 0.3, 2.0)))
     def pass_time(self, seconds: float) -> None:
-        """Let time pass in ticks; entries stop what they are told to stop."""
+        """Advance time in ticks; entries cancel the requests that are preempted."""
         for _ in range(int(seconds / 0.05) + 1):
             self.now = ids.Instant(self.now + 0.05)
             self.repeat_tickets()
-            self.take(self.scheduler.tick(self.now))
+            self.apply(self.scheduler.tick(self.now))
             for ticket_id in sorted(self.preempted):
                 self.finish(ticket_id, messages.Outcome.CANCELLED)
 
     def repeat_tickets(self) -> None:
-        """Tell of all tickets again, as entries do, and get the first answer."""
+        """Send all tickets again, as entries do; the answers must be the same."""
         for ticket_id, grant in self.running.items():
             repeated = self.scheduler.enqueue(self.tickets[ticket_id], self.now)
             assert [o.message for o in repeated] == [grant]
@@ -159,17 +159,17 @@
         self.unreachable.discard(name)
         if not reachable:
             self.unreachable.add(name)
-        self.take(self.scheduler.report(name, load, self.now))
+        self.apply(self.scheduler.report(name, load, self.now))
 
     @stateful.invariant()
-    def books_agree(self) -> None:
+    def model_agrees_with_scheduler(self) -> None:
         state = self.scheduler.state
         assert set(state.queue.tickets) == self.waiting
         assert set(state.fleet.server_of_ticket) == set(self.running)
         assert not self.waiting & self.ended
 
     def teardown(self) -> None:
-        """Every ticket has an end once no slot falls free any more."""
+        """Assert that every ticket ends even if no slot becomes free any more."""
         if not hasattr(self, "now"):
             return
         self.pass_time(LONGEST + SLACK)
--- a/src/tealcove/dispatch/tests/test_order.py
+++ b/src/tealcove/dispatch/tests/test_order.py
@@ -1,4 +1,4 @@
-"""The queue's order: tier, fair share among client accounts, least slack."""
+"""Tests of the queue's order: tier, fair share among accounts, least slack."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 def drain(
     fair_scheduler: fair.FairScheduler, grants: list[messages.Grant]
 ) -> list[str]:
-    """End what runs again and again; return the tickets in order of grants."""
+    """Complete requests until none runs; return the tickets in order of grants."""
     order = []
     while grants:
         grant = grants.pop()
@@ -40,17 +40,17 @@
     return ticket.ticket_id
 
 
-def test_tiers_go_first_and_least_slack_within_an_account() -> None:
+def test_order_is_by_tier_then_least_slack() -> None:
     fair_scheduler, grants = full_server()
     low = enqueue(fair_scheduler, tier_rank=2, remaining=5)
     late = enqueue(fair_scheduler, tier_rank=1, remaining=20)
     soon = enqueue(fair_scheduler, tier_rank=1, remaining=10)
-    # Later to end, but with more work to do before.
+    # A later deadline, but a longer service time.
     long = enqueue(fair_scheduler, tier_rank=1, remaining=16, output_tokens=1000)
     assert drain(fair_scheduler, grants) == [long, soon, late, low]
 
 
-def test_accounts_share_by_tokens_and_not_by_requests() -> None:
+def test_accounts_share_by_tokens_not_requests() -> None:
     fair_scheduler, grants = full_server()
     account_of = {}
     for _ in range(9):
@@ -61,11 +61,11 @@
         )
         account_of[big] = "big"
     order = [account_of[ticket_id] for ticket_id in drain(fair_scheduler, grants)]
-    # 600 tokens of the one for every 200 of the other, in both halves.
+    # One request of 600 tokens for every three of 200, in both halves.
     assert [order[:4].count("big"), order[:8].count("big")] == [1, 2]
 
 
-def test_a_pause_earns_an_account_no_credit() -> None:
+def test_idle_account_earns_no_credit() -> None:
     fair_scheduler, grants = full_server()
     names = {}
     enqueue(fair_scheduler, account="returned")
@@ -76,11 +76,11 @@
     for _ in range(6):
         names[enqueue(fair_scheduler, account="returned")] = "returned"
     order = [names[ticket_id] for ticket_id in drain(fair_scheduler, grants)]
-    # It starts level with the ticket that runs, and goes first where both are.
+    # It starts at the running ticket's start tag, and precedes an equal account.
     assert order[:6] == ["returned", *("returned", "steady") * 2, "returned"]
 
 
-def test_unused_tokens_are_given_back_to_the_account() -> None:
+def test_unused_tokens_are_refunded() -> None:
     fair_scheduler, grants = full_server()
     names = {}
     for _ in range(3):
@@ -94,11 +94,11 @@
     assert order[:4].count("modest") == 2
 
 
-def test_age_counts_where_a_ticket_comes_from_another_dispatcher() -> None:
-    """A takeover puts the oldest requests last.
+def test_age_includes_waiting_at_other_dispatchers() -> None:
+    """A takeover serves the oldest requests last.
 
-    Events: the dispatcher dies; the entries send their tickets to the next in
-    rank, the newest first. Cause: the age began anew with each dispatcher.
+    After a dispatcher's death the entries send their tickets to the next in rank, the
+    newest first; age counted from arrival there would reverse their order.
     """
     fair_scheduler, grants = full_server()
     young = enqueue(fair_scheduler, account="a", waited=0.5)
--- a/src/tealcove/dispatch/tests/test_shedding.py
+++ b/src/tealcove/dispatch/tests/test_shedding.py
@@ -1,4 +1,4 @@
-"""Overload: who is stopped, who is refused, and with which reason."""
+"""Tests of preemption and refusal under overload."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 NOW = builders.instant(1)
 REASON = messages.RefusalReason
-# `builders.ticket()` takes about a second, so that this is at risk at once.
+# Seconds to the deadline; `builders.ticket()` takes about 1, so it's at risk at once.
 TIGHT = 1.3
 
 
@@ -21,11 +21,11 @@
 
 
 def run(fair_scheduler: fair.FairScheduler, now: ids.Instant, **changes: object) -> str:
-    """Have a new ticket run, and return its id."""
+    """Enqueue a ticket that is granted at once, and return its id."""
     return builders.fill(fair_scheduler, 1, now, **changes)[0].ticket_id
 
 
-def test_the_lowest_tier_s_least_prefill_is_stopped_first() -> None:
+def test_lowest_tier_with_least_prefill_is_preempted_first() -> None:
     fair_scheduler = open_one()
     run(fair_scheduler, NOW, tier_rank=1, output_tokens=1000)
     run(fair_scheduler, NOW, tier_rank=2, idempotent=False, output_tokens=1000)
@@ -34,7 +34,7 @@
     high = builders.ticket(tier_rank=0, remaining=TIGHT)
     orders = preempted(fair_scheduler.enqueue(high, builders.instant(1.5)))
     assert [order.ticket_id for order in orders] == [victim]
-    # The slot is the ticket's, although others have less slack by now.
+    # The slot is granted to the ticket, although another one has less slack by now.
     fair_scheduler.enqueue(
         builders.ticket(tier_rank=0, remaining=TIGHT), builders.instant(1.5)
     )
@@ -45,7 +45,7 @@
     assert victim not in fair_scheduler.state.queue.tickets
 
 
-def test_work_that_is_nearly_done_is_spared() -> None:
+def test_nearly_done_request_is_not_preempted() -> None:
     fair_scheduler = open_one(slots=2)
     run(fair_scheduler, builders.instant(1), tier_rank=2, output_tokens=1000)
     late = run(fair_scheduler, builders.instant(10.5), tier_rank=2, prompt_tokens=4000)
@@ -54,7 +54,7 @@
     assert [order.ticket_id for order in orders] == [late]
 
 
-def test_nobody_is_stopped_while_there_is_time() -> None:
+def test_no_preemption_while_there_is_slack() -> None:
     fair_scheduler = open_one(slots=1)
     run(fair_scheduler, NOW, tier_rank=2)
     high = builders.ticket(tier_rank=0, remaining=10)
@@ -62,7 +62,7 @@
     assert not preempted(fair_scheduler.tick(builders.instant(5)))
 
 
-def test_nobody_is_stopped_while_a_slot_is_about_to_fall_free() -> None:
+def test_no_preemption_if_a_slot_frees_in_time() -> None:
     fair_scheduler = open_one(slots=2)
     run(fair_scheduler, NOW, tier_rank=2, output_tokens=2500)
     ending = run(fair_scheduler, NOW, tier_rank=2)
@@ -75,7 +75,7 @@
     assert [grant.ticket_id for grant in granted] == [high.ticket_id]
 
 
-def test_nobody_is_stopped_for_an_equal_tier_or_in_vain() -> None:
+def test_no_preemption_for_equal_tier_or_hopeless_ticket() -> None:
     fair_scheduler = open_one(slots=1)
     run(fair_scheduler, NOW, tier_rank=1, output_tokens=1000)
     equal = fair_scheduler.enqueue(builders.ticket(tier_rank=1, remaining=TIGHT), NOW)
@@ -84,7 +84,7 @@
     assert builders.refused(hopeless)[0].reason is REASON.DEADLINE
 
 
-def test_a_lost_order_to_stop_is_followed_by_another() -> None:
+def test_lost_preemption_is_followed_by_another() -> None:
     fair_scheduler = open_one(slots=2)
     victims = {
         run(fair_scheduler, NOW, tier_rank=2, output_tokens=900) for _ in range(2)
@@ -96,7 +96,7 @@
     assert {order.ticket_id for order in orders} == victims
 
 
-def test_lower_queued_work_is_refused_before_higher() -> None:
+def test_queued_lower_tiers_are_refused_first() -> None:
     fair_scheduler = open_one(slots=1)
     run(fair_scheduler, NOW, tier_rank=0, output_tokens=2500)
     queued = [builders.ticket(tier_rank=rank) for rank in (1, 2)]
@@ -110,7 +110,7 @@
     assert {refusal.reason for refusal in refusals} == {REASON.OVERLOAD}
 
 
-def test_a_deadline_that_left_no_time_to_wait_sheds_nobody() -> None:
+def test_ticket_without_slack_sheds_no_others() -> None:
     fair_scheduler = open_one(slots=1)
     run(fair_scheduler, NOW, tier_rank=0, output_tokens=2500)
     fair_scheduler.enqueue(builders.ticket(tier_rank=1), NOW)
@@ -119,7 +119,7 @@
     assert [refusal.reason for refusal in refusals] == [REASON.DEADLINE]
 
 
-def test_a_ticket_that_waited_elsewhere_is_not_refused_for_its_deadline() -> None:
+def test_ticket_that_waited_elsewhere_is_refused_for_overload() -> None:
     fair_scheduler = open_one(slots=1)
     run(fair_scheduler, NOW, tier_rank=0, output_tokens=2500)
     moved = builders.ticket(remaining=0.5, waited=5.0)
@@ -127,7 +127,7 @@
     assert [refusal.reason for refusal in refusals] == [REASON.OVERLOAD]
 
 
-def test_lower_non_idempotent_work_never_holds_all_slots() -> None:
+def test_lower_non_idempotent_requests_never_hold_all_slots() -> None:
     fair_scheduler = open_one(slots=4)
     assert (
         len(builders.fill(fair_scheduler, 6, NOW, tier_rank=1, idempotent=False)) == 3
@@ -137,7 +137,7 @@
     )
 
 
-def test_long_work_at_risk_takes_the_short_share_from_lower_tiers_only() -> None:
+def test_long_ticket_at_risk_preempts_lower_tier_in_short_slots() -> None:
     fair_scheduler = builders.opened(builders.server("s0", slots=4))
     long = {"prompt_tokens": 1000, "output_tokens": 100}
     builders.fill(fair_scheduler, 3, NOW, tier_rank=1, **long)
@@ -157,14 +157,12 @@
     assert before.retry_after < 1 < 15 < after.retry_after
 
 
-def test_slower_servers_are_looked_at_while_they_can_still_end_it() -> None:
-    """A high tier's request is refused while low work runs on a slower server.
+def test_slower_servers_are_considered_in_time() -> None:
+    """A high tier is refused for `deadline` while a slower server runs a lower tier.
 
-    Symptom: far beyond the capacity the highest tier is told `deadline` while
-    the lowest tier's requests are completed.
-    Events: the fast server has work of the same tier to the end; the slow one
-    runs low work; by the fast one's last instant the slow one is too slow.
-    Cause: a slot was looked for by force only from that instant on.
+    Under heavy overload the fast server is busy with the same tier until the end. If
+    preemption starts only near the latest start on the fast server, the slow server
+    can no longer end the ticket in time.
     """
     specs = [builders.server(f"s{n}", slots=1, generation=f"g{n}") for n in range(2)]
     fair_scheduler = builders.opened(*specs, short_share=0.0)
@@ -173,7 +171,7 @@
     same = run(fair_scheduler, NOW, tier_rank=0, output_tokens=1000, remaining=1000)
     low = run(fair_scheduler, NOW, tier_rank=2, output_tokens=1000, remaining=1000)
     for ticket_id in (same, low):
-        # Without its first token a run would soon look like a straggler's.
+        # Without a first token the server would soon count as a straggler.
         first = messages.Progress(
             ticket_id=ticket_id, cell=builders.CELL, first_token_seconds=0.1
         )
--- a/src/tealcove/dispatch/tests/test_slots.py
+++ b/src/tealcove/dispatch/tests/test_slots.py
@@ -1,4 +1,4 @@
-"""Who holds a slot: own grants, other dispatchers' work, lost messages, crashes."""
+"""Tests of slot accounting: grants, other dispatchers, lost messages, crashes."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     return bool(builders.granted(fair_scheduler.enqueue(builders.ticket(), now)))
 
 
-def test_a_repeated_ticket_gets_its_first_answer_again() -> None:
+def test_repeated_ticket_gets_the_same_answer() -> None:
     """A lost grant leaves a caller without an answer until its deadline."""
     fair_scheduler = open_one(slots=1)
     first, second = builders.ticket(), builders.ticket()
@@ -31,7 +31,7 @@
     assert not builders.granted(fair_scheduler.enqueue(second, NOW))
 
 
-def test_running_work_of_another_dispatcher_holds_its_slot() -> None:
+def test_running_request_of_another_dispatcher_holds_its_slot() -> None:
     fair_scheduler = open_one(slots=1)
     fair_scheduler.gather(builders.instant(2))
     waiting = builders.ticket()
@@ -43,7 +43,7 @@
     assert [g.ticket_id for g in builders.granted(ended)] == [waiting.ticket_id]
 
 
-def test_the_first_grants_of_a_takeover_follow_the_queue_and_not_the_arrival() -> None:
+def test_first_grants_after_takeover_follow_queue_order() -> None:
     fair_scheduler = open_one(slots=1)
     fair_scheduler.gather(builders.instant(2))
     high = builders.ticket(tier_rank=0)
@@ -52,17 +52,17 @@
     assert [g.ticket_id for g in builders.granted(late)] == [high.ticket_id]
 
 
-def test_a_ticket_at_risk_doesn_t_wait_for_a_takeover_to_settle() -> None:
+def test_ticket_at_risk_is_granted_while_gathering() -> None:
     fair_scheduler = open_one()
     fair_scheduler.gather(builders.instant(2))
     assert builders.granted(fair_scheduler.enqueue(builders.ticket(remaining=1.2), NOW))
 
 
-def test_a_report_of_more_work_counts_once_it_has_lasted() -> None:
-    """A server gets more than it has slots for, while another dispatcher uses it.
+def test_excess_in_reports_counts_once_it_lasts() -> None:
+    """A server gets more requests than it has slots from two dispatchers.
 
-    Events: two dispatchers serve the cell during a cut between data centres.
-    Cause: each counts only its own grants.
+    Both serve the cell during a partition between data centres, and each counts only
+    its own grants.
     """
     fair_scheduler = open_one(slots=4)
     fair_scheduler.report("s0", builders.load(3), builders.instant(1))
@@ -72,7 +72,7 @@
     assert len(builders.fill(fair_scheduler, 4, builders.instant(3.2))) == 1
 
 
-def test_a_report_that_only_lags_behind_own_ends_changes_nothing() -> None:
+def test_lagging_report_of_own_requests_is_no_excess() -> None:
     fair_scheduler = open_one(slots=4)
     grants = builders.fill(fair_scheduler, 4, NOW)
     for grant in grants:
@@ -82,7 +82,7 @@
     assert fair_scheduler.state.fleet.servers["s0"].foreign_running == 0
 
 
-def test_a_stuck_report_doesn_t_idle_a_server() -> None:
+def test_stuck_report_does_not_idle_a_server() -> None:
     fair_scheduler = open_one(slots=4)
     for seconds in range(1, 13):
         fair_scheduler.report("s0", builders.load(9), builders.instant(seconds))
@@ -91,7 +91,7 @@
 
 
 @pytest.mark.parametrize("outcome", ["not_sent", "crashed"])
-def test_a_lost_server_gets_nothing_until_it_reports(outcome: str) -> None:
+def test_lost_server_gets_no_work_until_it_reports(outcome: str) -> None:
     fair_scheduler = open_one()
     grant = builders.fill(fair_scheduler, 1, NOW)[0]
     ended = builders.done(grant, outcome=messages.Outcome(outcome))
@@ -101,7 +101,7 @@
     assert len(builders.granted(again)) == 1
 
 
-def test_a_leaving_server_gets_nothing() -> None:
+def test_leaving_server_gets_no_work() -> None:
     fair_scheduler = open_one()
     fair_scheduler.report("s0", builders.load(state="leaving"), NOW)
     refusal = builders.refused(fair_scheduler.enqueue(builders.ticket(), NOW))[0]
@@ -113,7 +113,7 @@
     assert not is_granted(fair_scheduler, NOW)
 
 
-def test_work_on_a_server_that_left_the_cell_is_forgotten() -> None:
+def test_requests_of_a_removed_server_are_forgotten() -> None:
     fair_scheduler = open_one(slots=1)
     grant = builders.fill(fair_scheduler, 1, NOW)[0]
     fair_scheduler.configure(builders.cell(builders.server("s1", slots=1)), NOW)
@@ -121,11 +121,11 @@
     assert fair_scheduler.done(builders.done(grant), NOW) == []
 
 
-def test_a_lost_entry_frees_its_queue_at_once_and_its_slots_later() -> None:
-    """A killed entry's request still runs on the engine for a while.
+def test_lost_entry_frees_tickets_at_once_and_slots_later() -> None:
+    """A slot is granted again while the engine still works on the old request.
 
-    Events: the entry dies; the engine keeps the request so that it can be
-    resumed. A slot granted anew at once would only queue inside the engine.
+    The engine keeps a dead entry's request for a while so that it can be resumed; the
+    new request would only queue inside the engine.
     """
     fair_scheduler = open_one(slots=1)
     builders.fill(fair_scheduler, 2, NOW)
@@ -141,11 +141,11 @@
     assert [grant.ticket_id for grant in freed] == [waiting.ticket_id]
 
 
-def test_a_run_that_another_entry_takes_over_keeps_its_slot() -> None:
-    """A slot is granted twice, or the run isn't stopped for a higher tier.
+def test_request_taken_over_by_another_entry_keeps_its_slot() -> None:
+    """A slot is granted twice, or its request isn't preempted for a higher tier.
 
-    Events: the entry dies, another one goes on with its request under the same
-    ticket; then the first is missed. Cause: the slot is still the dead entry's.
+    Another entry takes over a dead entry's request under the same ticket. If the slot
+    still belongs to the dead entry, its loss frees the slot.
     """
     fair_scheduler = open_one(slots=1)
     ticket = builders.ticket(remaining=60.0, tier_rank=2, output_tokens=2000)
@@ -168,8 +168,8 @@
     assert [out.entry for out in told] == [heir]
 
 
-def test_tickets_that_nobody_tells_of_any_more_are_forgotten() -> None:
-    """A cell works with fewer and fewer slots. Cause: ends that got lost."""
+def test_tickets_that_are_not_refreshed_are_forgotten() -> None:
+    """A cell loses more and more slots, because messages of ends were lost."""
     fair_scheduler = open_one(slots=1)
     builders.fill(fair_scheduler, 2, NOW, remaining=60.0)
     fair_scheduler.tick(builders.instant(2 + scheduler.UNTOLD_SECONDS))
@@ -177,12 +177,11 @@
     assert fair_scheduler.state.fleet.servers["s0"].free_slots() == 1
 
 
-def test_untold_slots_of_a_living_entry_are_free_soon() -> None:
-    """After a takeover a third of the work isn't done.
+def test_slots_that_are_not_refreshed_are_freed_soon() -> None:
+    """After a takeover a third of the work isn't done: servers idle for 8 s.
 
-    Symptom: servers idle for 8 s after a dispatcher's death, while callers wait.
-    Sequence: the successor is told of a running request, whose end gets lost in the
-    change. Cause: its slot was kept for eight repeats that didn't come.
+    The successor of a dead dispatcher learns of a running request whose end is lost
+    during the takeover. Its slot was kept for eight missing refreshes.
     """
     fair_scheduler = open_one(slots=1)
     builders.fill(fair_scheduler, 1, NOW, remaining=60.0)
@@ -192,7 +191,7 @@
     assert [grant.ticket_id for grant in freed] == [waiting.ticket_id]
 
 
-def test_batch_size_is_the_mean_over_the_run() -> None:
+def test_batch_size_is_the_mean_over_the_request() -> None:
     fair_scheduler = open_one(slots=4)
     grants = builders.fill(fair_scheduler, 2, builders.instant(0))
     fair_scheduler.done(builders.done(grants[1]), builders.instant(5))
--- a/src/tealcove/dispatch/tests/test_spread.py
+++ b/src/tealcove/dispatch/tests/test_spread.py
@@ -1,4 +1,4 @@
-"""Requests over the cells of a pool."""
+"""Tests of the balancing of requests over the cells of a pool."""
 
 from __future__ import annotations
 
@@ -29,20 +29,19 @@
     return kinds.Resource(kind=kinds.Kind.ENGINE_POOL, metadata=metadata, spec=spec)
 
 
-def choosing() -> spread.Spread:
-    """Return a spread at an entry in the second data centre."""
+def new_spread() -> spread.Spread:
+    """Return a Spread for an entry in the second data centre."""
     delays = {"dc-1": 0.01, "dc-2": 0.0}
     return spread.Spread(copy.ConfigurationCopy(), lambda centre: delays[centre])
 
 
-def test_every_server_of_a_large_pool_gets_work() -> None:
+def test_all_cells_of_a_large_pool_get_work() -> None:
     """Engines beyond the first cell idle while callers are refused.
 
-    Symptom: a pool of more than 16 engines serves no more than one of 16.
-    Sequence: requests come for such a pool.
-    Cause: every request went to the first cell.
+    If all requests go to the first cell, a pool of more than 16 engines serves no more
+    than one of 16.
     """
-    balancer = choosing()
+    balancer = new_spread()
     declared = pool()
     used: collections.Counter[str] = collections.Counter()
     for number in range(3000):
@@ -53,16 +52,16 @@
     assert sum(len(cell.servers) for cell in balancer.divide(declared).cells) == SERVERS
 
 
-def test_requests_that_share_a_beginning_meet_near_by() -> None:
-    balancer = choosing()
+def test_shared_prefix_maps_to_one_near_cell() -> None:
+    balancer = new_spread()
     chosen = {balancer.choose(pool(), "shared").cell_id for _ in range(10)}
     assert len(chosen) == 1
     near = {balancer.choose(pool(), str(n)).data_centre for n in range(50)}
     assert near == {"dc-2"}
 
 
-def test_a_popular_beginning_spills_over() -> None:
-    balancer = choosing()
+def test_popular_prefix_spills_over_to_second_cell() -> None:
+    balancer = new_spread()
     declared = pool()
     chosen = set()
     for _ in range(400):
@@ -76,8 +75,8 @@
     assert not balancer.tickets
 
 
-def test_a_pool_is_divided_once_per_change() -> None:
-    balancer = choosing()
+def test_pool_is_divided_once_per_change() -> None:
+    balancer = new_spread()
     declared = pool()
     first = balancer.divide(declared)
     assert balancer.divide(declared) is first
@@ -85,7 +84,7 @@
 
 
 def test_cells_are_found_by_id() -> None:
-    balancer = choosing()
+    balancer = new_spread()
     configuration = copy.empty()
     resources = dict(configuration.resources)
     resources[kinds.Kind.ENGINE_POOL] = {"p": pool()}
--- a/src/tealcove/dispatch/tests/test_stragglers.py
+++ b/src/tealcove/dispatch/tests/test_stragglers.py
@@ -1,4 +1,4 @@
-"""Servers that slow down: less work, then probes only, and the way back."""
+"""Tests of slow servers: less work, probes only, and recovery."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 def slow_down(
     fair_scheduler: fair.FairScheduler, factor: float, now: ids.Instant
 ) -> None:
-    """Let s0 complete requests of which it takes `factor` times as long."""
+    """Complete requests on s0 that take `factor` times as long as expected."""
     for _ in range(15):
         builders.teach(fair_scheduler, "s0", factor)
     fair_scheduler.tick(now)
@@ -29,7 +29,7 @@
 def probes(
     fair_scheduler: fair.FairScheduler, now: ids.Instant, **changes: object
 ) -> list:
-    """Offer tickets; return the grants of s0, and take back all others."""
+    """Enqueue tickets; return the grants of s0 and withdraw all others."""
     grants = builders.fill(fair_scheduler, 3, now, **changes)
     for grant in grants:
         if grant.server != "s0":
@@ -37,7 +37,7 @@
     return [grant for grant in grants if grant.server == "s0"]
 
 
-def test_a_slower_server_gets_less_work() -> None:
+def test_slow_server_gets_less_work() -> None:
     fair_scheduler = open_three()
     slow_down(fair_scheduler, 2.5, builders.instant(1))
     assert state(fair_scheduler).pace is servers.Pace.SLOW
@@ -45,12 +45,12 @@
     assert [grant.server for grant in grants].count("s0") == 1
 
 
-def test_a_straggler_gets_probes_only_and_comes_back() -> None:
+def test_straggler_gets_only_probes_and_recovers() -> None:
     fair_scheduler = open_three()
     slow_down(fair_scheduler, 8.0, builders.instant(1))
     assert state(fair_scheduler).pace is servers.Pace.PROBED
     assert not probes(fair_scheduler, builders.instant(1.5))
-    # A probe is short work that may be lost.
+    # A probe has to be short and idempotent.
     assert not probes(fair_scheduler, builders.instant(2.1), idempotent=False)
     assert not probes(fair_scheduler, builders.instant(2.1), output_tokens=1000)
     for seconds in (2.1, 4.1):
@@ -61,7 +61,7 @@
     assert state(fair_scheduler).pace is servers.Pace.NORMAL
 
 
-def test_a_straggler_gets_nothing_between_probes() -> None:
+def test_straggler_gets_no_work_between_probes() -> None:
     fair_scheduler = open_three()
     slow_down(fair_scheduler, 8.0, builders.instant(1))
     grants = builders.fill(fair_scheduler, 12, builders.instant(1.5))
@@ -69,7 +69,7 @@
     assert "s0" not in [grant.server for grant in grants]
 
 
-def test_probes_of_a_server_that_stays_slow_become_rarer() -> None:
+def test_probe_interval_grows_while_server_stays_slow() -> None:
     fair_scheduler = open_three()
     slow_down(fair_scheduler, 8.0, builders.instant(1))
     granted = []
@@ -83,11 +83,11 @@
     assert granted == [2, 3, 5, 9, 17, 33]
 
 
-def test_late_running_work_tells_before_any_completion() -> None:
-    """Requests are sent to a server that has frozen, and its load report is fine.
+def test_late_running_requests_reveal_a_frozen_server() -> None:
+    """Requests are sent to a frozen server whose load reports look normal.
 
-    Events: an engine stops computing in the middle of its requests. Cause: its
-    speed was judged from completions and load reports only.
+    An engine that stops computing during its requests isn't detected if its speed is
+    estimated from completions and load reports only.
     """
     fair_scheduler = open_three()
     first = builders.fill(fair_scheduler, 3, builders.instant(1))
@@ -102,7 +102,7 @@
     assert "s0" not in [grant.server for grant in grants]
 
 
-def test_a_first_token_in_time_tells_that_the_prefill_went_well() -> None:
+def test_timely_first_token_keeps_pace_normal() -> None:
     fair_scheduler = open_three()
     grants = builders.fill(fair_scheduler, 3, builders.instant(1), output_tokens=1000)
     for grant in grants:
@@ -114,12 +114,11 @@
     assert state(fair_scheduler).pace is servers.Pace.NORMAL
 
 
-def test_one_late_completion_does_not_shut_a_server_out() -> None:
-    """The fastest server of a pool idles for good.
+def test_one_late_completion_does_not_exclude_a_server() -> None:
+    """The fastest server of a pool idles for ever, and requests run on slower ones.
 
-    Symptom: requests take as long as the slowest server does, while another one gets
-    nothing. Sequence: the fast server's first completion is late by chance; the
-    others' aren't. Cause: its speed was learnt from that one, and never again.
+    Its first completion is late by chance, the others' aren't. As its speed is
+    estimated from that one alone, it is never chosen again.
     """
     fair_scheduler = fair.FairScheduler()
     specs = [builders.server(name, generation="") for name in ("s0", "s1")]
