--- a/src/tealcove/dispatch/cellstate.py
+++ b/src/tealcove/dispatch/cellstate.py
@@ -145,7 +145,7 @@
         self.fleet.end(ticket.ticket_id, now)
         tokens = ticket.prompt_tokens + ticket.output_tokens
         remaining = ticket.remaining or UNKNOWN_DEADLINE
-        running = servers.Running(
+        running = servers.RunningTicket(
             ticket=ticket,
             started=now,
             deadline=ids.Instant(now + remaining),
@@ -158,7 +158,7 @@
 
     def end(
         self, ticket_id: ids.TicketId, now: ids.Instant, tokens: float = 0.0
-    ) -> tuple[servers.ServerState, servers.Running] | None:
+    ) -> tuple[servers.ServerState, servers.RunningTicket] | None:
         """Release a slot and refund the account the tokens that weren't used."""
         ended = self.fleet.end(ticket_id, now)
         if ended is not None:
@@ -189,7 +189,7 @@
 
 def new_running(
     waiting: queue.WaitingTicket, server: servers.ServerState, now: ids.Instant
-) -> servers.Running:
+) -> servers.RunningTicket:
     """Return the record of a ticket that is granted a slot."""
     ticket = waiting.ticket
     uncached = server.uncached_tokens(ticket)
@@ -198,7 +198,7 @@
         others = server.spec.slots - 1.0
         first = server.model.prefill.value_at(uncached)
         expected_total = server.model.predict(uncached, ticket.output_tokens, others)
-    return servers.Running(
+    return servers.RunningTicket(
         ticket=ticket,
         started=now,
         deadline=waiting.deadline,
--- a/src/tealcove/dispatch/fair.py
+++ b/src/tealcove/dispatch/fair.py
@@ -31,7 +31,7 @@
 
 
 class FairScheduler(scheduler.Scheduler):
-    """Schedule by tier, then fairly among client accounts, then by least slack.
+    """Schedules by tier, then fairly among client accounts, then by least slack.
 
     Every event ends with the same steps: free slots are granted, lower tiers are
     preempted for tickets near their latest start, and late tickets are refused.
--- a/src/tealcove/dispatch/fleet.py
+++ b/src/tealcove/dispatch/fleet.py
@@ -91,7 +91,10 @@
             server.reserved_short = max(min(1, most), int(server.spec.slots * share))
 
     def start(
-        self, server: servers.ServerState, running: servers.Running, now: ids.Instant
+        self,
+        server: servers.ServerState,
+        running: servers.RunningTicket,
+        now: ids.Instant,
     ) -> None:
         """Record that a ticket got a slot."""
         server.start(running, now)
@@ -100,7 +103,7 @@
 
     def end(
         self, ticket_id: ids.TicketId, now: ids.Instant
-    ) -> tuple[servers.ServerState, servers.Running] | None:
+    ) -> tuple[servers.ServerState, servers.RunningTicket] | None:
         """Release a ticket's slot; return None when it holds none."""
         server = self.server_of_ticket.pop(ticket_id, None)
         if server is None:
@@ -111,7 +114,7 @@
             self.preemptible[running.ticket.tier_rank] -= running.ticket.idempotent
         return server, running
 
-    def update_counts(self, running: servers.Running, change: int) -> None:
+    def update_counts(self, running: servers.RunningTicket, change: int) -> None:
         """Update the counts by tier for a request that starts or ends."""
         ticket = running.ticket
         self.running[ticket.tier_rank] += change
@@ -120,7 +123,7 @@
         if not ticket.idempotent and ticket.tier_rank > TOP_RANK:
             self.non_preemptible_lower += change
 
-    def note_preempted(self, running: servers.Running, now: ids.Instant) -> None:
+    def note_preempted(self, running: servers.RunningTicket, now: ids.Instant) -> None:
         """Record that an entry was asked to stop a request."""
         if running.preempted_at is None:
             self.preemptible[running.ticket.tier_rank] -= 1
--- a/src/tealcove/dispatch/preemption.py
+++ b/src/tealcove/dispatch/preemption.py
@@ -87,7 +87,10 @@
         return None if victim is None else self.request_preemption(victim, waiting, now)
 
     def request_preemption(
-        self, victim: servers.Running, waiting: queue.WaitingTicket, now: ids.Instant
+        self,
+        victim: servers.RunningTicket,
+        waiting: queue.WaitingTicket,
+        now: ids.Instant,
     ) -> scheduler.Outgoing:
         """Return the message that preempts a running request for a ticket."""
         self.state.fleet.note_preempted(victim, now)
--- a/src/tealcove/dispatch/servers.py
+++ b/src/tealcove/dispatch/servers.py
@@ -30,7 +30,7 @@
     PROBED = "probed"
 
 
-class Running(msgspec.Struct):
+class RunningTicket(msgspec.Struct):
     """A ticket that holds a slot."""
 
     ticket: messages.Ticket
@@ -83,7 +83,7 @@
     def __init__(self, spec: kinds.BackendServerSpec) -> None:
         self.name = ids.BackendServerId(spec.name)
         self.spec = spec
-        self.running: dict[ids.TicketId, Running] = {}
+        self.running: dict[ids.TicketId, RunningTicket] = {}
         self.long_running = 0
         # Slots reserved for short work.
         self.reserved_short = 0
@@ -178,7 +178,7 @@
         self.batch_integral += len(self.running) * seconds
         self.integrated_to = now
 
-    def start(self, running: Running, now: ids.Instant) -> None:
+    def start(self, running: RunningTicket, now: ids.Instant) -> None:
         """Record that a ticket got a slot."""
         self.integrate(now)
         running.batch_at_start = self.batch_integral
@@ -186,7 +186,7 @@
         self.long_running += not running.is_short
         self.note_count(now)
 
-    def end(self, ticket_id: ids.TicketId, now: ids.Instant) -> Running | None:
+    def end(self, ticket_id: ids.TicketId, now: ids.Instant) -> RunningTicket | None:
         """Release a slot; return None when the ticket held none here."""
         if ticket_id not in self.running:
             return None
@@ -219,7 +219,7 @@
         self.note_count(now)
         return max(count for _, count in self.counts)
 
-    def mean_others(self, running: Running, now: ids.Instant) -> float:
+    def mean_others(self, running: RunningTicket, now: ids.Instant) -> float:
         """Return the mean number of other requests in a request's batch."""
         self.integrate(now)
         seconds = now - running.started
--- a/src/tealcove/dispatch/shedding.py
+++ b/src/tealcove/dispatch/shedding.py
@@ -51,7 +51,7 @@
 
 def find_victim(
     waiting: queue.WaitingTicket, cell_fleet: fleet.Fleet, now: ids.Instant
-) -> servers.Running | None:
+) -> servers.RunningTicket | None:
     """Return the running request to preempt for a ticket, or None.
 
     Lowest tier first; within a tier, requests that aren't nearly done first, then by
@@ -76,7 +76,7 @@
 
 
 def may_preempt(
-    running: servers.Running, waiting: queue.WaitingTicket, now: ids.Instant
+    running: servers.RunningTicket, waiting: queue.WaitingTicket, now: ids.Instant
 ) -> bool:
     """Tell whether a request may be preempted for a ticket."""
     ticket = running.ticket
@@ -85,7 +85,9 @@
     return running.preempted_at is None and running.orphaned_until is None
 
 
-def victim_key(running: servers.Running, now: ids.Instant) -> tuple[int, bool, float]:
+def victim_key(
+    running: servers.RunningTicket, now: ids.Instant
+) -> tuple[int, bool, float]:
     """Return the sort key of requests to preempt, first one least."""
     expected = running.expected_total
     is_nearly_done = (
--- a/src/tealcove/dispatch/stragglers.py
+++ b/src/tealcove/dispatch/stragglers.py
@@ -28,23 +28,23 @@
 LONGEST_PROBE_INTERVAL = 30.0
 # Total weight of all older observations against a probe's 1, so that two fast probes
 # are enough to restore a server.
-DOUBTED_WEIGHT = 0.25
+WEIGHT_BEFORE_PROBE = 0.25
 # Factor by which each new observation reduces the weight of older ones, for a server's
 # current speed and for its long-term one.
 DECAY = 0.9
 LONG_TERM_DECAY = 0.995
 # A server without a generation that has fewer observations and has been idle for so
 # many seconds counts as unknown again: its only completion may have been delayed by
-# other load on the machine, and it was never chosen again, however fast it was.
-FEW_OBSERVATIONS = 3
-DOUBTED_AFTER = 5.0
+# other load on the machine, and it would never be chosen again, however fast it is.
+MIN_OBSERVATIONS = 3
+RESET_AFTER_IDLE = 5.0
 # Output tokens of the reference request by which speeds are compared.
 SAMPLE_OUTPUT = 64
 
 
 def observe_completion(
     server: servers.ServerState,
-    running: servers.Running | None,
+    running: servers.RunningTicket | None,
     done: messages.Done,
     now: ids.Instant,
 ) -> None:
@@ -54,8 +54,8 @@
         others = server.mean_others(running, now)
     is_probe = running is not None and running.is_probe
     if is_probe or server.pace is servers.Pace.PROBED:
-        server.speed.prefill.limit_weight(DOUBTED_WEIGHT)
-        server.speed.decode.limit_weight(DOUBTED_WEIGHT)
+        server.speed.prefill.limit_weight(WEIGHT_BEFORE_PROBE)
+        server.speed.decode.limit_weight(WEIGHT_BEFORE_PROBE)
     server.learned_at = now
     if server.speed.observations == 0 and server.prior is not None:
         server.speed = speeds.copy(server.prior)
@@ -84,7 +84,7 @@
     for server in known:
         by_generation.setdefault(server.spec.generation, []).append(server)
     for server in known:
-        reset_doubtful(server, now)
+        reset_unreliable(server, now)
     for generation, members in by_generation.items():
         reference = None
         if generation:
@@ -96,15 +96,17 @@
     relax_if_all_probed(known)
 
 
-def reset_doubtful(server: servers.ServerState, now: ids.Instant) -> None:
+def reset_unreliable(server: servers.ServerState, now: ids.Instant) -> None:
     """Reset a speed that has too few observations, so that the server is tried again.
 
     Servers with a prior or with a reduced pace recover by other means.
     """
-    has_way = server.prior is not None or server.pace is not servers.Pace.NORMAL
-    is_doubtful = 0 < server.speed.observations < FEW_OBSERVATIONS
-    is_idle = server.is_empty() and now - server.learned_at > DOUBTED_AFTER
-    if is_doubtful and is_idle and not has_way:
+    recovers_otherwise = (
+        server.prior is not None or server.pace is not servers.Pace.NORMAL
+    )
+    is_unreliable = 0 < server.speed.observations < MIN_OBSERVATIONS
+    is_idle = server.is_empty() and now - server.learned_at > RESET_AFTER_IDLE
+    if is_unreliable and is_idle and not recovers_otherwise:
         server.speed = speeds.default()
 
 
@@ -135,7 +137,7 @@
     return max(1.0, late, seen / max(1e-6, expected))
 
 
-def lateness(running: servers.Running, now: ids.Instant) -> float:
+def lateness(running: servers.RunningTicket, now: ids.Instant) -> float:
     """Return a request's elapsed time as a multiple of the predicted one."""
     expected = running.expected_total
     if not running.has_first_token:
@@ -162,11 +164,16 @@
         server.probe_at = ids.Instant(now + PROBE_INTERVAL)
     if server.pace is not before:
         pace, slowness = server.pace.value, server.slowness
-        log.info("{} is {}: {:.1f} times as slow", server.name, pace, slowness)
+        log.info(
+            "{} is {}: takes {:.1f} times as long as expected",
+            server.name,
+            pace,
+            slowness,
+        )
 
 
 def schedule_next_probe(
-    server: servers.ServerState, running: servers.Running, now: ids.Instant
+    server: servers.ServerState, running: servers.RunningTicket, now: ids.Instant
 ) -> None:
     """Schedule the next probe, with a doubled interval each time."""
     running.is_probe = True
