--- a/src/tealcove/dispatch/cellstate.py
+++ b/src/tealcove/dispatch/cellstate.py
@@ -49,7 +49,7 @@
             start_by=start_by(deadline, predicted),
             risk_from=risk_from(deadline, predicted),
             lane=queue.Lane(is_short, ticket.idempotent),
-            seconds=predicted.loaded,
+            service_seconds=predicted.loaded,
             refreshed_at=now,
             had_slack=ticket.remaining + ticket.waited
             > predicted.loaded + choice.DEADLINE_MARGIN + shedding.RISK_LEAD,
--- a/src/tealcove/dispatch/choice.py
+++ b/src/tealcove/dispatch/choice.py
@@ -37,7 +37,7 @@
     output = ticket.output_tokens
     for server in candidates:
         uncached = server.uncached_tokens(ticket)
-        alone, full_batch = server.bounds(uncached, output)
+        alone, full_batch = server.predict_bounds(uncached, output)
         if uncached < least:
             least = uncached
         if alone < idle:
--- a/src/tealcove/dispatch/preemption.py
+++ b/src/tealcove/dispatch/preemption.py
@@ -140,7 +140,7 @@
         overload = messages.RefusalReason.OVERLOAD
         outgoing = []
         if self.state.queue.has_below(rank):
-            for lower in self.state.queue.below(rank):
+            for lower in self.state.queue.tickets_below(rank):
                 outgoing.append(self.state.refuse(lower, overload))
         return [*outgoing, self.state.refuse(waiting, overload)]
 
--- a/src/tealcove/dispatch/queue.py
+++ b/src/tealcove/dispatch/queue.py
@@ -41,7 +41,7 @@
     risk_from: ids.Instant
     lane: Lane
     # Predicted seconds of service.
-    seconds: float
+    service_seconds: float
     # Whether its deadline left any time to wait when it was queued.
     had_slack: bool = True
     # When to look next for a slot to preempt.
@@ -111,7 +111,7 @@
         self.accounts: dict[ids.AccountId, Account] = {}
         self.count = 0
         # Predicted seconds of service of all queued tickets.
-        self.seconds = 0.0
+        self.queued_seconds = 0.0
 
 
 class Queue:
@@ -140,7 +140,7 @@
         account.count += 1
         account.oldest_arrival = min(account.oldest_arrival, waiting.arrived)
         tier.count += 1
-        tier.seconds += waiting.seconds
+        tier.queued_seconds += waiting.service_seconds
         waiting.is_queued = True
         self.tickets[ticket.ticket_id] = waiting
 
@@ -155,7 +155,7 @@
         account = tier.accounts[ticket.account]
         account.count -= 1
         tier.count -= 1
-        tier.seconds -= waiting.seconds
+        tier.queued_seconds -= waiting.service_seconds
         if account.count == 0:
             account.oldest_arrival = math.inf
             for heap in account.lanes.values():
@@ -178,7 +178,7 @@
         """Return the tiers with queued tickets, highest first."""
         return sorted(rank for rank, tier in self.tiers.items() if tier.count)
 
-    def below(self, rank: int) -> list[WaitingTicket]:
+    def tickets_below(self, rank: int) -> list[WaitingTicket]:
         """Return the tickets of lower tiers, lowest tier first."""
         lower = [w for w in self.tickets.values() if w.ticket.tier_rank > rank]
         return sorted(lower, key=lambda w: -w.ticket.tier_rank)
@@ -189,5 +189,5 @@
 
     def backlog_seconds(self, rank: int) -> float:
         """Return the predicted seconds of service ahead of a tier's new ticket."""
-        counted = (tier.seconds for r, tier in self.tiers.items() if r <= rank)
+        counted = (tier.queued_seconds for r, tier in self.tiers.items() if r <= rank)
         return max(0.0, sum(counted))
--- a/src/tealcove/dispatch/servers.py
+++ b/src/tealcove/dispatch/servers.py
@@ -259,7 +259,7 @@
         uncached = self.uncached_tokens(ticket)
         return self.predict_total_for(uncached, ticket.output_tokens, others)
 
-    def bounds(self, uncached: float, output: float) -> tuple[float, float]:
+    def predict_bounds(self, uncached: float, output: float) -> tuple[float, float]:
         """Return the seconds to the last token, alone and in a full batch."""
         others = self.spec.slots - 1.0
         if self.pace is not Pace.NORMAL:
--- a/src/tealcove/dispatch/speeds.py
+++ b/src/tealcove/dispatch/speeds.py
@@ -89,7 +89,7 @@
     )
 
 
-def copy(speed: Speed) -> Speed:
+def with_prior(speed: Speed) -> Speed:
     """Return a speed with another one as prior, for a server's own observations."""
     prefill, decode = speed.prefill, speed.decode
     return Speed(
--- a/src/tealcove/dispatch/stragglers.py
+++ b/src/tealcove/dispatch/stragglers.py
@@ -58,7 +58,7 @@
         server.speed.decode.limit_weight(WEIGHT_BEFORE_PROBE)
     server.learned_at = now
     if server.speed.observations == 0 and server.prior is not None:
-        server.speed = speeds.copy(server.prior)
+        server.speed = speeds.with_prior(server.prior)
     for speed, decay in (
         (server.speed, DECAY),
         (server.long_term_speed, LONG_TERM_DECAY),
