--- a/src/tealcove/dispatch/pressure.py
+++ b/src/tealcove/dispatch/preemption.py
@@ -1,4 +1,4 @@
-"""Finds slots by force for tickets whose time runs out, and refuses the rest."""
+"""Preemption for tickets near their latest start, and refusal of late ones."""
 
 from __future__ import annotations
 
@@ -13,87 +13,90 @@
     shedding,
 )
 
-# A refusal is put off when present speeds give a ticket more time than this.
-MORE_TIME = 0.01
+# A refusal is postponed when current speeds give a ticket more seconds than this.
+LEAST_POSTPONEMENT = 0.01
 
 
-class Pressure:
-    """The tickets near their last instant to start."""
+class Preemption:
+    """Finds slots for the tickets that are near their latest start."""
 
     def __init__(self, state: cellstate.CellState) -> None:
         self.state = state
-        self.at_risk: dict[ids.TicketId, queue.Waiting] = {}
+        self.at_risk: dict[ids.TicketId, queue.WaitingTicket] = {}
 
     def advance(self, now: ids.Instant, is_gathering: bool) -> list[scheduler.Outgoing]:
-        """Stop lower work for tickets at risk and refuse what is too late.
+        """Preempt lower tiers for tickets at risk, and refuse tickets that are late.
 
-        While running work of another dispatcher is still being told of, a ticket
-        at risk gets a free slot all the same: it may turn out to be taken, but
-        without it the ticket would surely be too late.
+        A ticket at risk gets a free slot even while running requests of another
+        dispatcher are being gathered: the slot may turn out to be taken, but without
+        it the ticket would surely be too late.
         """
         outgoing: list[scheduler.Outgoing] = []
         for waiting in self.state.risks.due(now):
             self.at_risk[waiting.ticket.ticket_id] = waiting
         if self.at_risk:
-            outgoing.extend(self.rescue_all(now, is_gathering))
+            outgoing.extend(self.find_slots(now, is_gathering))
         for waiting in self.state.expiries.due(now):
             outgoing.extend(self.expire(waiting, now))
         return outgoing
 
-    def rescue_all(
+    def find_slots(
         self, now: ids.Instant, is_gathering: bool
     ) -> list[scheduler.Outgoing]:
-        """Look for a slot for each ticket at risk, highest tier first."""
+        """Find slots for the tickets at risk, highest tier first."""
         outgoing = []
         ahead = 0
-        for ticket_id, waiting in sorted(self.at_risk.items(), key=rank_of):
+        for ticket_id, waiting in sorted(self.at_risk.items(), key=risk_order):
             if not waiting.is_queued:
                 del self.at_risk[ticket_id]
                 continue
-            found = self.rescue(waiting, ahead, now, is_gathering)
+            message = self.find_slot(waiting, ahead, now, is_gathering)
             ahead += 1
-            if found is not None:
-                outgoing.append(found)
+            if message is not None:
+                outgoing.append(message)
         return outgoing
 
-    def rescue(
+    def find_slot(
         self,
-        waiting: queue.Waiting,
+        waiting: queue.WaitingTicket,
         ahead: int,
         now: ids.Instant,
         is_gathering: bool,
     ) -> scheduler.Outgoing | None:
-        """Find a slot for one ticket, at the cost of lower tiers only."""
+        """Grant a ticket a free slot, or preempt a request of a lower tier for it."""
         rank = waiting.ticket.tier_rank
         fleet = self.state.fleet
-        if waiting.lane.is_suspect or now < waiting.look_again:
+        if waiting.lane.is_suspect or now < waiting.next_attempt:
             return None
         has_lower = fleet.runs_below(rank) or self.state.queue.has_below(rank)
         if not (has_lower or is_gathering):
             return None
-        if fleet.keeps_back(rank, waiting.lane.idempotent):
+        if fleet.at_non_idempotent_limit(rank, waiting.lane.idempotent):
             return None
-        waiting.look_again = ids.Instant(now + shedding.STOP_SECONDS)
+        waiting.next_attempt = ids.Instant(now + shedding.PREEMPT_SECONDS)
         server = choice.choose(
-            waiting, fleet.servers.values(), now, 0, keeps_short=False
+            waiting, fleet.servers.values(), now, 0, keep_reserved=False
         )
         if server is not None:
             return self.state.grant(waiting, server, now)
-        if not fleet.can_stop_below(rank):
+        if not fleet.can_preempt_below(rank):
             return None
-        if shedding.frees_itself(waiting, fleet, ahead, now):
+        if shedding.slot_frees_in_time(waiting, fleet, ahead, now):
             return None
         victim = shedding.find_victim(waiting, fleet, now)
-        return None if victim is None else self.stop(victim, waiting, now)
+        return None if victim is None else self.request_preemption(victim, waiting, now)
 
-    def stop(
-        self, victim: servers.Running, waiting: queue.Waiting, now: ids.Instant
+    def request_preemption(
+        self,
+        victim: servers.RunningTicket,
+        waiting: queue.WaitingTicket,
+        now: ids.Instant,
     ) -> scheduler.Outgoing:
-        """Have a running request stopped for a ticket."""
+        """Return the message that preempts a running request for a ticket."""
         self.state.fleet.note_preempted(victim, now)
         victim.preempted_for = waiting.ticket.ticket_id
-        waiting.promised_until = ids.Instant(now + shedding.STOP_TIMEOUT)
-        waiting.look_again = waiting.promised_until
+        waiting.preemption_deadline = ids.Instant(now + shedding.PREEMPT_TIMEOUT)
+        waiting.next_attempt = waiting.preemption_deadline
         ticket = victim.ticket
         after = shedding.retry_after(
             self.state.queue, self.state.fleet, ticket.tier_rank
@@ -102,33 +105,33 @@
         return scheduler.Outgoing(ticket.entry, preempt)
 
     def expire(
-        self, waiting: queue.Waiting, now: ids.Instant
+        self, waiting: queue.WaitingTicket, now: ids.Instant
     ) -> list[scheduler.Outgoing]:
-        """Refuse a ticket that can't end in time any more."""
+        """Refuse a ticket that can no longer end in time."""
         if not waiting.is_queued:
-            # Shed a moment ago, together with its tier.
+            # Already shed, together with its tier.
             return []
-        if now < waiting.promised_until:
-            self.state.expiries.add(waiting.promised_until, waiting)
+        if now < waiting.preemption_deadline:
+            self.state.expiries.add(waiting.preemption_deadline, waiting)
             return []
         usable = self.state.fleet.usable(waiting.ticket)
         if not usable:
             reason = messages.RefusalReason.NO_BACKEND_SERVER
             return [self.state.refuse(waiting, reason)]
-        found = choice.estimate(waiting.ticket, usable)
-        latest = cellstate.start_by(waiting.deadline, found)
-        if latest > now + MORE_TIME:
-            # Its servers have turned out faster than when it was queued.
+        predicted = choice.estimate(waiting.ticket, usable)
+        latest = cellstate.start_by(waiting.deadline, predicted)
+        if latest > now + LEAST_POSTPONEMENT:
+            # The servers' estimated speeds have risen since it was queued.
             self.state.expiries.add(latest, waiting)
             return []
         return self.shed(waiting)
 
-    def shed(self, waiting: queue.Waiting) -> list[scheduler.Outgoing]:
-        """Refuse a ticket, for overload only if nothing lower is served.
+    def shed(self, waiting: queue.WaitingTicket) -> list[scheduler.Outgoing]:
+        """Refuse a ticket, for overload only if no lower tier is being served.
 
-        What is queued of lower tiers is refused first. Where lower work still
-        runs, it can't be stopped, or stopping it can't help in time any more:
-        then it is the ticket's deadline that can't be met.
+        Queued tickets of lower tiers are refused first. If requests of lower tiers
+        still run, they can't be preempted, or it's too late for that to help: then the
+        reason is the ticket's deadline.
         """
         rank = waiting.ticket.tier_rank
         by_deadline = not waiting.had_slack or waiting.lane.is_suspect
@@ -137,12 +140,12 @@
         overload = messages.RefusalReason.OVERLOAD
         outgoing = []
         if self.state.queue.has_below(rank):
-            for lower in self.state.queue.below(rank):
+            for lower in self.state.queue.tickets_below(rank):
                 outgoing.append(self.state.refuse(lower, overload))
         return [*outgoing, self.state.refuse(waiting, overload)]
 
 
-def rank_of(item: tuple[ids.TicketId, queue.Waiting]) -> tuple[int, float]:
-    """Return the order in which tickets at risk are looked after."""
+def risk_order(item: tuple[ids.TicketId, queue.WaitingTicket]) -> tuple[int, float]:
+    """Return the sort key of tickets at risk: tier, then latest start."""
     waiting = item[1]
     return (waiting.ticket.tier_rank, waiting.start_by)
--- a/src/tealcove/dispatch/queue.py
+++ b/src/tealcove/dispatch/queue.py
@@ -1,4 +1,4 @@
-"""The queue of a cell: tier, then fair among client accounts, then least slack."""
+"""The queue of a cell: by tier, fair among client accounts, then by least slack."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Lane(msgspec.Struct, frozen=True):
-    """Tickets for which the same slots are open."""
+    """A class of tickets that may use the same slots."""
 
     is_short: bool
     idempotent: bool
@@ -23,38 +23,38 @@
 
 
 SUSPECTS = Lane(is_short=False, idempotent=False, is_suspect=True)
-# The lanes of tickets that run beside others.
+# The lanes of tickets that may share a server.
 SHARED = tuple(Lane(s, i) for s in (True, False) for i in (True, False))
 LANES = (*SHARED, SUSPECTS)
 
 
-class Waiting(msgspec.Struct, eq=False):
+class WaitingTicket(msgspec.Struct, eq=False):
     """A ticket in the queue."""
 
     ticket: messages.Ticket
-    # When it began to wait, at whichever dispatcher.
+    # When it was first queued, at any dispatcher.
     arrived: ids.Instant
     deadline: ids.Instant
-    # The last instant to start, on the best server with a full batch.
+    # The latest start in time, on the best server with a full batch.
     start_by: ids.Instant
-    # From when on a slot is looked for by force.
+    # From when on lower tiers may be preempted for it.
     risk_from: ids.Instant
     lane: Lane
-    # Predicted seconds of work.
-    seconds: float
-    # Whether its deadline left it time to wait at all.
+    # Predicted seconds of service.
+    service_seconds: float
+    # Whether its deadline left any time to wait when it was queued.
     had_slack: bool = True
-    # Before when looking for a slot by force again is of no use.
-    look_again: ids.Instant = ids.Instant(0.0)
-    # Until when a slot that another request was told to leave is awaited.
-    promised_until: ids.Instant = ids.Instant(0.0)
+    # When to look next for a slot to preempt.
+    next_attempt: ids.Instant = ids.Instant(0.0)
+    # Until when to wait for the slot of a request that was preempted for it.
+    preemption_deadline: ids.Instant = ids.Instant(0.0)
     is_queued: bool = False
-    # When its entry last told of it.
-    told: ids.Instant = ids.Instant(0.0)
+    # When its entry last sent it.
+    refreshed_at: ids.Instant = ids.Instant(0.0)
 
     @property
     def order(self) -> tuple[float, float]:
-        """The place within its account: least slack first, then the oldest."""
+        """The sort key within its account: least slack first, then the oldest."""
         return (self.start_by, self.arrived)
 
 
@@ -62,18 +62,18 @@
     """The tickets of one client account in one tier."""
 
     # Start tag of start-time fair queueing, in tokens.
-    tag: float
+    start_tag: float
     # Heaps of (order, number, ticket); the number keeps tickets from being compared.
-    lanes: dict[Lane, list[tuple[tuple[float, float], int, Waiting]]]
+    lanes: dict[Lane, list[tuple[tuple[float, float], int, WaitingTicket]]]
     count: int = 0
-    # The earliest arrival since it last had nothing queued.
-    since: float = math.inf
+    # The earliest arrival since the account's queue was last empty.
+    oldest_arrival: float = math.inf
 
-    def heads(self, lanes: list[Lane]) -> Iterator[Waiting]:
-        """Yield the tickets of some lanes in order; removed ones are skipped.
+    def tickets_in_order(self, lanes: list[Lane]) -> Iterator[WaitingTicket]:
+        """Yield the queued tickets of some lanes in order, skipping removed ones.
 
-        Each lane's heap is sorted only as far as the caller reads on, which most
-        often is the first ticket.
+        Each lane's heap is traversed only as far as the caller iterates, mostly just
+        to the first ticket.
         """
         heaps = [heap for lane in lanes if (heap := self.lanes[lane])]
         for heap in heaps:
@@ -83,13 +83,13 @@
         if first is None:
             return
         yield first[2]
-        for entry in heapq.merge(*(ascend(heap) for heap in heaps)):
+        for entry in heapq.merge(*(iterate_heap(heap) for heap in heaps)):
             if entry[2].is_queued and entry is not first:
                 yield entry[2]
 
 
-def ascend(heap: list[tuple]) -> Iterator[tuple]:
-    """Yield a heap's entries in order and leave the heap as it is."""
+def iterate_heap(heap: list[tuple]) -> Iterator[tuple]:
+    """Yield a heap's entries in order without changing the heap."""
     if not heap:
         return
     frontier = [(heap[0], 0)]
@@ -105,47 +105,47 @@
     """The tickets of one tier."""
 
     def __init__(self) -> None:
-        # The start tag of the last ticket granted: where accounts that come
-        # back to the queue start, so that an idle time earns no credit.
-        self.virtual = 0.0
+        # The start tag of the last ticket granted. Accounts that become backlogged
+        # start from it, so that idle time earns no credit.
+        self.virtual_time = 0.0
         self.accounts: dict[ids.AccountId, Account] = {}
         self.count = 0
-        # Predicted seconds of all queued work.
-        self.seconds = 0.0
+        # Predicted seconds of service of all queued tickets.
+        self.queued_seconds = 0.0
 
 
 class Queue:
-    """All queued tickets of a cell, by id and in order."""
+    """All queued tickets of a cell, by id and in scheduling order."""
 
     def __init__(self) -> None:
-        self.tickets: dict[ids.TicketId, Waiting] = {}
+        self.tickets: dict[ids.TicketId, WaitingTicket] = {}
         self.tiers: dict[int, Tier] = {}
         self.numbers = itertools.count()
 
     def __len__(self) -> int:
         return len(self.tickets)
 
-    def add(self, waiting: Waiting) -> None:
-        """Take in a ticket."""
+    def add(self, waiting: WaitingTicket) -> None:
+        """Add a ticket."""
         ticket = waiting.ticket
         tier = self.tiers.setdefault(ticket.tier_rank, Tier())
         account = tier.accounts.get(ticket.account)
         if account is None:
-            account = Account(tier.virtual, {lane: [] for lane in LANES})
+            account = Account(tier.virtual_time, {lane: [] for lane in LANES})
             tier.accounts[ticket.account] = account
         if account.count == 0:
-            account.tag = max(account.tag, tier.virtual)
+            account.start_tag = max(account.start_tag, tier.virtual_time)
         entry = (waiting.order, next(self.numbers), waiting)
         heapq.heappush(account.lanes[waiting.lane], entry)
         account.count += 1
-        account.since = min(account.since, waiting.arrived)
+        account.oldest_arrival = min(account.oldest_arrival, waiting.arrived)
         tier.count += 1
-        tier.seconds += waiting.seconds
+        tier.queued_seconds += waiting.service_seconds
         waiting.is_queued = True
         self.tickets[ticket.ticket_id] = waiting
 
-    def remove(self, ticket_id: ids.TicketId) -> Waiting | None:
-        """Take out a ticket; its entry in the heap goes when it reaches the top."""
+    def remove(self, ticket_id: ids.TicketId) -> WaitingTicket | None:
+        """Remove a ticket; its heap entry is dropped once it reaches the top."""
         waiting = self.tickets.pop(ticket_id, None)
         if waiting is None:
             return None
@@ -155,39 +155,39 @@
         account = tier.accounts[ticket.account]
         account.count -= 1
         tier.count -= 1
-        tier.seconds -= waiting.seconds
+        tier.queued_seconds -= waiting.service_seconds
         if account.count == 0:
-            account.since = math.inf
+            account.oldest_arrival = math.inf
             for heap in account.lanes.values():
                 heap.clear()
-            if account.tag <= tier.virtual:
+            if account.start_tag <= tier.virtual_time:
                 del tier.accounts[ticket.account]
         return waiting
 
     def charge(self, ticket: messages.Ticket, tokens: float) -> None:
-        """Charge granted work to its account; negative tokens are given back."""
+        """Charge tokens to a ticket's account; negative ones are a refund."""
         tier = self.tiers.get(ticket.tier_rank)
         account = None if tier is None else tier.accounts.get(ticket.account)
         if account is None:
             return
         if tokens > 0:
-            tier.virtual = max(tier.virtual, account.tag)
-        account.tag = max(account.tag + tokens, 0.0)
+            tier.virtual_time = max(tier.virtual_time, account.start_tag)
+        account.start_tag = max(account.start_tag + tokens, 0.0)
 
     def ranks(self) -> list[int]:
         """Return the tiers with queued tickets, highest first."""
         return sorted(rank for rank, tier in self.tiers.items() if tier.count)
 
-    def below(self, rank: int) -> list[Waiting]:
+    def tickets_below(self, rank: int) -> list[WaitingTicket]:
         """Return the tickets of lower tiers, lowest tier first."""
         lower = [w for w in self.tickets.values() if w.ticket.tier_rank > rank]
         return sorted(lower, key=lambda w: -w.ticket.tier_rank)
 
     def has_below(self, rank: int) -> bool:
-        """Tell whether anything of a lower tier is queued."""
+        """Tell whether a ticket of a lower tier is queued."""
         return any(r > rank and tier.count for r, tier in self.tiers.items())
 
-    def seconds_before(self, rank: int) -> float:
-        """Return the predicted work that goes before a new ticket of a tier."""
-        found = (tier.seconds for r, tier in self.tiers.items() if r <= rank)
-        return max(0.0, sum(found))
+    def backlog_seconds(self, rank: int) -> float:
+        """Return the predicted seconds of service ahead of a tier's new ticket."""
+        counted = (tier.queued_seconds for r, tier in self.tiers.items() if r <= rank)
+        return max(0.0, sum(counted))
--- a/src/tealcove/dispatch/stragglers.py
+++ b/src/tealcove/dispatch/stragglers.py
@@ -1,7 +1,7 @@
-"""Finds backend servers that are slower than they should be.
+"""Detection of backend servers that are slower than expected.
 
-Judged from completed requests and from running ones that are late against their
-prediction, never from load reports: these lag, and a frozen server's look fine.
+It uses completed requests and running ones that exceed their predicted times, never
+load reports: these lag, and those of a frozen server look normal.
 """
 
 from __future__ import annotations
@@ -16,51 +16,52 @@
 
 log = logbook.Logger("dispatch")
 
-# Times slower than expected from which a server gets less work, or only probes.
+# Slowness factors from which a server gets less work, or only probes.
 SLOW_FACTOR = 2.0
 PROBE_FACTOR = 5.0
-# A running request counts as late beyond its prediction times this ...
+# A running request counts as late when it exceeds its predicted time by this factor
 LATE_FACTOR = 1.5
-# ... plus these seconds, since short requests vary more.
+# plus these seconds, since the times of short requests vary more.
 LATE_GRACE = 0.5
-# Seconds between probes; doubled while they are slow, up to the longest.
+# Seconds between probes; doubled after each probe, up to the longest.
 PROBE_INTERVAL = 1.0
 LONGEST_PROBE_INTERVAL = 30.0
-# What all older observations count together against a probe's 1: so two good
-# probes are enough to bring a server back.
-DOUBTED_WEIGHT = 0.25
-KEEP = 0.9
-# What an observation leaves in place of a server's usual speed.
-USUAL_KEEP = 0.995
-# A server without a generation that has completed fewer requests, and got none for so
-# many seconds, counts as one of which nothing is known: its only completion may have
-# been late by the machine's other work. It was never chosen again, however fast it was.
-FEW_OBSERVATIONS = 3
-DOUBTED_AFTER = 5.0
-# Output tokens of the request by which speeds are compared.
+# Total weight of all older observations against a probe's 1, so that two fast probes
+# are enough to restore a server.
+WEIGHT_BEFORE_PROBE = 0.25
+# Factor by which each new observation reduces the weight of older ones, for a server's
+# current speed and for its long-term one.
+DECAY = 0.9
+LONG_TERM_DECAY = 0.995
+# A server without a generation that has fewer observations and has been idle for so
+# many seconds counts as unknown again: its only completion may have been delayed by
+# other load on the machine, and it would never be chosen again, however fast it is.
+MIN_OBSERVATIONS = 3
+RESET_AFTER_IDLE = 5.0
+# Output tokens of the reference request by which speeds are compared.
 SAMPLE_OUTPUT = 64
 
 
-def learn(
+def observe_completion(
     server: servers.ServerState,
-    running: servers.Running | None,
+    running: servers.RunningTicket | None,
     done: messages.Done,
     now: ids.Instant,
 ) -> None:
-    """Learn a server's speed from a completed request."""
+    """Update a server's speeds from a completed request."""
     others = max(0, len(server.running) - 1)
     if running is not None:
-        others = server.others(running, now)
+        others = server.mean_others(running, now)
     is_probe = running is not None and running.is_probe
     if is_probe or server.pace is servers.Pace.PROBED:
-        server.speed.prefill.doubt(DOUBTED_WEIGHT)
-        server.speed.decode.doubt(DOUBTED_WEIGHT)
+        server.speed.prefill.limit_weight(WEIGHT_BEFORE_PROBE)
+        server.speed.decode.limit_weight(WEIGHT_BEFORE_PROBE)
     server.learned_at = now
     if server.speed.observations == 0 and server.prior is not None:
-        server.speed = speeds.copy(server.prior)
-    for speed, keep in (
-        (server.speed, KEEP),
-        (server.usual, USUAL_KEEP),
+        server.speed = speeds.with_prior(server.prior)
+    for speed, decay in (
+        (server.speed, DECAY),
+        (server.long_term_speed, LONG_TERM_DECAY),
     ):
         speed.observe(
             done.prompt_tokens - done.cached_tokens,
@@ -68,50 +69,52 @@
             others,
             done.first_token_seconds,
             done.total_seconds,
-            keep,
+            decay,
         )
 
 
-def judge(found: Iterable[servers.ServerState], now: ids.Instant) -> None:
-    """Bring priors, slowness and pace of all servers up to date.
+def update_paces(all_servers: Iterable[servers.ServerState], now: ids.Instant) -> None:
+    """Update prior, slowness and pace of all servers.
 
-    Servers of one named generation are held against their median; one without a
-    generation only against its own usual speed, since it may differ by design.
+    Servers of a named generation are compared to its median; a server without a
+    generation only to its own long-term speed, since it may differ by design.
     """
-    known = list(found)
+    known = list(all_servers)
     by_generation: dict[str, list[servers.ServerState]] = {}
     for server in known:
         by_generation.setdefault(server.spec.generation, []).append(server)
     for server in known:
-        forget_doubtful(server, now)
+        reset_unreliable(server, now)
     for generation, members in by_generation.items():
         reference = None
         if generation:
             reference = speeds.median(server.speed for server in members)
         for server in members:
             server.prior = reference
-            server.slowness = measure(server, now)
+            server.slowness = measure_slowness(server, now)
             set_pace(server, now)
-    keep_some(known)
+    relax_if_all_probed(known)
 
 
-def forget_doubtful(server: servers.ServerState, now: ids.Instant) -> None:
-    """Forget a speed that rests on too little, so that the server is tried again.
+def reset_unreliable(server: servers.ServerState, now: ids.Instant) -> None:
+    """Reset a speed that has too few observations, so that the server is tried again.
 
-    Those that are held against others, or are probed already, have ways of their own.
+    Servers with a prior or with a reduced pace recover by other means.
     """
-    has_way = server.prior is not None or server.pace is not servers.Pace.NORMAL
-    is_doubtful = 0 < server.speed.observations < FEW_OBSERVATIONS
-    is_idle = server.is_empty() and now - server.learned_at > DOUBTED_AFTER
-    if is_doubtful and is_idle and not has_way:
+    recovers_otherwise = (
+        server.prior is not None or server.pace is not servers.Pace.NORMAL
+    )
+    is_unreliable = 0 < server.speed.observations < MIN_OBSERVATIONS
+    is_idle = server.is_empty() and now - server.learned_at > RESET_AFTER_IDLE
+    if is_unreliable and is_idle and not recovers_otherwise:
         server.speed = speeds.default()
 
 
-def keep_some(known: list[servers.ServerState]) -> None:
-    """Let slow servers work if a cell has no others.
+def relax_if_all_probed(known: list[servers.ServerState]) -> None:
+    """Make all probed servers slow ones if the cell has no others.
 
-    Where all are late, they are no stragglers: it's the load, or the word of their
-    ends that is late, and probes only would refuse nearly everything.
+    If all servers are late, they aren't stragglers: the load is high or the reports of
+    ends are late, and granting only probes would refuse nearly all requests.
     """
     paces = {server.pace for server in known if server.is_usable}
     if paces != {servers.Pace.PROBED}:
@@ -121,33 +124,33 @@
             server.pace = servers.Pace.SLOW
 
 
-def measure(server: servers.ServerState, now: ids.Instant) -> float:
-    """Return how many times slower than expected a server is."""
+def measure_slowness(server: servers.ServerState, now: ids.Instant) -> float:
+    """Return a server's slowness, as a multiple of the expected time."""
     late = max((lateness(r, now) for r in server.running.values()), default=1.0)
     own = server.speed
     if own.observations == 0:
         return late
-    # Compared where it is known best: elsewhere, lines differ by chance.
+    # Compared at the mean of the observations: elsewhere, the fits differ by chance.
     uncached, others = own.prefill.mean(), own.decode.mean()
     expected = server.baseline.predict(uncached, SAMPLE_OUTPUT, others)
     seen = own.predict(uncached, SAMPLE_OUTPUT, others)
     return max(1.0, late, seen / max(1e-6, expected))
 
 
-def lateness(running: servers.Running, now: ids.Instant) -> float:
-    """Return how many times longer than predicted a request runs already."""
-    expected = running.expected
+def lateness(running: servers.RunningTicket, now: ids.Instant) -> float:
+    """Return a request's elapsed time as a multiple of the predicted one."""
+    expected = running.expected_total
     if not running.has_first_token:
         expected = running.expected_first
     elapsed = now - running.started - LATE_GRACE
     if expected == math.inf or elapsed <= expected * LATE_FACTOR:
         return 1.0
-    # A prediction of next to nothing would make any delay a huge factor.
+    # A prediction near zero would turn any delay into a huge factor.
     return elapsed / max(expected, LATE_GRACE)
 
 
 def set_pace(server: servers.ServerState, now: ids.Instant) -> None:
-    """Decide how much work a server may get."""
+    """Set a server's pace by its slowness."""
     before = server.pace
     was_normal = before is servers.Pace.NORMAL
     if server.slowness >= PROBE_FACTOR:
@@ -161,13 +164,18 @@
         server.probe_at = ids.Instant(now + PROBE_INTERVAL)
     if server.pace is not before:
         pace, slowness = server.pace.value, server.slowness
-        log.info("{} is {}: {:.1f} times as slow", server.name, pace, slowness)
+        log.info(
+            "{} is {}: takes {:.1f} times as long as expected",
+            server.name,
+            pace,
+            slowness,
+        )
 
 
-def note_probe(
-    server: servers.ServerState, running: servers.Running, now: ids.Instant
+def schedule_next_probe(
+    server: servers.ServerState, running: servers.RunningTicket, now: ids.Instant
 ) -> None:
-    """Set the time of the next probe, further away each time."""
+    """Schedule the next probe, with a doubled interval each time."""
     running.is_probe = True
     server.probe_at = ids.Instant(now + server.probe_interval)
     doubled = 2 * server.probe_interval
--- a/src/tealcove/dispatch/tests/test_holds.py
+++ b/src/tealcove/dispatch/tests/test_holds.py
@@ -1,4 +1,4 @@
-"""Servers that a steward keeps from new work, and engines that lack a model."""
+"""Tests of holds on servers, and of engines that lack a model."""
 
 from __future__ import annotations
 
@@ -27,59 +27,57 @@
     )
 
 
-def test_hold_ends_by_itself_or_when_told():
-    found = holds.Holds()
-    found.take(hold("a", 3.0), builders.instant(0))
-    found.take(hold("b", 3.0), builders.instant(0))
-    assert found.is_held("a", 1, builders.instant(2.9))
-    assert not found.is_held("a", 1, builders.instant(3.0))
-    found.take(hold("b", 0.0), builders.instant(1))
-    assert not found.is_held("b", 1, builders.instant(1))
+def test_hold_expires_or_is_released():
+    in_force = holds.Holds()
+    in_force.apply(hold("a", 3.0), builders.instant(0))
+    in_force.apply(hold("b", 3.0), builders.instant(0))
+    assert in_force.is_held("a", 1, builders.instant(2.9))
+    assert not in_force.is_held("a", 1, builders.instant(3.0))
+    in_force.apply(hold("b", 0.0), builders.instant(1))
+    assert not in_force.is_held("b", 1, builders.instant(1))
     cell = builders.cell(msgspec.structs.replace(builders.server("s"), host="a"))
     cell = msgspec.structs.replace(
         cell, servers=(msgspec.structs.replace(cell.servers[0], port=1),)
     )
-    assert found.of_cell(cell, builders.instant(1)) == ["s"]
+    assert in_force.of_cell(cell, builders.instant(1)) == ["s"]
 
 
-def test_release_of_replaced_steward_is_ignored():
-    found = holds.Holds()
-    found.take(hold("a", 3.0, number=2), builders.instant(0))
-    found.take(hold("a", 0.0, number=1), builders.instant(1))
-    assert found.is_held("a", 1, builders.instant(1))
+def test_release_by_a_replaced_steward_is_ignored():
+    in_force = holds.Holds()
+    in_force.apply(hold("a", 3.0, number=2), builders.instant(0))
+    in_force.apply(hold("a", 0.0, number=1), builders.instant(1))
+    assert in_force.is_held("a", 1, builders.instant(1))
 
 
-def test_held_server_finishes_its_work_and_gets_none():
-    """A server's version is changed under running requests.
+def test_held_server_finishes_its_requests_and_gets_none():
+    """A server's version changes during running requests, which fail or mix versions.
 
-    Symptom: requests fail, or are answered by two versions, at each update.
-    Sequence: a hold comes while requests run on the server and others arrive.
-    Cause: the hold waits for the next load report, or doesn't tell what runs.
+    This happens if a hold takes effect only with the next load report, or if its report
+    doesn't count the running requests.
     """
-    found = builders.opened(builders.server("a"), builders.server("b"))
+    fair_scheduler = builders.opened(builders.server("a"), builders.server("b"))
     now = builders.instant(1)
-    servers = {grant.server for grant in builders.fill(found, 8, now)}
+    servers = {grant.server for grant in builders.fill(fair_scheduler, 8, now)}
     assert servers == {"a", "b"}
-    found.hold_back("a", now)
-    told = found.report_hold(report("a"))
+    fair_scheduler.hold_back("a", now)
+    told = fair_scheduler.report_hold(report("a"))
     assert (told.is_held, told.running) == (True, 4)
-    running = [t for t in found.state.fleet.servers["a"].running]
+    running = [t for t in fair_scheduler.state.fleet.servers["a"].running]
     for ticket_id in running:
-        assert builders.granted(found.withdraw(ticket_id, now)) == []
-    assert builders.fill(found, 1, now) == []
-    assert found.report_hold(report("a")).running == 0
-    found.report("a", builders.load(), now)
-    assert not found.report_hold(report("a")).is_held
-    found.gather(builders.instant(9))
-    assert found.report_hold(report("a")).is_gathering
+        assert builders.granted(fair_scheduler.withdraw(ticket_id, now)) == []
+    assert builders.fill(fair_scheduler, 1, now) == []
+    assert fair_scheduler.report_hold(report("a")).running == 0
+    fair_scheduler.report("a", builders.load(), now)
+    assert not fair_scheduler.report_hold(report("a")).is_held
+    fair_scheduler.gather(builders.instant(9))
+    assert fair_scheduler.report_hold(report("a")).is_gathering
 
 
 def test_ticket_avoids_engines_that_lack_its_model():
-    """A request is answered by 404 from an engine that is still loading.
+    """A request gets a 404 from an engine that is still loading its model.
 
-    Symptom: requests fail after a model or an engine is added to a pool.
-    Sequence: the pool names the model; one engine has it, another doesn't yet.
-    Cause: the dispatcher takes all engines of a pool for alike.
+    After a model or an engine is added to a pool, some engines have the model and
+    others don't yet; the dispatcher mustn't treat them alike.
     """
     holdings = {
         "a": engine.Holding({"m": "1"}, {"x": "1"}, "both"),
--- a/src/tealcove/orders/tests/test_drains.py
+++ b/src/tealcove/orders/tests/test_drains.py
@@ -29,7 +29,7 @@
 def answer(found: drains.Drains, mesh: transport.NotingMesh, **changes: object) -> None:
     """Record both dispatchers' reports on the last hold, with changed fields."""
     hold = mesh.sent[-1].content
-    report = holds.answer(hold, is_held=hold.seconds > 0)
+    report = holds.new_report(hold, is_held=hold.seconds > 0)
     drain = found.by_server[A]
     for instance in found.dispatchers(drain, NOW):
         found.record_report(instance, msgspec.structs.replace(report, **changes), NOW)
@@ -74,7 +74,7 @@
     found.release(A, NOW)
     found.begin(test_plan.target(test_plan.A).servers[A], NOW)
     for instance in found.dispatchers(found.by_server[A], NOW):
-        found.record_report(instance, holds.answer(late, True), NOW)
+        found.record_report(instance, holds.new_report(late, True), NOW)
     assert not found.is_granted_nothing(A, NOW)
 
 
