--- a/src/tealcove/dispatch/backendview.py
+++ b/src/tealcove/dispatch/backendview.py
@@ -163,18 +163,18 @@
         """Return the weight of a new observation; the first replaces the guess."""
         return WEIGHT if self.observations else 1.0
 
-    def note_success(self) -> None:
+    def record_success(self) -> None:
         """Take a served request into the share of failures."""
         self.failures -= FAILURE_WEIGHT * self.failures
         self.failed_in_row = 0
         self.pause = FIRST_PAUSE
 
-    def note_failure(self) -> None:
+    def record_failure(self) -> None:
         """Take a failed request into the share of failures."""
         self.failures += FAILURE_WEIGHT * (1.0 - self.failures)
         self.failed_in_row += 1
 
-    def note_unreachable(self, now: ids.Instant) -> None:
+    def record_unreachable(self, now: ids.Instant) -> None:
         """Give it nothing for a while."""
         self.paused_until = ids.Instant(now + self.pause)
         self.pause = min(LONGEST_PAUSE, 2 * self.pause)
--- a/src/tealcove/dispatch/backendviews.py
+++ b/src/tealcove/dispatch/backendviews.py
@@ -143,9 +143,9 @@
             if server.runs[ticket_id].ticket.entry == entry:
                 self.release(ticket_id)
 
-    def release_untold(self, now: ids.Instant) -> None:
+    def release_stale(self, now: ids.Instant) -> None:
         """Take back the slots of which no entry tells any more."""
-        since = now - scheduler.UNTOLD_SECONDS
+        since = now - scheduler.REFRESH_TIMEOUT
         for ticket_id, server in list(self.where.items()):
             if server.runs[ticket_id].told < since:
                 log.info("slot of {} at {} is given up: untold", ticket_id, server.name)
--- a/src/tealcove/dispatch/cellstate.py
+++ b/src/tealcove/dispatch/cellstate.py
@@ -93,7 +93,7 @@
         self.queue.charge(ticket, running.charged)
         self.leave(waiting)
         self.fleet.start(server, running, now)
-        server.index.note_grant(ticket.prefix)
+        server.index.record_grant(ticket.prefix)
         return self.tell_grant(ticket, server)
 
     def tell_grant(
@@ -151,7 +151,7 @@
             told=now,
         )
         self.fleet.start(server, running, now)
-        server.index.note_grant(ticket.prefix)
+        server.index.record_grant(ticket.prefix)
 
     def end(
         self, ticket_id: ids.TicketId, now: ids.Instant, tokens: float = 0.0
--- a/src/tealcove/dispatch/exposure.py
+++ b/src/tealcove/dispatch/exposure.py
@@ -13,19 +13,19 @@
     """Knows which servers may get a request now, by their versions."""
 
     @abc.abstractmethod
-    def may_take(self, server: kinds.BackendServerSpec) -> bool:
+    def may_receive(self, server: kinds.BackendServerSpec) -> bool:
         """Tell whether a server may get one more request."""
 
     @abc.abstractmethod
-    def is_wanted(self, server: kinds.BackendServerSpec) -> bool:
+    def is_preferred(self, server: kinds.BackendServerSpec) -> bool:
         """Tell whether a server should rather get a request than others."""
 
     @abc.abstractmethod
-    def note_grant(self, server: kinds.BackendServerSpec) -> None:
+    def record_grant(self, server: kinds.BackendServerSpec) -> None:
         """Learn that a server gets a request."""
 
     @abc.abstractmethod
-    def note_end(
+    def record_end(
         self, server: kinds.BackendServerSpec, route: str, done: messages.Done
     ) -> None:
         """Learn how a request has ended at a server."""
@@ -34,18 +34,18 @@
 class AnyVersion(Exposure):
     """Lets every version have every request."""
 
-    def may_take(self, server: kinds.BackendServerSpec) -> bool:
+    def may_receive(self, server: kinds.BackendServerSpec) -> bool:
         """See Exposure."""
         return True
 
-    def is_wanted(self, server: kinds.BackendServerSpec) -> bool:
+    def is_preferred(self, server: kinds.BackendServerSpec) -> bool:
         """See Exposure."""
         return False
 
-    def note_grant(self, server: kinds.BackendServerSpec) -> None:
+    def record_grant(self, server: kinds.BackendServerSpec) -> None:
         """See Exposure."""
 
-    def note_end(
+    def record_end(
         self, server: kinds.BackendServerSpec, route: str, done: messages.Done
     ) -> None:
         """See Exposure."""
--- a/src/tealcove/dispatch/fair.py
+++ b/src/tealcove/dispatch/fair.py
@@ -46,7 +46,7 @@
         self.gather_until = ids.Instant(0.0)
         self.next_review = ids.Instant(0.0)
 
-    def suspect_by(self, suspicion: suspicion.Suspicion) -> None:
+    def use_suspicion(self, suspicion: suspicion.Suspicion) -> None:
         """See Scheduler."""
         self.state.suspicion = suspicion
 
@@ -263,7 +263,7 @@
                 is_orphan = True
             # Of a lost entry's requests nobody tells: they have the time above.
             is_untold = running.ends_by is None and (
-                now - running.told > scheduler.UNTOLD_SECONDS
+                now - running.told > scheduler.REFRESH_TIMEOUT
             )
             if is_orphan or is_untold:
                 self.state.end(ticket_id, now, running.charged)
@@ -271,7 +271,7 @@
     def drop_untold(self, now: ids.Instant) -> None:
         """Forget queued tickets whose withdrawal must have got lost."""
         for waiting in list(self.state.queue.tickets.values()):
-            if now - waiting.told > scheduler.UNTOLD_SECONDS:
+            if now - waiting.told > scheduler.REFRESH_TIMEOUT:
                 self.state.leave(waiting)
 
     def decide(
--- a/src/tealcove/dispatch/goal.py
+++ b/src/tealcove/dispatch/goal.py
@@ -60,11 +60,11 @@
         self.next_forecast = ids.Instant(0.0)
         self.next_forget = ids.Instant(0.0)
 
-    def suspect_by(self, suspicion: suspicion.Suspicion) -> None:
+    def use_suspicion(self, suspicion: suspicion.Suspicion) -> None:
         """See Scheduler."""
         self.suspicion = suspicion
 
-    def expose_by(self, exposed: exposure.Exposure) -> None:
+    def use_exposure(self, exposed: exposure.Exposure) -> None:
         """See Scheduler."""
         self.exposure = exposed
 
@@ -72,12 +72,12 @@
         """See Scheduler."""
         return self.views.servers.values()
 
-    def takers(self) -> list[backendview.BackendView]:
+    def eligible_servers(self) -> list[backendview.BackendView]:
         """Return the servers whose version may get a request now."""
         servers = self.views.servers.values()
-        return [server for server in servers if self.exposure.may_take(server.spec)]
+        return [server for server in servers if self.exposure.may_receive(server.spec)]
 
-    def free_of(
+    def with_free_slots(
         self, servers: Iterable[backendview.BackendView], now: ids.Instant
     ) -> list[backendview.BackendView]:
         """Return the servers that may get a request and have room for it.
@@ -87,7 +87,7 @@
         return [
             server
             for server in servers
-            if server.room(now) > 0 and self.exposure.may_take(server.spec)
+            if server.room(now) > 0 and self.exposure.may_receive(server.spec)
         ]
 
     def gather(self, until: ids.Instant) -> None:
@@ -116,7 +116,7 @@
         if server is not None:
             # The entry asks again: it didn't get the grant.
             server.runs[ticket.ticket_id].told = now
-            return [tell_grant(ticket, server, self.revision)]
+            return [grant_message(ticket, server, self.revision)]
         queued = messages.Queued(ticket_id=ticket.ticket_id)
         answer = scheduler.Outgoing(ticket.entry, queued)
         known = self.line.get(ticket.ticket_id)
@@ -144,8 +144,8 @@
         if earlier is not None:
             goal_at = earlier.goal_at
         elif ticket.waited < inflow.FRESH_SECONDS:
-            self.inflow.note(ticket.tier_rank, held, now)
-            self.shares.note_arrival(flow, held, now)
+            self.inflow.record(ticket.tier_rank, held, now)
+            self.shares.record_arrival(flow, held, now)
         return waitingline.Waiting(
             ticket=ticket,
             since=ids.Instant(now - ticket.waited),
@@ -184,26 +184,26 @@
         released = self.views.release(done.ticket_id)
         server = self.views.servers.get(done.server)
         if server is not None and server.spec.start == done.start:
-            self.note_outcome(server, done, now)
+            self.record_outcome(server, done, now)
         if released is not None:
             view, run = released
-            self.exposure.note_end(view.spec, run.ticket.route, done)
+            self.exposure.record_end(view.spec, run.ticket.route, done)
             if done.outcome is messages.Outcome.COMPLETED:
                 view.learn_end(run, done)
         return self.decide(now)
 
-    def note_outcome(
+    def record_outcome(
         self, server: backendview.BackendView, done: messages.Done, now: ids.Instant
     ) -> None:
         """Take in what the end of a request says of its server."""
         if done.outcome is messages.Outcome.COMPLETED:
-            server.note_success()
+            server.record_success()
             server.heard_at = now
         elif done.outcome is messages.Outcome.FAILED:
-            server.note_failure()
+            server.record_failure()
         elif done.outcome is not messages.Outcome.CANCELLED:
-            server.note_failure()
-            server.note_unreachable(now)
+            server.record_failure()
+            server.record_unreachable(now)
             log.info(
                 "no work for {} for {:.1f} s: {}",
                 server.name,
@@ -234,18 +234,18 @@
         if now < self.next_review:
             return []
         self.next_review = ids.Instant(now + REVIEW_INTERVAL)
-        self.give_up_untold(now)
+        self.expire_stale(now)
         if now >= self.next_forget:
             self.next_forget = ids.Instant(now + FORGET_INTERVAL)
             self.tries.forget(now)
         return self.decide(now)
 
-    def give_up_untold(self, now: ids.Instant) -> None:
+    def expire_stale(self, now: ids.Instant) -> None:
         """Forget tickets and slots of which no entry tells any more."""
-        since = now - scheduler.UNTOLD_SECONDS
+        since = now - scheduler.REFRESH_TIMEOUT
         for ticket_id in [i for i, w in self.line.items() if w.told < since]:
             del self.line[ticket_id]
-        self.views.release_untold(now)
+        self.views.release_stale(now)
 
     def decide(self, now: ids.Instant) -> list[scheduler.Outgoing]:
         """Grant free slots in order, and refuse what can't be in time."""
@@ -254,22 +254,23 @@
         outgoing = self.fill(now)
         if len(self.line) <= SHORT_LINE or now >= self.next_forecast:
             self.next_forecast = ids.Instant(now + FORECAST_INTERVAL)
-            outgoing.extend(self.give_up_hopeless(now))
+            outgoing.extend(self.refuse_too_late(now))
         return outgoing
 
     def ordered(self, now: ids.Instant) -> list[waitingline.Waiting]:
         """Return the line in order."""
-        standings = self.shares.standings()
+        levels = self.shares.service_levels()
         return sorted(
-            self.line.values(), key=lambda w: waitingline.place(w, standings, now)
+            self.line.values(),
+            key=lambda w: waitingline.sort_key(w, levels, now),
         )
 
-    def give_up_hopeless(self, now: ids.Instant) -> list[scheduler.Outgoing]:
+    def refuse_too_late(self, now: ids.Instant) -> list[scheduler.Outgoing]:
         """Refuse what would start too late."""
         line = self.ordered(now)
-        found = waitingline.forecast(line, self.takers(), self.inflow, now)
+        found = waitingline.forecast(line, self.eligible_servers(), self.inflow, now)
         outgoing = []
-        for waiting, seconds in found.hopeless:
+        for waiting, seconds in found.too_late:
             del self.line[waiting.ticket.ticket_id]
             reason = messages.RefusalReason.OVERLOAD
             outgoing.append(self.refusal(waiting.ticket, reason, seconds, now))
@@ -277,7 +278,7 @@
 
     def fill(self, now: ids.Instant) -> list[scheduler.Outgoing]:
         """Grant free slots to tickets in order."""
-        free = self.free_of(self.views.servers.values(), now)
+        free = self.with_free_slots(self.views.servers.values(), now)
         outgoing = []
         # The line is put in order only where somebody can leave it: after most events
         # under overload no slot is free.
@@ -289,7 +290,7 @@
             server = placing.choose(waiting, allowed, self.exposure, now)
             if server is not None:
                 outgoing.append(self.grant(waiting, server, now))
-                free = self.free_of(free, now)
+                free = self.with_free_slots(free, now)
         return outgoing
 
     def grant(
@@ -302,9 +303,9 @@
         ticket = waiting.ticket
         del self.line[ticket.ticket_id]
         run = self.views.start(ticket, server, now)
-        self.exposure.note_grant(server.spec)
+        self.exposure.record_grant(server.spec)
         if now + run.first <= waiting.goal_at:
-            self.shares.note_grant(waiting.flow, now)
+            self.shares.record_grant(waiting.flow, now)
         log.info(
             "granted {} after {:.3f} s: tier {} urgency {}, {} wait, {} of {} slots, "
             "first {:.3f}, goal in {:.3f}, pool of revision {}",
@@ -320,7 +321,7 @@
             self.revision,
             extra={"request": ticket.request_id},
         )
-        return tell_grant(ticket, server, self.revision)
+        return grant_message(ticket, server, self.revision)
 
     def refusal(
         self,
@@ -348,7 +349,7 @@
         return scheduler.Outgoing(ticket.entry, refusal)
 
 
-def tell_grant(
+def grant_message(
     ticket: messages.Ticket, server: backendview.BackendView, revision: ids.Revision
 ) -> scheduler.Outgoing:
     """Return the message that a ticket holds a slot."""
--- a/src/tealcove/dispatch/inflow.py
+++ b/src/tealcove/dispatch/inflow.py
@@ -21,19 +21,19 @@
         self.levels: dict[int, float] = collections.defaultdict(float)
         self.updated = ids.Instant(0.0)
 
-    def note(self, tier: int, seconds: float, now: ids.Instant) -> None:
+    def record(self, tier: int, seconds: float, now: ids.Instant) -> None:
         """Take in a request that holds a slot for some seconds."""
-        self.fade(now)
+        self.decay(now)
         self.levels[tier] += seconds / WINDOW_SECONDS
 
-    def fade(self, now: ids.Instant) -> None:
+    def decay(self, now: ids.Instant) -> None:
         """Let what came earlier count for less."""
         part = math.exp(-max(0.0, now - self.updated) / WINDOW_SECONDS)
         self.updated = now
         for tier in self.levels:
             self.levels[tier] *= part
 
-    def before(self, tier: int, now: ids.Instant) -> float:
+    def load_above(self, tier: int, now: ids.Instant) -> float:
         """Return the slots that arrivals of better tiers keep busy."""
-        self.fade(now)
+        self.decay(now)
         return sum(level for other, level in self.levels.items() if other < tier)
--- a/src/tealcove/dispatch/placing.py
+++ b/src/tealcove/dispatch/placing.py
@@ -42,7 +42,7 @@
         cost *= 1.0 + FAILURE_COST * server.failures
         if ticket.data_centre not in ("", server.spec.data_centre):
             cost += FAR_SECONDS
-        if exposed.is_wanted(server.spec) and now + first <= waiting.goal_at:
+        if exposed.is_preferred(server.spec) and now + first <= waiting.goal_at:
             cost -= WANTED_SECONDS
         if cost < best_cost:
             best, best_cost, best_first = server, cost, first
--- a/src/tealcove/dispatch/prefixindex.py
+++ b/src/tealcove/dispatch/prefixindex.py
@@ -49,7 +49,7 @@
         certain = self.blocks[prefix[low - 1]] == self.gaps
         return float(low) if certain else low * UNCERTAIN_WEIGHT
 
-    def note_grant(self, prefix: tuple[int, ...]) -> None:
+    def record_grant(self, prefix: tuple[int, ...]) -> None:
         """Take in the blocks of a prompt that the server is about to compute."""
         fitting = prefix[: self.capacity]
         for block in reversed(fitting):
--- a/src/tealcove/dispatch/role.py
+++ b/src/tealcove/dispatch/role.py
@@ -177,8 +177,8 @@
         held = heldcell.HeldCell(
             cell, self.new_scheduler(), self.reader, self.poll_interval, self.send
         )
-        held.decider.suspect_by(self.suspicion)
-        held.decider.expose_by(self.exposures.of_pool(cell.pool))
+        held.decider.use_suspicion(self.suspicion)
+        held.decider.use_exposure(self.exposures.of_pool(cell.pool))
         self.held[ticket.cell] = held
         self.has_cells.set()
         if self.may_be_served_elsewhere(ticket, now):
--- a/src/tealcove/dispatch/scheduler.py
+++ b/src/tealcove/dispatch/scheduler.py
@@ -22,7 +22,7 @@
 # tell of all their tickets every requester.REFRESH_INTERVAL, so that three such
 # messages are missing. Kept for 8 s, the slots of untold requests cost a successor
 # a third of its work after a takeover.
-UNTOLD_SECONDS = 3.5
+REFRESH_TIMEOUT = 3.5
 
 
 class Outgoing(msgspec.Struct, frozen=True):
@@ -39,14 +39,14 @@
     the entries are to be told.
     """
 
-    def suspect_by(self, suspicion: suspicion.Suspicion) -> None:
+    def use_suspicion(self, suspicion: suspicion.Suspicion) -> None:
         """Ask this from now on which requests may crash their server.
 
         A scheduler that takes no care of these keeps this empty default.
         """
         return
 
-    def expose_by(self, exposed: exposure.Exposure) -> None:
+    def use_exposure(self, exposed: exposure.Exposure) -> None:
         """Ask this from now on which versions of servers may get a request.
 
         A scheduler that knows no versions keeps this empty default.
--- a/src/tealcove/dispatch/shares.py
+++ b/src/tealcove/dispatch/shares.py
@@ -18,11 +18,11 @@
 # By how much more a kind's part may be than that of the next less urgent one: the more
 # urgent one is to be served at least as well although both are measured with an error
 # of some hundredths.
-URGENCY_LEAD = 0.05
+URGENCY_OFFSET = 0.05
 # A kind that holds a slot for as long as more urgent ones do gives so much of its part
 # up to them; one that holds it for a tenth of the time, a tenth of that. Less costs the
 # urgent kinds more than the others gain; at 1, the others earn next to nothing.
-GIVEN_UP = 0.8
+YIELDED_SHARE = 0.8
 # Requests are short up to the first many times their kind's mean slot time, long beyond
 # the second, and their parts are kept at these ratios: outputs are log-normal, and the
 # longest tenth takes nearly half of what a kind costs. A long request still has half
@@ -30,7 +30,7 @@
 # same are of one length.
 BANDS = ((1.25, 1.0), (3.0, 0.75), (math.inf, 0.5))
 # With fewer arrivals lately a part says nothing.
-LEAST_ARRIVALS = 1.0
+MIN_ARRIVALS = 1.0
 
 
 class Kind(msgspec.Struct, frozen=True, order=True):
@@ -59,7 +59,7 @@
     work: float = 0.0
     updated: ids.Instant = ids.Instant(0.0)
 
-    def fade(self, now: ids.Instant) -> None:
+    def decay(self, now: ids.Instant) -> None:
         """Let what came earlier count for less."""
         part = math.exp(-max(0.0, now - self.updated) / WINDOW_SECONDS)
         self.updated = now
@@ -67,20 +67,20 @@
         self.granted *= part
         self.work *= part
 
-    def note_arrival(self, seconds: float, now: ids.Instant) -> None:
+    def record_arrival(self, seconds: float, now: ids.Instant) -> None:
         """Take in a request that holds a slot for some seconds."""
-        self.fade(now)
+        self.decay(now)
         self.arrived += 1.0
         self.work += seconds
 
-    def note_grant(self, now: ids.Instant) -> None:
+    def record_grant(self, now: ids.Instant) -> None:
         """Take in a grant by which the goal can be met."""
-        self.fade(now)
+        self.decay(now)
         self.granted += 1.0
 
-    def part(self) -> float:
+    def served_ratio(self) -> float:
         """Return the part that is served within its goal."""
-        if self.arrived < LEAST_ARRIVALS:
+        if self.arrived < MIN_ARRIVALS:
             return 1.0
         return self.granted / self.arrived
 
@@ -107,51 +107,52 @@
             kind, next(n for n, b in enumerate(BANDS) if seconds <= b[0] * mean)
         )
 
-    def note_arrival(self, flow: Flow, seconds: float, now: ids.Instant) -> None:
+    def record_arrival(self, flow: Flow, seconds: float, now: ids.Instant) -> None:
         """Take in a request that holds a slot for some seconds."""
-        self.flows.setdefault(flow, Share()).note_arrival(seconds, now)
-        self.kinds.setdefault(flow.kind, Share()).note_arrival(seconds, now)
+        self.flows.setdefault(flow, Share()).record_arrival(seconds, now)
+        self.kinds.setdefault(flow.kind, Share()).record_arrival(seconds, now)
 
-    def note_grant(self, flow: Flow, now: ids.Instant) -> None:
+    def record_grant(self, flow: Flow, now: ids.Instant) -> None:
         """Take in a grant by which the goal can be met."""
-        self.flows.setdefault(flow, Share()).note_grant(now)
+        self.flows.setdefault(flow, Share()).record_grant(now)
 
-    def standings(self) -> dict[Flow, float]:
+    def service_levels(self) -> dict[Flow, float]:
         """Return for each flow how well it's served; the least goes first.
 
         Under overload all flows of a tier come to the same standing, that is, to the
         parts that are due to them.
         """
-        handicaps = self.handicaps()
+        found = self.adjustments()
         return {
-            flow: share.part() / (handicaps[flow.kind].due * BANDS[flow.band][1])
-            + handicaps[flow.kind].lead
+            flow: share.served_ratio()
+            / (found[flow.kind].entitlement * BANDS[flow.band][1])
+            + found[flow.kind].offset
             for flow, share in self.flows.items()
-            if flow.kind in handicaps
+            if flow.kind in found
         }
 
-    def handicaps(self) -> dict[Kind, Handicap]:
+    def adjustments(self) -> dict[Kind, Adjustment]:
         """Return how far each kind gives way to the more urgent ones of its tier."""
-        found: dict[Kind, Handicap] = {}
+        found: dict[Kind, Adjustment] = {}
         for _, kinds in itertools.groupby(sorted(self.kinds), lambda kind: kind.tier):
-            due, lead = 1.0, 0.0
+            entitlement, offset = 1.0, 0.0
             urgent = Share()
             for kind in kinds:
                 share = self.kinds[kind]
                 if urgent.work:
                     times = share.slot_seconds() / urgent.slot_seconds()
-                    due *= 1.0 - GIVEN_UP * min(1.0, times)
-                    lead += URGENCY_LEAD
-                found[kind] = Handicap(due, lead)
+                    entitlement *= 1.0 - YIELDED_SHARE * min(1.0, times)
+                    offset += URGENCY_OFFSET
+                found[kind] = Adjustment(entitlement, offset)
                 urgent.arrived += share.arrived
                 urgent.work += share.work
         return found
 
 
-class Handicap(msgspec.Struct, frozen=True):
+class Adjustment(msgspec.Struct, frozen=True):
     """How far a kind gives way to more urgent ones."""
 
     # The part that is due to it, against that of the tier's most urgent kind.
-    due: float
+    entitlement: float
     # What is added to its standing.
-    lead: float
+    offset: float
--- a/src/tealcove/dispatch/tests/test_choice.py
+++ b/src/tealcove/dispatch/tests/test_choice.py
@@ -85,7 +85,7 @@
 
 def test_a_long_prompt_that_is_cached_is_short_work() -> None:
     found = open_servers(1.0, slots=4)
-    found.state.fleet.servers["s0"].index.note_grant(PREFIX)
+    found.state.fleet.servers["s0"].index.record_grant(PREFIX)
     cached = {"prompt_tokens": 32 * 64, "output_tokens": 100, "prefix": PREFIX}
     assert len(builders.fill(found, 4, NOW, **cached)) == 4
 
--- a/src/tealcove/dispatch/tests/test_goal.py
+++ b/src/tealcove/dispatch/tests/test_goal.py
@@ -206,7 +206,7 @@
     assert granted_names(outgoing) == []
     for second in (1, 2, 3):
         found.enqueue(waiting, builders.instant(second))
-    freed = found.tick(builders.instant(scheduler.UNTOLD_SECONDS + 0.1))
+    freed = found.tick(builders.instant(scheduler.REFRESH_TIMEOUT + 0.1))
     assert granted_names(freed) == ["s0"]
 
 
@@ -261,9 +261,9 @@
     found = opened(slots=4)
     for _ in range(40):
         enqueue(found, waited=0.5, remaining=60.0)
-    assert found.inflow.before(2, builders.instant(0)) == 0.0
+    assert found.inflow.load_above(2, builders.instant(0)) == 0.0
     enqueue(found, remaining=60.0)
-    assert found.inflow.before(2, builders.instant(0)) > 0.0
+    assert found.inflow.load_above(2, builders.instant(0)) > 0.0
 
 
 def test_without_any_server_a_ticket_waits_until_its_time_is_over():
--- a/src/tealcove/dispatch/tests/test_prefixindex.py
+++ b/src/tealcove/dispatch/tests/test_prefixindex.py
@@ -15,7 +15,7 @@
 
 def test_grants_count_at_once_and_events_late() -> None:
     index = prefixindex.PrefixIndex()
-    index.note_grant((1, 2, 3))
+    index.record_grant((1, 2, 3))
     assert index.match((1, 2, 3, 4)) == 3
     index.take_events(event(1, "removed", 3))
     index.take_events(event(2, "stored", 7))
@@ -35,7 +35,7 @@
     index.take_events(event(3, "stored", 8, 9))
     assert index.match((1, 2)) == 2 * prefixindex.UNCERTAIN_WEIGHT
     assert index.match((8, 9)) == 2
-    index.note_grant((1, 2))
+    index.record_grant((1, 2))
     assert index.match((1, 2)) == 2
 
 
@@ -59,7 +59,7 @@
     index = prefixindex.PrefixIndex()
     index.set_capacity(capacity)
     for number, blocks in enumerate(prompts):
-        index.note_grant(tuple(blocks))
+        index.record_grant(tuple(blocks))
         assert index.match(tuple(blocks)) == min(len(blocks), capacity)
         index.take_events(event(number + 1, "stored", *blocks))
         assert len(index.blocks) <= capacity
--- a/src/tealcove/dispatch/tests/test_shares.py
+++ b/src/tealcove/dispatch/tests/test_shares.py
@@ -17,34 +17,34 @@
     """Let requests of a kind arrive; return the flow of the last one."""
     for _ in range(times):
         flow = found.flow(tier, urgency, seconds)
-        found.note_arrival(flow, seconds, builders.instant(0))
+        found.record_arrival(flow, seconds, builders.instant(0))
     return flow
 
 
 def grant(found: shares.Shares, flow: shares.Flow, times: int) -> None:
     for _ in range(times):
-        found.note_grant(flow, builders.instant(0))
+        found.record_grant(flow, builders.instant(0))
 
 
 def test_a_kind_that_takes_little_gives_little_up():
     found = shares.Shares()
     urgent = arrive(found, 0, LONG)
     costly = arrive(found, 1, LONG)
-    handicaps = found.handicaps()
-    assert handicaps[urgent.kind] == shares.Handicap(1.0, 0.0)
-    assert handicaps[costly.kind].due == pytest.approx(1.0 - shares.GIVEN_UP)
+    due = found.adjustments()
+    assert due[urgent.kind] == shares.Adjustment(1.0, 0.0)
+    assert due[costly.kind].entitlement == pytest.approx(1.0 - shares.YIELDED_SHARE)
     other = shares.Shares()
     arrive(other, 0, LONG)
     cheap = arrive(other, 1, SHORT)
-    assert other.handicaps()[cheap.kind].due == pytest.approx(
-        1.0 - shares.GIVEN_UP * SHORT / LONG
+    assert other.adjustments()[cheap.kind].entitlement == pytest.approx(
+        1.0 - shares.YIELDED_SHARE * SHORT / LONG
     )
 
 
 def test_no_kind_is_due_more_than_a_more_urgent_one():
     found = shares.Shares()
     flows = [arrive(found, u, s) for u, s in ((0, LONG), (1, LONG), (2, SHORT))]
-    dues = [found.handicaps()[flow.kind].due for flow in flows]
+    dues = [found.adjustments()[flow.kind].entitlement for flow in flows]
     assert dues == sorted(dues, reverse=True)
     assert dues[2] > 0.9 * dues[1]
 
@@ -53,7 +53,7 @@
     found = shares.Shares()
     arrive(found, 0, LONG, tier=0)
     lower = arrive(found, 0, LONG, tier=1)
-    assert found.handicaps()[lower.kind].due == 1.0
+    assert found.adjustments()[lower.kind].entitlement == 1.0
 
 
 def test_the_kind_that_lacks_most_of_its_due_part_goes_first():
@@ -62,11 +62,11 @@
     cheap = arrive(found, 1, SHORT)
     grant(found, urgent, 5)
     grant(found, cheap, 2)
-    standings = found.standings()
-    assert standings[cheap] < standings[urgent]
+    levels = found.service_levels()
+    assert levels[cheap] < levels[urgent]
     grant(found, cheap, 3)
-    standings = found.standings()
-    assert standings[urgent] < standings[cheap]
+    levels = found.service_levels()
+    assert levels[urgent] < levels[cheap]
 
 
 def test_long_requests_of_a_kind_are_due_half():
@@ -76,15 +76,15 @@
     assert (usual.band, longest.band) == (0, 2)
     grant(found, usual, 30)
     grant(found, longest, 1)
-    standings = found.standings()
-    assert standings[longest] == pytest.approx(2.0 * standings[usual])
+    levels = found.service_levels()
+    assert levels[longest] == pytest.approx(2.0 * levels[usual])
 
 
 def test_a_kind_of_which_nothing_is_known_counts_as_served():
     found = shares.Shares()
     flow = found.flow(1, 0, 3.0)
     assert flow.band == 0
-    assert found.standings() == {}
+    assert found.service_levels() == {}
     arrive(found, 0, 0.0, times=2)
     assert found.flow(1, 0, 3.0).band == 0
 
@@ -93,6 +93,6 @@
     found = shares.Shares()
     flow = arrive(found, 0, LONG, times=20)
     later = builders.instant(5 * shares.WINDOW_SECONDS)
-    found.note_arrival(flow, LONG, later)
-    found.note_grant(flow, later)
-    assert found.flows[flow].part() > 0.8
+    found.record_arrival(flow, LONG, later)
+    found.record_grant(flow, later)
+    assert found.flows[flow].served_ratio() > 0.8
--- a/src/tealcove/dispatch/tests/test_slots.py
+++ b/src/tealcove/dispatch/tests/test_slots.py
@@ -170,7 +170,7 @@
     """A cell works with fewer and fewer slots. Cause: ends that got lost."""
     found = open_one(slots=1)
     builders.fill(found, 2, NOW, remaining=60.0)
-    found.tick(builders.instant(2 + scheduler.UNTOLD_SECONDS))
+    found.tick(builders.instant(2 + scheduler.REFRESH_TIMEOUT))
     assert len(found.state.queue) == 0
     assert found.state.fleet.servers["s0"].free() == 1
 
--- a/src/tealcove/dispatch/waitingline.py
+++ b/src/tealcove/dispatch/waitingline.py
@@ -25,7 +25,7 @@
 MARGIN = 0.08
 # The most that requests still to come may take of the slots in a forecast: what is
 # learnt of speeds and arrivals is never so exact that nothing at all is left.
-MOST_TAKEN = 0.9
+MAX_ARRIVAL_SHARE = 0.9
 
 
 class Waiting(msgspec.Struct):
@@ -51,13 +51,13 @@
         return now + self.best_first > self.goal_at
 
 
-class Place(msgspec.Struct, frozen=True, order=True):
+class SortKey(msgspec.Struct, frozen=True, order=True):
     """A ticket's place in the line; compared field by field."""
 
     tier: int
     is_late: bool
     # In reach: how well its flow is served. Late: what serving it costs.
-    standing: float
+    score: float
     # When it must start, or hopes for its first event.
     at: float
 
@@ -66,12 +66,12 @@
     """What becomes of the line if the slots are freed as predicted."""
 
     # Tickets that would start too late, in order, and in how many seconds.
-    hopeless: tuple[tuple[Waiting, float], ...]
+    too_late: tuple[tuple[Waiting, float], ...]
 
 
-def place(
-    waiting: Waiting, standings: Mapping[shares.Flow, float], now: ids.Instant
-) -> Place:
+def sort_key(
+    waiting: Waiting, levels: Mapping[shares.Flow, float], now: ids.Instant
+) -> SortKey:
     """Return a ticket's place.
 
     Late tickets go behind those of their tier that can still be in time: under
@@ -81,8 +81,8 @@
     flow = waiting.flow
     if waiting.is_late(now):
         cost = waiting.slot_seconds * (1 + flow.kind.urgency)
-        return Place(flow.kind.tier, True, cost, waiting.start_by)
-    return Place(flow.kind.tier, False, standings.get(flow, 0.0), waiting.goal_at)
+        return SortKey(flow.kind.tier, True, cost, waiting.start_by)
+    return SortKey(flow.kind.tier, False, levels.get(flow, 0.0), waiting.goal_at)
 
 
 def forecast(
@@ -98,34 +98,36 @@
     Were they left out, a ticket would seem to start soon until the very end, and its
     caller would wait through the whole deadline in vain.
     """
-    slots = free_at(servers, now)
+    slots = slot_release_times(servers, now)
     if not slots:
         overdue = [(waiting, 0.0) for waiting in line if now > waiting.start_by]
         return Forecast(tuple(overdue))
     heapq.heapify(slots)
     count = len(slots)
-    hopeless = []
+    too_late = []
     for waiting in line:
         at, name, server = slots[0]
         tier = waiting.flow.kind.tier
         free_in = max(0.0, at - now)
-        seconds = free_in / left_by(tier, arriving, count, now)
+        seconds = free_in / remaining_share(tier, arriving, count, now)
         if now + seconds + waiting.best_first > waiting.goal_at:
-            seconds = free_in / left_by(tier + 1, arriving, count, now)
+            seconds = free_in / remaining_share(tier + 1, arriving, count, now)
         if now + seconds > waiting.start_by:
-            hopeless.append((waiting, seconds))
+            too_late.append((waiting, seconds))
             continue
         length = server.total_seconds(waiting.ticket, 0.0)
         heapq.heapreplace(slots, (max(at, now) + length, name, server))
-    return Forecast(tuple(hopeless))
+    return Forecast(tuple(too_late))
 
 
-def left_by(tier: int, arriving: inflow.Inflow, slots: int, now: ids.Instant) -> float:
+def remaining_share(
+    tier: int, arriving: inflow.Inflow, slots: int, now: ids.Instant
+) -> float:
     """Return the part of the slots that arrivals of better tiers leave."""
-    return 1.0 - min(MOST_TAKEN, arriving.before(tier, now) / slots)
+    return 1.0 - min(MAX_ARRIVAL_SHARE, arriving.load_above(tier, now) / slots)
 
 
-def free_at(
+def slot_release_times(
     servers: Iterable[backendview.BackendView], now: ids.Instant
 ) -> list[tuple[float, int, backendview.BackendView]]:
     """Return when each slot is predicted to be free, with a number to tell apart."""
--- a/src/tealcove/quarantine/tests/test_sharing.py
+++ b/src/tealcove/quarantine/tests/test_sharing.py
@@ -102,7 +102,7 @@
     """Return a cell of one full server, with a quarantine."""
     found, _ = new_quarantine("one")
     scheduler = fair.FairScheduler()
-    scheduler.suspect_by(found)
+    scheduler.use_suspicion(found)
     server = dispatch_builders.server("s1", slots=1)
     scheduler.configure(dispatch_builders.cell(server, short_share=0.0), EARLY)
     scheduler.report(server.name, dispatch_builders.load(), EARLY)
--- a/src/tealcove/rollout/keeper.py
+++ b/src/tealcove/rollout/keeper.py
@@ -180,23 +180,23 @@
         kept = self.keeper.kept.get(self.service)
         return None if kept is None else kept.rollout
 
-    def may_take(self, server: kinds.BackendServerSpec) -> bool:
+    def may_receive(self, server: kinds.BackendServerSpec) -> bool:
         """See Exposure."""
         found = self.rollout()
-        return found is None or found.may_take(server)
+        return found is None or found.may_receive(server)
 
-    def is_wanted(self, server: kinds.BackendServerSpec) -> bool:
+    def is_preferred(self, server: kinds.BackendServerSpec) -> bool:
         """See Exposure."""
         found = self.rollout()
-        return found is not None and found.is_wanted(server)
+        return found is not None and found.is_preferred(server)
 
-    def note_grant(self, server: kinds.BackendServerSpec) -> None:
+    def record_grant(self, server: kinds.BackendServerSpec) -> None:
         """See Exposure."""
         found = self.rollout()
         if found is not None:
-            found.note_grant(server)
+            found.record_grant(server)
 
-    def note_end(
+    def record_end(
         self, server: kinds.BackendServerSpec, route: str, done: messages.Done
     ) -> None:
         """See Exposure."""
@@ -204,7 +204,7 @@
         if kept is None:
             return
         if kept.rollout is not None:
-            kept.rollout.note_end(server, route, done)
+            kept.rollout.record_end(server, route, done)
         elif done.outcome is not messages.Outcome.CANCELLED:
             has_failed = done.outcome is not messages.Outcome.COMPLETED
             kept.evidence.note_old(route, has_failed)
--- a/src/tealcove/rollout/progress.py
+++ b/src/tealcove/rollout/progress.py
@@ -85,7 +85,7 @@
         """Tell whether a server is of the new version."""
         return server.version == self.order.to
 
-    def may_take(self, server: kinds.BackendServerSpec) -> bool:
+    def may_receive(self, server: kinds.BackendServerSpec) -> bool:
         """See Exposure."""
         is_new = self.is_new(server)
         if self.state is order.State.ROLLED_BACK:
@@ -95,7 +95,7 @@
         # The old ones serve on if the new ones are lost.
         return server.version not in self.replaced or not self.has_new
 
-    def is_wanted(self, server: kinds.BackendServerSpec) -> bool:
+    def is_preferred(self, server: kinds.BackendServerSpec) -> bool:
         """See Exposure."""
         if self.stage is not Stage.TRIAL or not self.may_try(server):
             return False
@@ -107,14 +107,14 @@
         most = TRIAL_FREE + TRIAL_PART * self.granted
         return server.name in self.chosen and self.tried < most
 
-    def note_grant(self, server: kinds.BackendServerSpec) -> None:
+    def record_grant(self, server: kinds.BackendServerSpec) -> None:
         """See Exposure."""
         self.granted += 1
         if self.is_new(server):
             self.tried += 1
             self.tries[server.name] += 1
 
-    def note_end(
+    def record_end(
         self, server: kinds.BackendServerSpec, route: str, done: messages.Done
     ) -> None:
         """See Exposure."""
--- a/src/tealcove/rollout/tests/builders.py
+++ b/src/tealcove/rollout/tests/builders.py
@@ -72,11 +72,11 @@
         """Let one request arrive and end."""
         self.arrived += 1
         servers = [
-            one for one in (*self.old, *self.new) if self.rollout.may_take(one.spec)
+            one for one in (*self.old, *self.new) if self.rollout.may_receive(one.spec)
         ]
-        wanted = [one for one in servers if self.rollout.is_wanted(one.spec)]
+        wanted = [one for one in servers if self.rollout.is_preferred(one.spec)]
         server = self.source.choice(wanted or servers)
-        self.rollout.note_grant(server.spec)
+        self.rollout.record_grant(server.spec)
         is_new = server.spec.version == NEW
         self.exposed += is_new
         route = self.source.choice(ROUTES)
@@ -84,7 +84,7 @@
         if is_new:
             part = 1.0 - (1.0 - part) * (1.0 - self.bad.get(route, 0.0))
         has_failed = self.source.random() < part
-        self.rollout.note_end(server.spec, route, done(server.name, has_failed))
+        self.rollout.record_end(server.spec, route, done(server.name, has_failed))
         self.learn(server, is_new)
 
     def learn(self, server: backendview.BackendView, is_new: bool) -> None:
--- a/src/tealcove/rollout/tests/test_keeper.py
+++ b/src/tealcove/rollout/tests/test_keeper.py
@@ -26,7 +26,7 @@
 
     def takes_new(self) -> int:
         """Return how many of the new servers may get a request."""
-        return sum(self.exposure.may_take(one.spec) for one in self.new)
+        return sum(self.exposure.may_receive(one.spec) for one in self.new)
 
 
 @pytest.fixture
@@ -73,7 +73,7 @@
     """Let the new version's answers fail."""
     for server in one.new * 3:
         done = builders.done(server.name, has_failed=True)
-        one.exposure.note_end(server.spec, "a", done)
+        one.exposure.record_end(server.spec, "a", done)
 
 
 def test_whoever_takes_over_goes_on_from_what_stands_in_the_store(play) -> None:
--- a/src/tealcove/rollout/tests/test_progress.py
+++ b/src/tealcove/rollout/tests/test_progress.py
@@ -82,7 +82,7 @@
     traffic.old[0].start(ticket, builders.instant(0))
     assert traffic.run(seconds=2 * builders.PERIOD) is order.State.RUNNING
     assert traffic.rollout.stage is progress.Stage.MOVING
-    assert not any(traffic.rollout.may_take(one.spec) for one in traffic.old)
+    assert not any(traffic.rollout.may_receive(one.spec) for one in traffic.old)
     del traffic.old[0].runs[ticket.ticket_id]
     views = [*traffic.old, *traffic.new]
     traffic.rollout.review(views, builders.instant(30))
@@ -93,9 +93,9 @@
     traffic = begun(1)
     traffic.rollout.review([*traffic.old, *traffic.new], builders.instant(8))
     assert traffic.rollout.stage is progress.Stage.MOVING
-    assert not any(traffic.rollout.may_take(one.spec) for one in traffic.old)
+    assert not any(traffic.rollout.may_receive(one.spec) for one in traffic.old)
     traffic.rollout.review(traffic.old, builders.instant(8.2))
-    assert all(traffic.rollout.may_take(one.spec) for one in traffic.old)
+    assert all(traffic.rollout.may_receive(one.spec) for one in traffic.old)
 
 
 def test_a_later_version_is_none_of_its_matter() -> None:
@@ -109,7 +109,7 @@
     assert traffic.run() is order.State.DONE
     later = builders.view("x", "v3")
     traffic.rollout.review([*traffic.new, later], builders.instant(60))
-    assert traffic.rollout.may_take(later.spec)
+    assert traffic.rollout.may_receive(later.spec)
 
 
 def test_a_later_version_is_none_of_a_successors_matter_either() -> None:
@@ -124,20 +124,20 @@
     found = progress.Rollout(builders.ordered(), builders.instant(0), done, known)
     later = builders.view("x", "v3")
     assert found.review([*traffic.new, later], builders.instant(60)) is done
-    assert found.may_take(later.spec)
+    assert found.may_receive(later.spec)
 
 
 def test_a_version_on_trial_gets_its_requests_at_few_servers() -> None:
     traffic = begun(1)
     traffic.rollout.review([*traffic.old, *traffic.new], builders.instant(0))
-    taking = [one for one in traffic.new if traffic.rollout.may_take(one.spec)]
+    taking = [one for one in traffic.new if traffic.rollout.may_receive(one.spec)]
     assert len(taking) == progress.TRIAL_SERVERS
     leaving = dispatching.server(
         taking[0].name, version=builders.NEW, state=kinds.ServerState.LEAVING
     )
     taking[0].spec = leaving
     traffic.rollout.review([*traffic.old, *traffic.new], builders.instant(1))
-    assert not traffic.rollout.may_take(leaving)
+    assert not traffic.rollout.may_receive(leaving)
 
 
 def test_milliseconds_say_nothing_of_a_version() -> None:
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -88,7 +88,7 @@
     )
     many = mix.Mix("many", kinds, mix.engines(fast=20, slow=10))
     decides = goal.GoalScheduler()
-    looked = counted(decides, "give_up_hopeless")
+    looked = counted(decides, "refuse_too_late")
     outcome = play.Play(many, mix.draw(many, 2.2, 2.0, 1), decides).run()
     # 2.1 for each request when each event looked, .5 now.
     assert looked() < len(outcome.callers)
