--- a/src/tealcove/dispatch/backendview.py
+++ b/src/tealcove/dispatch/backendview.py
@@ -10,23 +10,23 @@
 
 # What is taken for a server's speed until the first completions tell: those of a
 # fast engine, since a guess that is too slow would refuse work it could serve.
-FIRST_TOKEN_SECONDS = 0.006
-FIRST_CALL_SECONDS = 0.08
+INITIAL_TOKEN_SECONDS = 0.006
+INITIAL_CALL_SECONDS = 0.08
 # A server of which nothing is known may be so many times slower than that. Entries that
 # take the guess for a prediction send requests anew which are only being read, after
 # all instances have ended at once.
 GUESS_MARGIN = 4.0
 # The weight of a new observation: two of them count for more than all before, so
 # that a server that has slowed down is known after two completions.
-WEIGHT = 0.4
+OBSERVATION_WEIGHT = 0.4
 # Outputs below this tell nothing of the time that a token takes.
-LEAST_OUTPUT_TOKENS = 8
+MIN_OUTPUT_TOKENS = 8
 # Weight of one more failure or success in a server's share of failures.
 FAILURE_WEIGHT = 0.15
 # Seconds for which a server gets nothing after it couldn't be reached; doubled up
 # to the longest while that goes on. Its entry is dropped after some seconds anyway.
-FIRST_PAUSE = 0.3
-LONGEST_PAUSE = 2.0
+MIN_PAUSE = 0.3
+MAX_PAUSE = 2.0
 # A run is overdue beyond its prediction times this, plus the grace in seconds.
 OVERDUE_FACTOR = 3.0
 OVERDUE_GRACE = 0.4
@@ -40,9 +40,9 @@
     ticket: messages.Ticket
     started: ids.Instant
     # When its entry last told of it.
-    told: ids.Instant
+    refreshed_at: ids.Instant
     # What is to be read before its first token, prompts of others included; see
-    # prefill.Square.
+    # prefill.QuadraticCost.
     work: float = 0.0
     # Predicted seconds to the first token and to the end.
     first: float = 0.0
@@ -60,55 +60,57 @@
 class BackendView:
     """What is known of one backend server."""
 
-    def __init__(self, spec: kinds.BackendServerSpec, square: prefill.Square) -> None:
+    def __init__(
+        self, spec: kinds.BackendServerSpec, quadratic: prefill.QuadraticCost
+    ) -> None:
         self.name = ids.BackendServerId(spec.name)
         self.spec = spec
         self.runs: dict[ids.TicketId, Run] = {}
-        self.prefill = prefill.Prefill(square)
+        self.prefill = prefill.Prefill(quadratic)
         # Seconds for each output token, and for a call.
-        self.token_seconds = FIRST_TOKEN_SECONDS
-        self.call_seconds = FIRST_CALL_SECONDS
+        self.token_seconds = INITIAL_TOKEN_SECONDS
+        self.call_seconds = INITIAL_CALL_SECONDS
         self.observations = 0
         # Share of its requests that fail, lately.
         self.failures = 0.0
         self.failed_in_row = 0
         self.paused_until = ids.Instant(0.0)
         # When a run last showed a first token or its end.
-        self.heard_at = ids.Instant(0.0)
-        self.pause = FIRST_PAUSE
+        self.last_activity = ids.Instant(0.0)
+        self.pause = MIN_PAUSE
 
-    def told_first_seconds(self, run: Run) -> float:
+    def announced_first_seconds(self, run: Run) -> float:
         """Return by when an entry may expect a run's first event, in seconds."""
-        return run.first if self.is_known() else GUESS_MARGIN * run.first
+        return run.first if self.is_measured() else GUESS_MARGIN * run.first
 
-    def is_known(self) -> bool:
+    def is_measured(self) -> bool:
         """Tell whether its speed was observed, and not only that of others."""
         return self.observations > 0 or self.prefill.works > 0.0
 
-    def room(self, now: ids.Instant) -> int:
+    def free_slots(self, now: ids.Instant) -> int:
         """Return how many more requests it may get now."""
         if self.spec.state is not kinds.ServerState.SERVING or now < self.paused_until:
             return 0
         slots = 1 if self.failed_in_row >= FAILURES_TO_PROBE else self.spec.slots
-        room = slots - len(self.runs)
+        free = slots - len(self.runs)
         # Most servers are full when it's asked most often.
-        return 0 if room > 0 and self.is_silent(now) else room
+        return 0 if free > 0 and self.is_stalled(now) else free
 
-    def is_silent(self, now: ids.Instant) -> bool:
+    def is_stalled(self, now: ids.Instant) -> bool:
         """Tell whether it hangs: a run is overdue, and no other shows anything.
 
         A server may lose single answers and serve all else well. Were it left alone
         for one overdue run, most servers would stand idle while some lose answers.
         """
         return any(
-            run.is_overdue(now) and self.heard_at <= run.started
+            run.is_overdue(now) and self.last_activity <= run.started
             for run in self.runs.values()
         )
 
     def pending(self, now: ids.Instant) -> float:
-        """Return what it still has to read; see prefill.Square."""
+        """Return what it still has to read; see prefill.QuadraticCost."""
         return sum(
-            self.prefill.left(run.ticket.prompt_tokens, now - run.started)
+            self.prefill.remaining_work(run.ticket.prompt_tokens, now - run.started)
             for run in self.runs.values()
             if not run.has_first_token
         )
@@ -121,7 +123,7 @@
 
     def work(self, ticket: messages.Ticket, pending: float) -> float:
         """Return what is to be read before a ticket's first token."""
-        return pending + self.prefill.square.work(ticket.prompt_tokens)
+        return pending + self.prefill.quadratic.work(ticket.prompt_tokens)
 
     def total_seconds(self, ticket: messages.Ticket, pending: float) -> float:
         """Return the seconds to a ticket's end."""
@@ -133,7 +135,7 @@
         run = Run(
             ticket=ticket,
             started=now,
-            told=now,
+            refreshed_at=now,
             work=self.work(ticket, pending),
             first=self.first_seconds(ticket, pending),
             total=self.total_seconds(ticket, pending),
@@ -141,19 +143,19 @@
         self.runs[ticket.ticket_id] = run
         return run
 
-    def learn_first(self, run: Run, seconds: float) -> None:
+    def learn_first_token(self, run: Run, seconds: float) -> None:
         """Learn from the time to a first token."""
         if not run.is_adopted:
             self.prefill.learn(run.ticket.prompt_tokens, run.work, seconds)
 
-    def learn_end(self, run: Run, done: messages.Done) -> None:
+    def learn_completion(self, run: Run, done: messages.Done) -> None:
         """Learn from a completed request."""
         if run.is_adopted:
             return
         weight = self.weight()
         if run.ticket.prompt_tokens == 0:
             self.call_seconds += weight * (done.total_seconds - self.call_seconds)
-        elif done.output_tokens >= LEAST_OUTPUT_TOKENS:
+        elif done.output_tokens >= MIN_OUTPUT_TOKENS:
             streamed = done.total_seconds - done.first_token_seconds
             seen = streamed / done.output_tokens
             self.token_seconds += weight * (seen - self.token_seconds)
@@ -161,13 +163,13 @@
 
     def weight(self) -> float:
         """Return the weight of a new observation; the first replaces the guess."""
-        return WEIGHT if self.observations else 1.0
+        return OBSERVATION_WEIGHT if self.observations else 1.0
 
     def record_success(self) -> None:
         """Take a served request into the share of failures."""
         self.failures -= FAILURE_WEIGHT * self.failures
         self.failed_in_row = 0
-        self.pause = FIRST_PAUSE
+        self.pause = MIN_PAUSE
 
     def record_failure(self) -> None:
         """Take a failed request into the share of failures."""
@@ -177,7 +179,7 @@
     def record_unreachable(self, now: ids.Instant) -> None:
         """Give it nothing for a while."""
         self.paused_until = ids.Instant(now + self.pause)
-        self.pause = min(LONGEST_PAUSE, 2 * self.pause)
+        self.pause = min(MAX_PAUSE, 2 * self.pause)
 
 
 def expected_tokens(ticket: messages.Ticket) -> int:
--- a/src/tealcove/dispatch/backendviews.py
+++ b/src/tealcove/dispatch/backendviews.py
@@ -23,7 +23,7 @@
     # For how long one like it holds a slot, whichever it gets: the mean by how often
     # slots of each server become free. By the fastest server's time alone an overload
     # would seem smaller than it is, and callers would wait in vain.
-    held: float
+    slot_seconds: float
 
 
 class BackendViews:
@@ -32,8 +32,8 @@
     def __init__(self) -> None:
         self.servers: dict[ids.BackendServerId, backendview.BackendView] = {}
         # One for all, since they read for the same model.
-        self.square = prefill.Square()
-        self.where: dict[ids.TicketId, backendview.BackendView] = {}
+        self.quadratic = prefill.QuadraticCost()
+        self.server_by_ticket: dict[ids.TicketId, backendview.BackendView] = {}
 
     def configure(self, cell: cells.Cell) -> None:
         """Take over a new list of servers; runs at those that left are forgotten."""
@@ -49,28 +49,28 @@
                 log.info(
                     "{} is at start {}: was {}", name, spec.start, known.spec.start
                 )
-                self.forget(name)
+                self.remove(name)
                 known = None
             if known is None:
-                self.servers[name] = self.new_view(spec)
+                self.servers[name] = self.create_view(spec)
             else:
                 known.spec = spec
         for name in [name for name in self.servers if name not in names]:
-            self.forget(name)
+            self.remove(name)
 
-    def forget(self, name: ids.BackendServerId) -> None:
+    def remove(self, name: ids.BackendServerId) -> None:
         """Let go of a server with all its runs."""
         for ticket_id in self.servers.pop(name).runs:
-            del self.where[ticket_id]
+            del self.server_by_ticket[ticket_id]
 
-    def new_view(self, spec: kinds.BackendServerSpec) -> backendview.BackendView:
+    def create_view(self, spec: kinds.BackendServerSpec) -> backendview.BackendView:
         """Let a new server start from the speed of the middle one of the others."""
-        view = backendview.BackendView(spec, self.square)
+        view = backendview.BackendView(spec, self.quadratic)
         known = [other for other in self.servers.values() if other.observations]
         if known:
             known.sort(key=lambda other: other.prefill.rate)
             middle = known[len(known) // 2]
-            view.prefill.copy_of(middle.prefill)
+            view.prefill.copy_from(middle.prefill)
             view.token_seconds = middle.token_seconds
             view.call_seconds = middle.call_seconds
         return view
@@ -106,7 +106,7 @@
         now: ids.Instant,
     ) -> backendview.Run:
         """Give a slot to a ticket."""
-        self.where[ticket.ticket_id] = server
+        self.server_by_ticket[ticket.ticket_id] = server
         return server.start(ticket, now)
 
     def adopt(self, ticket: messages.Ticket, now: ids.Instant) -> None:
@@ -118,7 +118,7 @@
             return
         known = server.runs.get(ticket.ticket_id)
         if known is not None:
-            known.told = now
+            known.refreshed_at = now
             return
         self.release(ticket.ticket_id)
         run = self.start(ticket, server, now)
@@ -129,7 +129,7 @@
         self, ticket_id: ids.TicketId
     ) -> tuple[backendview.BackendView, backendview.Run] | None:
         """Take a slot back; None when the ticket holds none."""
-        server = self.where.pop(ticket_id, None)
+        server = self.server_by_ticket.pop(ticket_id, None)
         if server is None:
             return None
         return server, server.runs.pop(ticket_id)
@@ -139,14 +139,14 @@
 
         The servers stop as soon as the entry's connections are gone.
         """
-        for ticket_id, server in list(self.where.items()):
+        for ticket_id, server in list(self.server_by_ticket.items()):
             if server.runs[ticket_id].ticket.entry == entry:
                 self.release(ticket_id)
 
     def release_stale(self, now: ids.Instant) -> None:
         """Take back the slots of which no entry tells any more."""
         since = now - scheduler.REFRESH_TIMEOUT
-        for ticket_id, server in list(self.where.items()):
-            if server.runs[ticket_id].told < since:
+        for ticket_id, server in list(self.server_by_ticket.items()):
+            if server.runs[ticket_id].refreshed_at < since:
                 log.info("slot of {} at {} is given up: untold", ticket_id, server.name)
                 self.release(ticket_id)
--- a/src/tealcove/dispatch/fair.py
+++ b/src/tealcove/dispatch/fair.py
@@ -196,13 +196,13 @@
         """See Scheduler."""
         found = self.state.fleet.servers.get(server)
         if found is not None:
-            found.index.take_events(events)
+            found.index.apply_events(events)
         return []
 
     def last_event(self, server: ids.BackendServerId) -> int:
         """See Scheduler."""
         found = self.state.fleet.servers.get(server)
-        return 0 if found is None else found.index.last
+        return 0 if found is None else found.index.last_sequence
 
     def hold_back(
         self, server: ids.BackendServerId, now: ids.Instant
--- a/src/tealcove/dispatch/earliertries.py
+++ b/src/tealcove/dispatch/firstattempts.py
@@ -7,19 +7,19 @@
 from tealcove import ids
 from tealcove.dispatch import messages
 
-# Seconds by which the end of a caller's time may differ between two of its tries: the
-# ways to and from it, and its rounding to milliseconds. Two callers that send the same
-# content within that are taken for one, and the later one for late.
-SAME_END = 0.1
+# Two attempts whose callers' deadlines differ by less belong to one request: the
+# deadline varies with network delays and is rounded to milliseconds. Two callers that
+# send the same content within that time are taken for one, and the later one for late.
+DEADLINE_TOLERANCE = 0.1
 # Tries that are remembered at the most: 600 requests a second whose callers wait 15 s.
-MOST_REMEMBERED = 9000
+MAX_REMEMBERED = 9000
 
 # What stays the same when a caller sends its request again: the digest, and the tokens
 # of prompt and output.
 Content = tuple[str, int, int]
 
 
-class Try(msgspec.Struct):
+class Attempt(msgspec.Struct):
     """A request's first try."""
 
     # When its caller gives up.
@@ -28,7 +28,7 @@
     goal_at: ids.Instant
 
 
-class EarlierTries:
+class FirstAttempts:
     """The first tries of requests, for as long as their callers wait.
 
     To a caller that comes again, the goal counts from its first try. Its new id makes
@@ -40,12 +40,12 @@
     """
 
     def __init__(self) -> None:
-        self.tries: dict[Content, list[Try]] = {}
+        self.attempts: dict[Content, list[Attempt]] = {}
         self.count = 0
 
-    def first(
+    def find_or_add(
         self, ticket: messages.Ticket, goal_at: ids.Instant, now: ids.Instant
-    ) -> Try | None:
+    ) -> Attempt | None:
         """Return the first try of a ticket's request; None: it's this one.
 
         `goal_at` is when the caller hopes for the first event, if it's this one.
@@ -54,20 +54,20 @@
             return None
         content = (ticket.digest, ticket.prompt_tokens, ticket.output_tokens)
         ends_at = ids.Instant(now - ticket.waited + ticket.caller_remaining)
-        for known in self.tries.get(content, ()):
-            if abs(known.ends_at - ends_at) < SAME_END:
+        for known in self.attempts.get(content, ()):
+            if abs(known.ends_at - ends_at) < DEADLINE_TOLERANCE:
                 return known
-        if self.count < MOST_REMEMBERED:
-            self.tries.setdefault(content, []).append(Try(ends_at, goal_at))
+        if self.count < MAX_REMEMBERED:
+            self.attempts.setdefault(content, []).append(Attempt(ends_at, goal_at))
             self.count += 1
         return None
 
     def forget(self, now: ids.Instant) -> None:
         """Forget the tries of callers that wait no longer."""
-        for content, tries in list(self.tries.items()):
-            kept = [known for known in tries if known.ends_at > now]
-            self.count -= len(tries) - len(kept)
+        for content, attempts in list(self.attempts.items()):
+            kept = [known for known in attempts if known.ends_at > now]
+            self.count -= len(attempts) - len(kept)
             if kept:
-                self.tries[content] = kept
+                self.attempts[content] = kept
             else:
-                del self.tries[content]
+                del self.attempts[content]
--- a/src/tealcove/dispatch/goal.py
+++ b/src/tealcove/dispatch/goal.py
@@ -13,11 +13,11 @@
     backendview,
     backendviews,
     cells,
-    earliertries,
     exposure,
+    firstattempts,
     inflow,
     messages,
-    placing,
+    placement,
     retry,
     scheduler,
     shares,
@@ -52,7 +52,7 @@
         self.exposure: exposure.Exposure = exposure.AnyVersion()
         self.inflow = inflow.Inflow()
         self.shares = shares.Shares()
-        self.tries = earliertries.EarlierTries()
+        self.attempts = firstattempts.FirstAttempts()
         # Of the pool that it decides by.
         self.revision = ids.Revision(0)
         self.gather_until = ids.Instant(0.0)
@@ -87,7 +87,7 @@
         return [
             server
             for server in servers
-            if server.room(now) > 0 and self.exposure.may_receive(server.spec)
+            if server.free_slots(now) > 0 and self.exposure.may_receive(server.spec)
         ]
 
     def gather(self, until: ids.Instant) -> None:
@@ -96,7 +96,7 @@
 
     def depth(self) -> tuple[int, int]:
         """See Scheduler."""
-        return len(self.line), len(self.views.where)
+        return len(self.line), len(self.views.server_by_ticket)
 
     def configure(self, cell: cells.Cell, now: ids.Instant) -> list[scheduler.Outgoing]:
         """See Scheduler."""
@@ -112,49 +112,49 @@
             self.line.pop(ticket.ticket_id, None)
             self.views.adopt(ticket, now)
             return []
-        server = self.views.where.get(ticket.ticket_id)
+        server = self.views.server_by_ticket.get(ticket.ticket_id)
         if server is not None:
             # The entry asks again: it didn't get the grant.
-            server.runs[ticket.ticket_id].told = now
+            server.runs[ticket.ticket_id].refreshed_at = now
             return [grant_message(ticket, server, self.revision)]
         queued = messages.Queued(ticket_id=ticket.ticket_id)
         answer = scheduler.Outgoing(ticket.entry, queued)
         known = self.line.get(ticket.ticket_id)
         if known is not None:
-            known.told = now
+            known.refreshed_at = now
             return [answer]
         if self.suspicion.is_quarantined(ticket.digest):
             reason = messages.RefusalReason.QUARANTINED
-            return [self.refusal(ticket, reason, retry.LONGEST_SECONDS, now)]
+            return [self.refusal(ticket, reason, retry.MAX_SECONDS, now)]
         self.line[ticket.ticket_id] = self.wait(ticket, now)
         return [answer, *self.decide(now)]
 
     def wait(self, ticket: messages.Ticket, now: ids.Instant) -> waitingline.Waiting:
         """Return a ticket as it stands in the line."""
-        takes = self.views.estimate(ticket)
-        held = takes.held
-        flow = self.shares.flow(ticket.tier_rank, ticket.urgency, held)
+        estimate = self.views.estimate(ticket)
+        slot_seconds = estimate.slot_seconds
+        flow = self.shares.flow(ticket.tier_rank, ticket.urgency, slot_seconds)
         end_by = now + ticket.remaining - waitingline.MARGIN
-        start_by = end_by - takes.total
+        start_by = end_by - estimate.total
         if ticket.patience > 0.0:
-            leaves_at = now + ticket.patience - takes.first - waitingline.MARGIN
+            leaves_at = now + ticket.patience - estimate.first - waitingline.MARGIN
             start_by = min(start_by, leaves_at)
         goal_at = ids.Instant(now + ticket.goal if ticket.goal > 0.0 else math.inf)
-        earlier = self.tries.first(ticket, goal_at, now)
+        earlier = self.attempts.find_or_add(ticket, goal_at, now)
         if earlier is not None:
             goal_at = earlier.goal_at
         elif ticket.waited < inflow.FRESH_SECONDS:
-            self.inflow.record(ticket.tier_rank, held, now)
-            self.shares.record_arrival(flow, held, now)
+            self.inflow.record(ticket.tier_rank, slot_seconds, now)
+            self.shares.record_arrival(flow, slot_seconds, now)
         return waitingline.Waiting(
             ticket=ticket,
             since=ids.Instant(now - ticket.waited),
-            told=now,
+            refreshed_at=now,
             goal_at=goal_at,
             start_by=ids.Instant(start_by),
             end_by=ids.Instant(end_by),
-            best_first=takes.first,
-            slot_seconds=held,
+            best_first=estimate.first,
+            slot_seconds=slot_seconds,
             flow=flow,
         )
 
@@ -170,13 +170,13 @@
         self, progress: messages.Progress, now: ids.Instant
     ) -> list[scheduler.Outgoing]:
         """See Scheduler."""
-        server = self.views.where.get(progress.ticket_id)
+        server = self.views.server_by_ticket.get(progress.ticket_id)
         if server is None:
             return []
         run = server.runs[progress.ticket_id]
         run.has_first_token = True
-        server.heard_at = now
-        server.learn_first(run, progress.first_token_seconds)
+        server.last_activity = now
+        server.learn_first_token(run, progress.first_token_seconds)
         return []
 
     def done(self, done: messages.Done, now: ids.Instant) -> list[scheduler.Outgoing]:
@@ -189,7 +189,7 @@
             view, run = released
             self.exposure.record_end(view.spec, run.ticket.route, done)
             if done.outcome is messages.Outcome.COMPLETED:
-                view.learn_end(run, done)
+                view.learn_completion(run, done)
         return self.decide(now)
 
     def record_outcome(
@@ -198,7 +198,7 @@
         """Take in what the end of a request says of its server."""
         if done.outcome is messages.Outcome.COMPLETED:
             server.record_success()
-            server.heard_at = now
+            server.last_activity = now
         elif done.outcome is messages.Outcome.FAILED:
             server.record_failure()
         elif done.outcome is not messages.Outcome.CANCELLED:
@@ -237,13 +237,13 @@
         self.expire_stale(now)
         if now >= self.next_forget:
             self.next_forget = ids.Instant(now + FORGET_INTERVAL)
-            self.tries.forget(now)
+            self.attempts.forget(now)
         return self.decide(now)
 
     def expire_stale(self, now: ids.Instant) -> None:
         """Forget tickets and slots of which no entry tells any more."""
         since = now - scheduler.REFRESH_TIMEOUT
-        for ticket_id in [i for i, w in self.line.items() if w.told < since]:
+        for ticket_id in [i for i, w in self.line.items() if w.refreshed_at < since]:
             del self.line[ticket_id]
         self.views.release_stale(now)
 
@@ -287,7 +287,7 @@
                 break
             excluded = self.views.excluded(waiting.ticket)
             allowed = [server for server in free if server.name not in excluded]
-            server = placing.choose(waiting, allowed, self.exposure, now)
+            server = placement.choose(waiting, allowed, self.exposure, now)
             if server is not None:
                 outgoing.append(self.grant(waiting, server, now))
                 free = self.with_free_slots(free, now)
@@ -337,14 +337,14 @@
             ticket.tier_rank,
             ticket.urgency,
             len(self.line),
-            len(self.views.where),
+            len(self.views.server_by_ticket),
             drain,
             extra={"request": ticket.request_id, "final": True},
         )
         refusal = messages.Refusal(
             ticket_id=ticket.ticket_id,
             reason=reason,
-            retry_after=retry.seconds_after(ticket.ticket_id, drain),
+            retry_after=retry.wait_seconds(ticket.ticket_id, drain),
         )
         return scheduler.Outgoing(ticket.entry, refusal)
 
@@ -359,7 +359,7 @@
         server=server.name,
         host=server.spec.host,
         port=server.spec.port,
-        first_seconds=server.told_first_seconds(server.runs[ticket.ticket_id]),
+        first_seconds=server.announced_first_seconds(server.runs[ticket.ticket_id]),
         start=server.spec.start,
         revision=revision,
     )
--- a/src/tealcove/dispatch/placing.py
+++ b/src/tealcove/dispatch/placement.py
@@ -9,13 +9,13 @@
 from tealcove.dispatch import backendview, exposure, waitingline
 
 # A failing server counts as slower by up to so many times.
-FAILURE_COST = 3.0
+FAILURE_PENALTY = 3.0
 # A server in another data centre than the entry counts as slower by so many seconds:
 # among servers that are alike, prompts and answers stay within the data centre.
-FAR_SECONDS = 0.02
+REMOTE_PENALTY_SECONDS = 0.02
 # A server on trial goes before all others, while it's to get a request at all: were it
 # to be chosen like them, one that fails would hardly be chosen again, and never judged.
-WANTED_SECONDS = 1e6
+PREFERENCE_SECONDS = 1e6
 
 
 def choose(
@@ -39,11 +39,11 @@
         cost = server.total_seconds(ticket, pending)
         if now + cost > waiting.end_by:
             continue
-        cost *= 1.0 + FAILURE_COST * server.failures
+        cost *= 1.0 + FAILURE_PENALTY * server.failures
         if ticket.data_centre not in ("", server.spec.data_centre):
-            cost += FAR_SECONDS
+            cost += REMOTE_PENALTY_SECONDS
         if exposed.is_preferred(server.spec) and now + first <= waiting.goal_at:
-            cost -= WANTED_SECONDS
+            cost -= PREFERENCE_SECONDS
         if cost < best_cost:
             best, best_cost, best_first = server, cost, first
     if best is None:
--- a/src/tealcove/dispatch/policy.py
+++ b/src/tealcove/dispatch/policy.py
@@ -14,13 +14,13 @@
     try:
         found = getattr(importlib.import_module(module_name), class_name)
     except (ImportError, AttributeError, ValueError) as error:
-        raise refused(name, "can't be imported") from error
+        raise invalid_policy(name, "can't be imported") from error
     if not (isinstance(found, type) and issubclass(found, scheduler.Scheduler)):
-        raise refused(name, "isn't a scheduler")
+        raise invalid_policy(name, "isn't a scheduler")
     return found
 
 
-def refused(name: str, problem: str) -> errors.SettingsError:
+def invalid_policy(name: str, problem: str) -> errors.SettingsError:
     """Return the error for a name that leads to no scheduler."""
     return errors.SettingsError(
         f"$.dispatch.policy: {name!r} {problem}",
--- a/src/tealcove/dispatch/prefixindex.py
+++ b/src/tealcove/dispatch/prefixindex.py
@@ -25,7 +25,7 @@
         self.blocks: collections.OrderedDict[int, int] = collections.OrderedDict()
         self.gaps = 0
         # The last sequence number that was taken in.
-        self.last = 0
+        self.last_sequence = 0
 
     def match(self, prefix: tuple[int, ...]) -> float:
         """Return the expected number of cached blocks from a prompt's start.
@@ -57,22 +57,22 @@
             self.blocks.move_to_end(block)
         self.evict()
 
-    def take_events(self, events: engine.CacheEvents) -> None:
+    def apply_events(self, events: engine.CacheEvents) -> None:
         """Take in what the server published after `last`."""
-        if events.last < self.last:
+        if events.last < self.last_sequence:
             # The server counts from the start again: it has lost its cache.
             self.reset()
             return
         for event in events.events:
-            self.take_event(event)
+            self.apply_event(event)
 
-    def take_event(self, event: engine.CacheEvent) -> None:
+    def apply_event(self, event: engine.CacheEvent) -> None:
         """Take in one event; a number left out before it is a gap."""
-        if event.sequence <= self.last:
+        if event.sequence <= self.last_sequence:
             return
-        if event.sequence != self.last + 1:
+        if event.sequence != self.last_sequence + 1:
             self.gaps += 1
-        self.last = event.sequence
+        self.last_sequence = event.sequence
         if event.kind == "removed":
             for block in event.blocks:
                 self.blocks.pop(block, None)
@@ -95,4 +95,4 @@
     def reset(self) -> None:
         """Forget everything, as a server that was started anew has."""
         self.blocks.clear()
-        self.last = 0
+        self.last_sequence = 0
--- a/src/tealcove/dispatch/reading.py
+++ b/src/tealcove/dispatch/reading.py
@@ -74,21 +74,21 @@
             return None
 
 
-def without_lacking(ticket: messages.Ticket, found: Holdings) -> messages.Ticket:
+def exclude_unequipped(ticket: messages.Ticket, found: Holdings) -> messages.Ticket:
     """Return a ticket that excludes the engines which lack its model or adapter.
 
     A pool that is given another model, or a new engine, needs its time to load:
     an engine answers 404 until then, and the caller would get that for an answer.
     """
-    lacking = tuple(
-        server for server, holding in found.items() if lacks(holding, ticket)
+    unequipped = tuple(
+        server for server, holding in found.items() if is_unequipped(holding, ticket)
     )
-    if not lacking:
+    if not unequipped:
         return ticket
-    return msgspec.structs.replace(ticket, excluded=(*ticket.excluded, *lacking))
+    return msgspec.structs.replace(ticket, excluded=(*ticket.excluded, *unequipped))
 
 
-def lacks(holding: engine.Holding, ticket: messages.Ticket) -> bool:
+def is_unequipped(holding: engine.Holding, ticket: messages.Ticket) -> bool:
     """Tell whether an engine can't compute a ticket's request."""
     if ticket.model and ticket.model not in holding.models:
         return True
--- a/src/tealcove/dispatch/role.py
+++ b/src/tealcove/dispatch/role.py
@@ -122,7 +122,7 @@
             )
             self.send([scheduler.Outgoing(ticket.entry, refusal)])
             return
-        fitting = reading.without_lacking(ticket, held.holdings)
+        fitting = reading.exclude_unequipped(ticket, held.holdings)
         self.send(held.decider.enqueue(fitting, clock.now()))
 
     def take_hold(self, sender: ids.InstanceId, hold: holds.Hold) -> None:
--- a/src/tealcove/dispatch/spans.py
+++ b/src/tealcove/dispatch/spans.py
@@ -17,7 +17,7 @@
 FORGOTTEN = "forgotten"
 # Spans that are open at the most. A ticket whose entry is gone gets no answer;
 # without a bound its span would stay for ever.
-MOST_OPEN = 5_000
+MAX_OPEN = 5_000
 
 
 class Spans:
@@ -33,7 +33,7 @@
             return
         if ticket.running_on is not None or ticket.ticket_id in self.open:
             return
-        if len(self.open) >= MOST_OPEN:
+        if len(self.open) >= MAX_OPEN:
             self.end(next(iter(self.open)), FORGOTTEN)
         # Here, since an instance that traces nothing needs nothing of it.
         from tealcove import telemetry
--- a/src/tealcove/dispatch/tests/builders.py
+++ b/src/tealcove/dispatch/tests/builders.py
@@ -74,17 +74,17 @@
     return ids.Instant(1000.0 + seconds)
 
 
-def told(outgoing: list[scheduler.Outgoing], kind: type) -> list:
+def messages_of(outgoing: list[scheduler.Outgoing], kind: type) -> list:
     """Return the messages of one kind."""
     return [o.message for o in outgoing if isinstance(o.message, kind)]
 
 
 def granted(outgoing: list[scheduler.Outgoing]) -> list[messages.Grant]:
-    return told(outgoing, messages.Grant)
+    return messages_of(outgoing, messages.Grant)
 
 
 def refused(outgoing: list[scheduler.Outgoing]) -> list[messages.Refusal]:
-    return told(outgoing, messages.Refusal)
+    return messages_of(outgoing, messages.Refusal)
 
 
 def opened(*servers: kinds.BackendServerSpec, **changes: object) -> fair.FairScheduler:
@@ -92,12 +92,12 @@
     found = fair.FairScheduler()
     found.configure(cell(*servers, **changes), instant(0))
     for spec in servers:
-        teach(found, spec.name)
+        train(found, spec.name)
     found.tick(instant(0))
     return found
 
 
-def teach(found: fair.FairScheduler, name: str, factor: float = 1.0) -> None:
+def train(found: fair.FairScheduler, name: str, factor: float = 1.0) -> None:
     """Let a server complete requests of which it takes `factor` times as long."""
     grant = messages.Grant(
         ticket_id=ids.TicketId("taught"), cell=CELL, server=name, host="", port=0
@@ -124,7 +124,7 @@
     return grants
 
 
-def tell_again(
+def refresh_tickets(
     found: fair.FairScheduler, now: ids.Instant, *lost: ids.InstanceId
 ) -> None:
     """Let all entries but lost ones tell of their tickets, as living ones do."""
--- a/src/tealcove/dispatch/tests/test_choice.py
+++ b/src/tealcove/dispatch/tests/test_choice.py
@@ -22,7 +22,7 @@
     found = builders.opened(*specs)
     for spec, factor in zip(specs, factors, strict=True):
         for _ in range(20):
-            builders.teach(found, spec.name, factor)
+            builders.train(found, spec.name, factor)
     return found
 
 
--- /dev/null
+++ b/src/tealcove/dispatch/tests/test_firstattempts.py
@@ -0,0 +1,83 @@
+"""Requests that come again are known by their content and their caller's time."""
+
+from __future__ import annotations
+
+from hypothesis import given
+from hypothesis import strategies as st
+
+from tealcove import ids
+from tealcove.dispatch import firstattempts, messages
+from tealcove.dispatch.tests import builders
+
+
+def ticket(remaining: float = 10.0, **changes: object) -> messages.Ticket:
+    found = {"digest": "d", "caller_remaining": remaining, **changes}
+    return builders.ticket(**found)
+
+
+def first(
+    attempts: firstattempts.FirstAttempts, sent: messages.Ticket, at: float
+) -> firstattempts.Attempt | None:
+    return attempts.find_or_add(sent, builders.instant(at + 0.25), builders.instant(at))
+
+
+def test_a_caller_that_comes_again_hopes_for_no_more_than_before():
+    attempts = firstattempts.FirstAttempts()
+    assert first(attempts, ticket(), 0.0) is None
+    again = first(attempts, ticket(remaining=9.2), 0.8)
+    assert again.goal_at == builders.instant(0.25)
+
+
+def test_others_with_the_same_content_are_fresh():
+    """Requests for one much asked content are all taken for late.
+
+    Symptom: they're put behind all others from the second one on. Sequence: many
+    callers send the same content within a second. Cause: the content alone is taken
+    for the request.
+    """
+    attempts = firstattempts.FirstAttempts()
+    assert first(attempts, ticket(), 0.0) is None
+    assert first(attempts, ticket(), 0.8) is None
+    assert first(attempts, ticket(remaining=9.2, prompt_tokens=101), 0.8) is None
+    assert first(attempts, ticket(remaining=9.2, digest="e"), 0.8) is None
+
+
+def test_a_ticket_that_waited_elsewhere_is_no_new_try():
+    attempts = firstattempts.FirstAttempts()
+    assert first(attempts, ticket(), 0.0) is None
+    moved = ticket(remaining=10.0, waited=0.7)
+    assert first(attempts, moved, 0.7) is not None
+
+
+def test_without_a_word_of_the_callers_time_nothing_is_known():
+    attempts = firstattempts.FirstAttempts()
+    assert first(attempts, ticket(remaining=0.0), 0.0) is None
+    assert first(attempts, ticket(remaining=0.0), 0.1) is None
+    assert attempts.count == 0
+
+
+@given(st.lists(st.tuples(st.integers(0, 3), st.floats(0.1, 20.0), st.floats(0, 9))))
+def test_what_is_remembered_is_bounded_and_counted(sent: list) -> None:
+    attempts = firstattempts.FirstAttempts()
+    now = 0.0
+    for digest, remaining, pause in sent:
+        now += pause
+        attempts.forget(builders.instant(now))
+        first(attempts, ticket(remaining=remaining, digest=str(digest)), now)
+        kept = [known for found in attempts.attempts.values() for known in found]
+        assert attempts.count == len(kept)
+        assert all(known.ends_at > builders.instant(now) for known in kept)
+    attempts.forget(builders.instant(now + 21.0))
+    assert attempts.count == 0
+    assert not attempts.attempts
+
+
+def test_a_flood_is_remembered_in_part(monkeypatch) -> None:
+    monkeypatch.setattr(firstattempts, "MAX_REMEMBERED", 2)
+    attempts = firstattempts.FirstAttempts()
+    for number in range(5):
+        assert first(attempts, ticket(digest=str(number)), 0.0) is None
+    assert attempts.count == 2
+    assert ids.Instant(0.0) not in [
+        t.goal_at for f in attempts.attempts.values() for t in f
+    ]
--- a/src/tealcove/dispatch/tests/test_goal.py
+++ b/src/tealcove/dispatch/tests/test_goal.py
@@ -83,12 +83,12 @@
     assert (grant.start, next_one.start) == (0, 2)
     told = msgspec.structs.replace(old, running_on=grant.server)
     assert found.enqueue(told, builders.instant(1.1)) == []
-    assert list(found.views.where) == [waiting.ticket_id]
+    assert list(found.views.server_by_ticket) == [waiting.ticket_id]
     now = msgspec.structs.replace(
         waiting, running_on=grant.server, running_start=next_one.start
     )
     assert found.enqueue(now, builders.instant(1.2)) == []
-    assert list(found.views.where) == [waiting.ticket_id]
+    assert list(found.views.server_by_ticket) == [waiting.ticket_id]
 
 
 def test_what_became_of_the_old_start_says_nothing_of_the_new_one():
@@ -105,7 +105,7 @@
     crashed = builders.done(grant, outcome=messages.Outcome.CRASHED)
     found.done(crashed, builders.instant(1.1))
     (view,) = found.views.servers.values()
-    assert view.room(builders.instant(1.1)) == 1
+    assert view.free_slots(builders.instant(1.1)) == 1
     assert (view.failures, view.observations) == (0.0, 0)
 
 
@@ -116,9 +116,9 @@
     (grant,) = builders.granted(out)
     crashed = builders.done(grant, outcome=messages.Outcome.CRASHED)
     found.done(crashed, builders.instant(0.9))
-    assert found.views.servers["s0"].room(builders.instant(0.95)) == 0
+    assert found.views.servers["s0"].free_slots(builders.instant(0.95)) == 0
     restarted(found, 1)
-    assert found.views.servers["s0"].room(builders.instant(1.0)) == 1
+    assert found.views.servers["s0"].free_slots(builders.instant(1.0)) == 1
     assert found.views.servers["s0"].failures == 0.0
 
 
@@ -130,7 +130,7 @@
     _, outgoing = enqueue(found, remaining=60.0, tier_rank=5, patience=0.5)
     (refusal,) = builders.refused(outgoing)
     assert refusal.reason is messages.RefusalReason.OVERLOAD
-    assert retry.SHORTEST_SECONDS <= refusal.retry_after <= retry.LONGEST_SECONDS
+    assert retry.MIN_SECONDS <= refusal.retry_after <= retry.MAX_SECONDS
 
 
 def test_a_ticket_goes_where_it_ends_soonest():
@@ -151,7 +151,7 @@
     assert builders.granted(outgoing) == []
     done = builders.done(first, total_seconds=0.1, output_tokens=0)
     assert granted_names(found.done(done, builders.instant(0.1))) == ["fast"]
-    assert waiting.ticket_id in found.views.where
+    assert waiting.ticket_id in found.views.server_by_ticket
 
 
 def test_an_unreachable_server_gets_nothing_for_a_while():
@@ -291,7 +291,7 @@
     """
     found = opened(slots=2)
     grant = first_of(found, 0.0)
-    run = found.views.where[grant.ticket_id].runs[grant.ticket_id]
+    run = found.views.server_by_ticket[grant.ticket_id].runs[grant.ticket_id]
     # An engine of a fifth of the speed that is guessed, with a prompt before this one.
     assert grant.first_seconds * exchange.SILENCE_FACTOR > 2 * 5 * run.first
     progress = messages.Progress(
@@ -299,7 +299,7 @@
     )
     found.progress(progress, builders.instant(run.first))
     known = first_of(found, 1.0)
-    run = found.views.where[known.ticket_id].runs[known.ticket_id]
+    run = found.views.server_by_ticket[known.ticket_id].runs[known.ticket_id]
     assert known.first_seconds == run.first
 
 
--- a/src/tealcove/dispatch/tests/test_holds.py
+++ b/src/tealcove/dispatch/tests/test_holds.py
@@ -87,8 +87,8 @@
         "c": engine.Holding({}, {}, "both"),
     }
     plain = builders.ticket(model="m", excluded=("d",))
-    assert reading.without_lacking(plain, holdings).excluded == ("d", "c")
+    assert reading.exclude_unequipped(plain, holdings).excluded == ("d", "c")
     adapted = builders.ticket(model="m", adapter="x")
-    assert reading.without_lacking(adapted, holdings).excluded == ("b", "c")
+    assert reading.exclude_unequipped(adapted, holdings).excluded == ("b", "c")
     call = builders.ticket()
-    assert reading.without_lacking(call, holdings) is call
+    assert reading.exclude_unequipped(call, holdings) is call
--- a/src/tealcove/dispatch/tests/test_prefill.py
+++ b/src/tealcove/dispatch/tests/test_prefill.py
@@ -20,18 +20,18 @@
 def taught(count: int, noise: float = 0.0, seed: int = 1) -> prefill.Prefill:
     """Return what is learnt from so many prompts, each read alone."""
     source = random.Random(seed)
-    square = prefill.Square()
-    found = prefill.Prefill(square)
+    quadratic = prefill.QuadraticCost()
+    found = prefill.Prefill(quadratic)
     for _ in range(count):
         prompt = min(54_000, max(50, round(source.lognormvariate(7.8, 1.4))))
         late = noise if source.random() < 0.2 else 0.0
-        found.learn(prompt, square.work(prompt), seconds(prompt) + late)
+        found.learn(prompt, quadratic.work(prompt), seconds(prompt) + late)
     return found
 
 
 def test_the_first_observation_replaces_the_guess():
     found = taught(0)
-    work = found.square.work(4000)
+    work = found.quadratic.work(4000)
     found.learn(4000, work, 0.43)
     assert found.first_seconds(work) == pytest.approx(0.43)
 
@@ -41,10 +41,10 @@
     """Long prompts miss goals that they were predicted to meet.
 
     Symptom: prompts of 20,000 tokens and more come a quarter later than predicted.
-    Sequence: a server has read short prompts. Cause: attention grows with the square.
+    Sequence: a server has read short prompts. Cause: attention is quadratic.
     """
     found = taught(400)
-    predicted = found.first_seconds(found.square.work(prompt))
+    predicted = found.first_seconds(found.quadratic.work(prompt))
     assert predicted == pytest.approx(seconds(prompt), rel=0.1, abs=0.01)
 
 
@@ -56,25 +56,25 @@
     Cause: the rate is the mean of seconds a token, each prompt counting alike.
     """
     found = taught(400, noise=0.07)
-    predicted = found.first_seconds(found.square.work(6000))
+    predicted = found.first_seconds(found.quadratic.work(6000))
     assert predicted == pytest.approx(seconds(6000), abs=0.04)
 
 
 def test_a_server_that_has_slowed_down_is_known_soon():
     found = taught(200)
     for _ in range(25):
-        found.learn(3000, found.square.work(3000), seconds(3000, rate=4 * RATE))
-    predicted = found.first_seconds(found.square.work(3000))
+        found.learn(3000, found.quadratic.work(3000), seconds(3000, rate=4 * RATE))
+    predicted = found.first_seconds(found.quadratic.work(3000))
     assert predicted > 0.8 * seconds(3000, rate=4 * RATE)
 
 
 def test_what_is_learnt_stays_within_bounds():
-    square = prefill.Square()
-    found = prefill.Prefill(square)
+    quadratic = prefill.QuadraticCost()
+    found = prefill.Prefill(quadratic)
     found.learn(0, 0.0, 1.0)
     for prompt, seen in ((300, 0.0), (300, 0.001), (50_000, 0.0), (50_000, 900.0)):
-        found.learn(prompt, square.work(prompt), seen)
-        assert found.rate >= prefill.LEAST_RATE
-        assert prefill.LEAST_BASE <= found.base <= prefill.MOST_BASE
-        assert 0.0 <= square.part <= prefill.MOST_SQUARE
-        assert found.left(prompt, 0.1) >= 0.0
+        found.learn(prompt, quadratic.work(prompt), seen)
+        assert found.rate >= prefill.MIN_RATE
+        assert prefill.MIN_BASE <= found.base <= prefill.MAX_BASE
+        assert 0.0 <= quadratic.coefficient <= prefill.MAX_COEFFICIENT
+        assert found.remaining_work(prompt, 0.1) >= 0.0
--- a/src/tealcove/dispatch/tests/test_prefixindex.py
+++ b/src/tealcove/dispatch/tests/test_prefixindex.py
@@ -17,8 +17,8 @@
     index = prefixindex.PrefixIndex()
     index.record_grant((1, 2, 3))
     assert index.match((1, 2, 3, 4)) == 3
-    index.take_events(event(1, "removed", 3))
-    index.take_events(event(2, "stored", 7))
+    index.apply_events(event(1, "removed", 3))
+    index.apply_events(event(2, "stored", 7))
     assert index.match((1, 2, 3, 4)) == 2
     assert index.match((7, 8)) == 1
     assert index.match((5,)) == index.match(()) == 0
@@ -31,8 +31,8 @@
     sequence was passed over.
     """
     index = prefixindex.PrefixIndex()
-    index.take_events(event(1, "stored", 1, 2))
-    index.take_events(event(3, "stored", 8, 9))
+    index.apply_events(event(1, "stored", 1, 2))
+    index.apply_events(event(3, "stored", 8, 9))
     assert index.match((1, 2)) == 2 * prefixindex.UNCERTAIN_WEIGHT
     assert index.match((8, 9)) == 2
     index.record_grant((1, 2))
@@ -41,12 +41,12 @@
 
 def test_old_numbers_change_nothing_and_a_new_count_forgets_all() -> None:
     index = prefixindex.PrefixIndex()
-    index.take_events(event(1, "stored", 1))
-    index.take_events(event(2, "stored", 2))
-    index.take_events(engine.CacheEvents((engine.CacheEvent(1, "removed", (1,)),), 2))
+    index.apply_events(event(1, "stored", 1))
+    index.apply_events(event(2, "stored", 2))
+    index.apply_events(engine.CacheEvents((engine.CacheEvent(1, "removed", (1,)),), 2))
     assert index.match((1,)) == 1
-    index.take_events(event(1, "stored", 5))
-    assert (index.match((1,)), index.last) == (0, 0)
+    index.apply_events(event(1, "stored", 5))
+    assert (index.match((1,)), index.last_sequence) == (0, 0)
 
 
 @hypothesis.given(
@@ -61,7 +61,7 @@
     for number, blocks in enumerate(prompts):
         index.record_grant(tuple(blocks))
         assert index.match(tuple(blocks)) == min(len(blocks), capacity)
-        index.take_events(event(number + 1, "stored", *blocks))
+        index.apply_events(event(number + 1, "stored", *blocks))
         assert len(index.blocks) <= capacity
     index.set_capacity(0)
     assert index.capacity == capacity
--- a/src/tealcove/dispatch/tests/test_requester.py
+++ b/src/tealcove/dispatch/tests/test_requester.py
@@ -23,7 +23,7 @@
     """A requester among three instances, with one ticket on its way."""
 
     def __init__(self) -> None:
-        self.mesh = transport.NotingMesh()
+        self.mesh = transport.RecordingMesh()
         self.copy = copy.ConfigurationCopy()
         self.members = members.Members(
             builders.heartbeat(0, lifecycle=builders.messages.Lifecycle.JOINING),
--- a/src/tealcove/dispatch/tests/test_role.py
+++ b/src/tealcove/dispatch/tests/test_role.py
@@ -61,7 +61,7 @@
 
     def __init__(self) -> None:
         self.engines = ScriptedEngines()
-        self.mesh = transport.NotingMesh()
+        self.mesh = transport.RecordingMesh()
         self.members = members.Members(
             membership_builders.heartbeat(0), suspect_after=1000.0, forget_after=2000.0
         )
--- a/src/tealcove/dispatch/tests/test_shedding.py
+++ b/src/tealcove/dispatch/tests/test_shedding.py
@@ -17,7 +17,7 @@
 
 
 def preempted(outgoing: list[scheduler.Outgoing]) -> list[messages.Preempt]:
-    return builders.told(outgoing, messages.Preempt)
+    return builders.messages_of(outgoing, messages.Preempt)
 
 
 def run(found: fair.FairScheduler, now: ids.Instant, **changes: object) -> str:
@@ -161,7 +161,7 @@
     specs = [builders.server(f"s{n}", slots=1, generation=f"g{n}") for n in range(2)]
     found = builders.opened(*specs, short_share=0.0)
     for _ in range(20):
-        builders.teach(found, "s1", 3.0)
+        builders.train(found, "s1", 3.0)
     same = run(found, NOW, tier_rank=0, output_tokens=1000, remaining=1000)
     low = run(found, NOW, tier_rank=2, output_tokens=1000, remaining=1000)
     for ticket_id in (same, low):
--- a/src/tealcove/dispatch/tests/test_slots.py
+++ b/src/tealcove/dispatch/tests/test_slots.py
@@ -27,7 +27,7 @@
     granted = builders.granted(found.enqueue(first, NOW))
     assert builders.granted(found.enqueue(first, NOW)) == granted
     found.enqueue(second, NOW)
-    assert builders.told(found.enqueue(second, NOW), messages.Queued)
+    assert builders.messages_of(found.enqueue(second, NOW), messages.Queued)
     assert not builders.granted(found.enqueue(second, NOW))
 
 
@@ -134,7 +134,7 @@
     found.lose_entry(builders.ENTRY, NOW)
     assert set(found.state.queue.tickets) == {waiting.ticket_id}
     assert not builders.granted(found.tick(builders.instant(2)))
-    builders.tell_again(found, builders.instant(4), builders.ENTRY)
+    builders.refresh_tickets(found, builders.instant(4), builders.ENTRY)
     freed = builders.granted(found.tick(builders.instant(1 + fair.ORPHAN_SECONDS)))
     assert [grant.ticket_id for grant in freed] == [waiting.ticket_id]
 
@@ -157,7 +157,7 @@
     found.lose_entry(builders.ENTRY, builders.instant(2))
     found.enqueue(taken, builders.instant(3))
     found.lose_entry(builders.ENTRY, builders.instant(4))
-    builders.tell_again(found, builders.instant(3 + fair.ORPHAN_SECONDS))
+    builders.refresh_tickets(found, builders.instant(3 + fair.ORPHAN_SECONDS))
     found.tick(builders.instant(4 + fair.ORPHAN_SECONDS))
     assert found.state.fleet.servers["s0"].free() == 0
     urgent = builders.ticket(remaining=1.3, tier_rank=0, entry="other")
--- a/src/tealcove/dispatch/tests/test_stragglers.py
+++ b/src/tealcove/dispatch/tests/test_stragglers.py
@@ -16,7 +16,7 @@
 def slow_down(found: fair.FairScheduler, factor: float, now: ids.Instant) -> None:
     """Let s0 complete requests of which it takes `factor` times as long."""
     for _ in range(15):
-        builders.teach(found, "s0", factor)
+        builders.train(found, "s0", factor)
     found.tick(now)
 
 
@@ -90,7 +90,7 @@
     for grant in first:
         if grant.server != "s0":
             found.done(builders.done(grant), builders.instant(2))
-    builders.tell_again(found, builders.instant(6))
+    builders.refresh_tickets(found, builders.instant(6))
     found.report("s0", builders.load(0), builders.instant(7))
     found.tick(builders.instant(7))
     assert state(found).pace is servers.Pace.PROBED
@@ -145,7 +145,7 @@
         *(builders.server(f"s{n}", generation="") for n in range(3))
     )
     for _ in range(300):
-        builders.teach(found, "s0", 4.0)
+        builders.train(found, "s0", 4.0)
     found.tick(builders.instant(1))
     assert state(found).pace is servers.Pace.NORMAL
     slow_down(found, 20.0, builders.instant(2))
--- a/src/tealcove/dispatch/tests/transport.py
+++ b/src/tealcove/dispatch/tests/transport.py
@@ -13,7 +13,7 @@
         self.content = content
 
 
-class NotingMesh:
+class RecordingMesh:
     """Takes the place of `mesh.Mesh`; nothing leaves the process."""
 
     def __init__(self) -> None:
--- a/src/tealcove/dispatch/waitingline.py
+++ b/src/tealcove/dispatch/waitingline.py
@@ -33,7 +33,7 @@
 
     ticket: messages.Ticket
     since: ids.Instant
-    told: ids.Instant
+    refreshed_at: ids.Instant
     # When the caller hopes for the first event, by its first try; infinite without.
     goal_at: ids.Instant
     # After this instant a start makes no sense any more.
--- a/src/tealcove/orders/tests/test_drains.py
+++ b/src/tealcove/orders/tests/test_drains.py
@@ -15,18 +15,20 @@
 NOW = ids.Instant(100.0)
 
 
-def opened() -> tuple[drains.Drains, transport.NotingMesh]:
+def opened() -> tuple[drains.Drains, transport.RecordingMesh]:
     """Return the holds of an instance with two peers, engine "a" held."""
     known = membership.known(0)
     for number in (1, 2):
         known.hear(membership.heartbeat(number), NOW)
-    mesh = transport.NotingMesh()
+    mesh = transport.RecordingMesh()
     found = drains.Drains(mesh, known)
     found.begin(test_plan.target(test_plan.A).servers[A], NOW)
     return found, mesh
 
 
-def answer(found: drains.Drains, mesh: transport.NotingMesh, **changes: object) -> None:
+def answer(
+    found: drains.Drains, mesh: transport.RecordingMesh, **changes: object
+) -> None:
     """Let both dispatchers answer the last hold, in their way."""
     hold = mesh.sent[-1].content
     report = holds.answer(hold, is_held=hold.seconds > 0)
--- a/src/tealcove/quarantine/tests/test_sharing.py
+++ b/src/tealcove/quarantine/tests/test_sharing.py
@@ -123,7 +123,7 @@
     for number in range(2):
         lost = dispatch_builders.ticket(digest=D)
         found.lost(lost, ids.BackendServerId(f"x{number}"), False, EARLY)
-    refused = dispatch_builders.told(scheduler.tick(EARLY), messages.Refusal)
+    refused = dispatch_builders.messages_of(scheduler.tick(EARLY), messages.Refusal)
     assert [(r.ticket_id, r.reason) for r in refused] == [
         (waiting.ticket_id, QUARANTINED)
     ]
--- a/src/tealcove/rollout/tests/builders.py
+++ b/src/tealcove/rollout/tests/builders.py
@@ -24,7 +24,7 @@
 
 def view(name: str, version: str) -> backendview.BackendView:
     spec = dispatching.server(name, version=version)
-    return backendview.BackendView(spec, prefill.Square())
+    return backendview.BackendView(spec, prefill.QuadraticCost())
 
 
 def views(version: str, count: int = 12) -> list[backendview.BackendView]:
@@ -93,7 +93,7 @@
         factor = self.pace if is_new else 1.0
         machine = 4.0 if server.name.endswith(("0", "1", "2")) else 1.0
         seen = 0.02 * factor * machine * self.source.lognormvariate(0.0, 0.3)
-        weight = backendview.WEIGHT if server.observations > 1 else 1.0
+        weight = backendview.OBSERVATION_WEIGHT if server.observations > 1 else 1.0
         server.call_seconds += weight * (seen - server.call_seconds)
 
     def run(self, rate: float = 100.0, seconds: float = PERIOD) -> order.State:
