--- a/src/tealcove/dispatch/pending.py
+++ b/src/tealcove/dispatch/pending.py
@@ -24,23 +24,23 @@
         self.deadline = deadline
         self.near = near
         self.since = clock.now()
-        self.holder: ids.InstanceId | None = None
-        # The holder's incarnation when it was asked; its successor under the same
+        self.dispatcher: ids.InstanceId | None = None
+        # The dispatcher's incarnation when it was asked; its successor under the same
         # name knows nothing of the ticket.
         self.incarnation: ids.Incarnation | None = None
         # Done when the ranking names another dispatcher than the one asked.
         self.moved: asyncio.Future[None] = loop.create_future()
         # Whether the dispatcher that was asked last has answered anything in time.
-        self.heard: asyncio.Future[bool] = loop.create_future()
+        self.replied: asyncio.Future[bool] = loop.create_future()
         self.answer: asyncio.Future[messages.Grant | messages.Refusal] = (
             loop.create_future()
         )
         self.preempted: asyncio.Future[messages.Preempt] = loop.create_future()
 
-    def hear(self, in_time: bool = True) -> None:
+    def set_replied(self, in_time: bool = True) -> None:
         """Note that the dispatcher that was asked last is there, or seems not to be."""
-        if not self.heard.done():
-            self.heard.set_result(in_time)
+        if not self.replied.done():
+            self.replied.set_result(in_time)
 
     @property
     def alone(self) -> bool:
@@ -51,19 +51,19 @@
         return isinstance(found, messages.Grant) and found.alone
 
 
-def current(hold: PendingTicket, now: ids.Instant) -> messages.Ticket:
-    """Return a ticket with the times that hold now."""
+def current(request: PendingTicket, now: ids.Instant) -> messages.Ticket:
+    """Return a ticket with the times that request now."""
     return msgspec.structs.replace(
-        hold.ticket,
-        remaining=max(0.0, hold.deadline - now),
-        waited=now - hold.since,
+        request.ticket,
+        remaining=max(0.0, request.deadline - now),
+        waited=now - request.since,
     )
 
 
-def move(hold: PendingTicket) -> None:
+def signal_move(request: PendingTicket) -> None:
     """Let a waiting ticket be taken to another dispatcher."""
-    if not hold.moved.done():
-        hold.moved.set_result(None)
+    if not request.moved.done():
+        request.moved.set_result(None)
 
 
 def withdrawal(ticket: messages.Ticket) -> messages.Withdrawal:
@@ -71,8 +71,10 @@
     return messages.Withdrawal(ticket_id=ticket.ticket_id, cell=ticket.cell)
 
 
-def refuse(hold: PendingTicket, reason: messages.RefusalReason) -> messages.Refusal:
+def local_refusal(
+    request: PendingTicket, reason: messages.RefusalReason
+) -> messages.Refusal:
     """Return a refusal that the entry gives on its own account."""
     return messages.Refusal(
-        ticket_id=hold.ticket.ticket_id, reason=reason, retry_after=1.0
+        ticket_id=request.ticket.ticket_id, reason=reason, retry_after=1.0
     )
--- a/src/tealcove/dispatch/requester.py
+++ b/src/tealcove/dispatch/requester.py
@@ -19,7 +19,7 @@
 REFRESH_INTERVAL = 1.0
 # A dispatcher that left a ticket unanswered gets another one after so many seconds,
 # about as long as a small group takes to suspect it.
-TRIED_AGAIN_SECONDS = 1.0
+RETRY_SILENT_AFTER = 1.0
 
 # Gets a ticket, how its request ended, whether it ran alone, and the time.
 Listener = Callable[[messages.Ticket, messages.Done, bool, ids.Instant], None]
@@ -39,11 +39,11 @@
         self.transport = transport
         self.members = known
         self.ticket_timeout = ticket_timeout
-        self.holds: dict[ids.TicketId, pending.PendingTicket] = {}
+        self.pending_tickets: dict[ids.TicketId, pending.PendingTicket] = {}
         # Dispatchers that were told what runs in a cell although another holds it.
-        self.told: set[tuple[ids.CellId, ids.InstanceId]] = set()
+        self.informed: set[tuple[ids.CellId, ids.InstanceId]] = set()
         # Dispatchers that left a ticket unanswered.
-        self.silence = silence.Silence(TRIED_AGAIN_SECONDS)
+        self.silence = silence.Silence(RETRY_SILENT_AFTER)
         # Functions that learn how each dispatched request ended.
         self.listeners: list[Listener] = []
         self.refreshing: asyncio.Task[None] | None = None
@@ -52,11 +52,11 @@
 
     def start(self) -> None:
         """Begin to take grants."""
-        self.transport.handle(messages.Queued, self.take_queued)
-        self.transport.handle(messages.Grant, self.take_grant)
-        self.transport.handle(messages.Refusal, self.take_refusal)
-        self.transport.handle(messages.Preempt, self.take_preempt)
-        self.members.listen(self.follow_ranking)
+        self.transport.handle(messages.Queued, self.handle_queued)
+        self.transport.handle(messages.Grant, self.handle_grant)
+        self.transport.handle(messages.Refusal, self.handle_refusal)
+        self.transport.handle(messages.Preempt, self.handle_preempt)
+        self.members.listen(self.reassign_all)
         self.refreshing = tasks.start(self.refresh(), "ticket refresh")
 
     async def stop(self) -> None:
@@ -64,39 +64,41 @@
         await tasks.stop([self.refreshing])
 
     async def obtain(
-        self, hold: pending.PendingTicket
+        self, request: pending.PendingTicket
     ) -> messages.Grant | messages.Refusal:
         """Wait for a slot, asking the next in rank when a dispatcher is silent.
 
         Ends with a refusal at the deadline at the latest.
         """
-        self.holds[hold.ticket.ticket_id] = hold
-        self.spread.begin(hold.ticket.cell)
+        self.pending_tickets[request.ticket.ticket_id] = request
+        self.spread.begin(request.ticket.cell)
         attempt = None
-        while not hold.answer.done():
+        while not request.answer.done():
             now = clock.now()
-            if now >= hold.deadline:
-                self.leave(hold)
-                return pending.refuse(hold, messages.RefusalReason.DEADLINE)
-            ranked = self.members.rank(hold.ticket.cell, now, hold.near)
+            if now >= request.deadline:
+                self.abandon(request)
+                return pending.local_refusal(request, messages.RefusalReason.DEADLINE)
+            ranked = self.members.rank(request.ticket.cell, now, request.near)
             if not ranked:
-                self.leave(hold)
-                return pending.refuse(hold, messages.RefusalReason.NO_DISPATCHER)
+                self.abandon(request)
+                return pending.local_refusal(
+                    request, messages.RefusalReason.NO_DISPATCHER
+                )
             if attempt is None:
-                attempt = self.first_heard(ranked, now)
-            self.ask(hold, ranked[attempt % len(ranked)], now)
-            if not await self.is_heard(hold):
-                self.silence.note(hold.holder, clock.now())
+                attempt = self.first_responsive(ranked, now)
+            self.ask(request, ranked[attempt % len(ranked)], now)
+            if not await self.wait_for_reply(request):
+                self.silence.note(request.dispatcher, clock.now())
                 attempt += 1
-                self.tell_running(hold, ranked[attempt % len(ranked)])
+                self.send_running(request, ranked[attempt % len(ranked)])
                 continue
-            self.silence.end(hold.holder)
-            if not hold.answer.done():
-                await self.wait_while_held(hold)
+            self.silence.end(request.dispatcher)
+            if not request.answer.done():
+                await self.wait_for_answer(request)
             attempt = None
-        return hold.answer.result()
+        return request.answer.result()
 
-    def first_heard(self, ranked: list[ids.InstanceId], now: ids.Instant) -> int:
+    def first_responsive(self, ranked: list[ids.InstanceId], now: ids.Instant) -> int:
         """Return the place of the first dispatcher that isn't known to be silent.
 
         A dead one is suspected after 1 s, or 3 s in a large group. Until then each
@@ -109,34 +111,39 @@
         return 0
 
     def ask(
-        self, hold: pending.PendingTicket, holder: ids.InstanceId, now: ids.Instant
+        self,
+        request: pending.PendingTicket,
+        dispatcher: ids.InstanceId,
+        now: ids.Instant,
     ) -> None:
         """Send the ticket to a dispatcher and withdraw it from the one before."""
-        if hold.holder is not None and hold.holder != holder:
-            self.tell(hold, pending.withdrawal(hold.ticket))
+        if request.dispatcher is not None and request.dispatcher != dispatcher:
+            self.send(request, pending.withdrawal(request.ticket))
         loop = asyncio.get_running_loop()
-        self.name_holder(hold, holder)
-        hold.moved = loop.create_future()
-        hold.heard = loop.create_future()
-        self.tell(hold, pending.current(hold, now))
+        self.set_dispatcher(request, dispatcher)
+        request.moved = loop.create_future()
+        request.replied = loop.create_future()
+        self.send(request, pending.current(request, now))
 
-    def name_holder(self, hold: pending.PendingTicket, holder: ids.InstanceId) -> None:
+    def set_dispatcher(
+        self, request: pending.PendingTicket, dispatcher: ids.InstanceId
+    ) -> None:
         """Remember which process has a ticket."""
-        heartbeat = self.members.find(holder)
-        hold.holder = holder
-        hold.incarnation = None if heartbeat is None else heartbeat.incarnation
+        heartbeat = self.members.find(dispatcher)
+        request.dispatcher = dispatcher
+        request.incarnation = None if heartbeat is None else heartbeat.incarnation
 
-    async def is_heard(self, hold: pending.PendingTicket) -> bool:
+    async def wait_for_reply(self, request: pending.PendingTicket) -> bool:
         """Tell whether the dispatcher answered the ticket in time."""
         loop = asyncio.get_running_loop()
-        timer = loop.call_later(self.ticket_timeout, hold.hear, False)
+        timer = loop.call_later(self.ticket_timeout, request.set_replied, False)
         try:
-            return await hold.heard
+            return await request.replied
         finally:
             timer.cancel()
 
-    def tell_running(
-        self, waiting: pending.PendingTicket, holder: ids.InstanceId
+    def send_running(
+        self, waiting: pending.PendingTicket, dispatcher: ids.InstanceId
     ) -> None:
         """Tell the next in rank what runs in a cell, before it's asked for slots.
 
@@ -145,86 +152,93 @@
         would wait inside the engines, where no tier goes before another.
         """
         cell = waiting.ticket.cell
-        peer = self.members.endpoint_of(holder)
-        if peer is None or (cell, holder) in self.told:
+        peer = self.members.endpoint_of(dispatcher)
+        if peer is None or (cell, dispatcher) in self.informed:
             return
-        self.told.add((cell, holder))
+        self.informed.add((cell, dispatcher))
         now = clock.now()
-        for hold in self.holds.values():
-            if hold.ticket.cell == cell and hold.ticket.running_on is not None:
-                self.transport.send(peer, pending.current(hold, now))
+        for request in self.pending_tickets.values():
+            if request.ticket.cell == cell and request.ticket.running_on is not None:
+                self.transport.send(peer, pending.current(request, now))
 
-    async def wait_while_held(self, hold: pending.PendingTicket) -> None:
+    async def wait_for_answer(self, request: pending.PendingTicket) -> None:
         """Wait for the answer while the dispatcher stays the one to ask."""
-        timeout = max(0.0, hold.deadline - clock.now())
+        timeout = max(0.0, request.deadline - clock.now())
         await asyncio.wait(
-            (hold.answer, hold.moved),
+            (request.answer, request.moved),
             timeout=timeout,
             return_when=asyncio.FIRST_COMPLETED,
         )
 
-    def leave(self, hold: pending.PendingTicket) -> None:
+    def abandon(self, request: pending.PendingTicket) -> None:
         """Give up a ticket, or a grant that wasn't used."""
-        self.forget(hold)
-        if hold.holder is not None:
-            self.tell(hold, pending.withdrawal(hold.ticket))
+        self.forget(request)
+        if request.dispatcher is not None:
+            self.send(request, pending.withdrawal(request.ticket))
 
-    def finish(self, hold: pending.PendingTicket, done: messages.Done) -> None:
+    def finish(self, request: pending.PendingTicket, done: messages.Done) -> None:
         """Tell the dispatcher that a dispatched request has ended.
 
         The listeners go first: a mark against a request that crashed its server
         must reach the dispatcher before the news that the slot is free, or the
         next copy of the request would be granted a slot at once.
         """
-        self.forget(hold)
+        self.forget(request)
         for listener in self.listeners:
-            listener(hold.ticket, done, hold.alone, clock.now())
-        self.tell(hold, done)
+            listener(request.ticket, done, request.alone, clock.now())
+        self.send(request, done)
 
-    def forget(self, hold: pending.PendingTicket) -> None:
+    def forget(self, request: pending.PendingTicket) -> None:
         """Let go of a ticket that neither waits nor runs any more."""
-        if self.holds.pop(hold.ticket.ticket_id, None) is not None:
-            self.spread.end(hold.ticket.cell)
+        if self.pending_tickets.pop(request.ticket.ticket_id, None) is not None:
+            self.spread.end(request.ticket.cell)
 
-    def tell(self, hold: pending.PendingTicket, sent: message.Message) -> None:
+    def send(self, request: pending.PendingTicket, sent: message.Message) -> None:
         """Send a message to the ticket's dispatcher, if its address is known."""
-        peer = self.members.endpoint_of(hold.holder)
+        peer = self.members.endpoint_of(request.dispatcher)
         if peer is not None:
             self.transport.send(peer, sent)
 
-    def follow_ranking(self) -> None:
+    def reassign_all(self) -> None:
         """Take tickets to the dispatcher that the ranking names from now on.
 
         Called when the set of serving instances changes. Running requests are
         told to the new dispatcher too: it would promise their slots twice.
         """
         now = clock.now()
-        self.told.clear()
+        self.informed.clear()
         # Ranked once for each cell: for each of hundreds of tickets it would keep the
         # event loop from first tokens for as long as a caller may wait for one.
         first: dict[tuple[ids.CellId, ids.DataCentreId | None], list[ids.InstanceId]]
         first = {}
-        for hold in list(self.holds.values()):
-            place = (hold.ticket.cell, hold.near)
+        for request in list(self.pending_tickets.values()):
+            place = (request.ticket.cell, request.near)
             if place not in first:
-                first[place] = self.members.rank(hold.ticket.cell, now, hold.near)[:1]
+                first[place] = self.members.rank(
+                    request.ticket.cell, now, request.near
+                )[:1]
             for instance in first[place]:
-                self.follow(hold, instance, now)
+                self.reassign(request, instance, now)
 
-    def follow(
-        self, hold: pending.PendingTicket, first: ids.InstanceId, now: ids.Instant
+    def reassign(
+        self,
+        request: pending.PendingTicket,
+        first: ids.InstanceId,
+        now: ids.Instant,
     ) -> None:
         """Take a ticket to the first in rank, unless that one has it."""
-        if self.is_held_by(hold, first):
+        if self.is_assigned_to(request, first):
             return
-        if hold.ticket.running_on is None:
-            pending.move(hold)
+        if request.ticket.running_on is None:
+            pending.signal_move(request)
             return
-        self.tell(hold, pending.withdrawal(hold.ticket))
-        self.name_holder(hold, first)
-        self.tell(hold, pending.current(hold, now))
+        self.send(request, pending.withdrawal(request.ticket))
+        self.set_dispatcher(request, first)
+        self.send(request, pending.current(request, now))
 
-    def is_held_by(self, hold: pending.PendingTicket, instance: ids.InstanceId) -> bool:
+    def is_assigned_to(
+        self, request: pending.PendingTicket, instance: ids.InstanceId
+    ) -> bool:
         """Tell whether the process now under a name is the one that was asked.
 
         A dispatcher that was restarted within the time to suspect it never looks
@@ -232,9 +246,9 @@
         """
         heartbeat = self.members.find(instance)
         return (
-            instance == hold.holder
+            instance == request.dispatcher
             and heartbeat is not None
-            and heartbeat.incarnation == hold.incarnation
+            and heartbeat.incarnation == request.incarnation
         )
 
     async def refresh(self) -> None:
@@ -247,51 +261,58 @@
         while True:
             await asyncio.sleep(REFRESH_INTERVAL)
             now = clock.now()
-            for hold in list(self.holds.values()):
-                if now - hold.since >= REFRESH_INTERVAL and hold.holder is not None:
-                    self.tell(hold, pending.current(hold, now))
+            for request in list(self.pending_tickets.values()):
+                if (
+                    now - request.since >= REFRESH_INTERVAL
+                    and request.dispatcher is not None
+                ):
+                    self.send(request, pending.current(request, now))
 
     def mark_running(
         self,
-        hold: pending.PendingTicket,
+        request: pending.PendingTicket,
         server: ids.BackendServerId,
         start: ids.ServerStart = ids.NO_START,
     ) -> None:
         """Remember where a ticket's request runs, for a new dispatcher."""
-        hold.ticket = msgspec.structs.replace(
-            hold.ticket, running_on=server, running_start=start
+        request.ticket = msgspec.structs.replace(
+            request.ticket, running_on=server, running_start=start
         )
 
-    def take_queued(self, sender: ids.InstanceId, queued: messages.Queued) -> None:
+    def handle_queued(self, sender: ids.InstanceId, queued: messages.Queued) -> None:
         """Note that a dispatcher has a ticket."""
         self.silence.end(sender)
-        hold = self.holds.get(queued.ticket_id)
-        if hold is not None and hold.holder == sender:
-            hold.hear()
+        request = self.pending_tickets.get(queued.ticket_id)
+        if request is not None and request.dispatcher == sender:
+            request.set_replied()
 
-    def take_grant(self, sender: ids.InstanceId, grant: messages.Grant) -> None:
+    def handle_grant(self, sender: ids.InstanceId, grant: messages.Grant) -> None:
         """Use the first grant of a ticket, and return every other one.
 
         A ticket that was asked of two dispatchers, since the first was silent for
         a while, may get a slot from both.
         """
         self.silence.end(sender)
-        hold = self.holds.get(grant.ticket_id)
-        if hold is not None and hold.holder == sender and not hold.answer.done():
-            hold.hear()
+        request = self.pending_tickets.get(grant.ticket_id)
+        if (
+            request is not None
+            and request.dispatcher == sender
+            and not request.answer.done()
+        ):
+            request.set_replied()
             if self.spread.has_left(grant.cell, grant.server, grant.revision):
-                self.decline(hold, grant)
+                self.decline(request, grant)
             else:
-                hold.answer.set_result(grant)
+                request.answer.set_result(grant)
             return
-        if hold is not None and hold.holder == sender:
+        if request is not None and request.dispatcher == sender:
             return
         peer = self.members.endpoint_of(sender)
         if peer is not None:
             returned = messages.Withdrawal(ticket_id=grant.ticket_id, cell=grant.cell)
             self.transport.send(peer, returned)
 
-    def decline(self, hold: pending.PendingTicket, grant: messages.Grant) -> None:
+    def decline(self, request: pending.PendingTicket, grant: messages.Grant) -> None:
         """Give back a slot of a server that has left, and ask for another one.
 
         The dispatcher's list is older than this instance's.
@@ -300,32 +321,36 @@
         log.info(
             "declined {}, which has left: granted by {} with the pool of revision {}",
             grant.server,
-            hold.holder,
+            request.dispatcher,
             grant.revision,
-            extra={"request": hold.ticket.request_id},
+            extra={"request": request.ticket.request_id},
         )
-        self.tell(hold, pending.withdrawal(hold.ticket))
-        if grant.server in hold.ticket.excluded:
+        self.send(request, pending.withdrawal(request.ticket))
+        if grant.server in request.ticket.excluded:
             # It knows no other server.
-            self.forget(hold)
+            self.forget(request)
             reason = messages.RefusalReason.NO_BACKEND_SERVER
-            hold.answer.set_result(pending.refuse(hold, reason))
+            request.answer.set_result(pending.local_refusal(request, reason))
             return
-        excluded = (*hold.ticket.excluded, grant.server)
-        hold.ticket = msgspec.structs.replace(hold.ticket, excluded=excluded)
-        self.tell(hold, pending.current(hold, clock.now()))
+        excluded = (*request.ticket.excluded, grant.server)
+        request.ticket = msgspec.structs.replace(request.ticket, excluded=excluded)
+        self.send(request, pending.current(request, clock.now()))
 
-    def take_refusal(self, sender: ids.InstanceId, refusal: messages.Refusal) -> None:
+    def handle_refusal(self, sender: ids.InstanceId, refusal: messages.Refusal) -> None:
         """Take the word of the ticket's present dispatcher only."""
         self.silence.end(sender)
-        hold = self.holds.get(refusal.ticket_id)
-        if hold is not None and hold.holder == sender and not hold.answer.done():
-            self.forget(hold)
-            hold.answer.set_result(refusal)
-            hold.hear()
-
-    def take_preempt(self, sender: ids.InstanceId, preempt: messages.Preempt) -> None:
+        request = self.pending_tickets.get(refusal.ticket_id)
+        if (
+            request is not None
+            and request.dispatcher == sender
+            and not request.answer.done()
+        ):
+            self.forget(request)
+            request.answer.set_result(refusal)
+            request.set_replied()
+
+    def handle_preempt(self, sender: ids.InstanceId, preempt: messages.Preempt) -> None:
         """Pass on the order to stop a running request."""
-        hold = self.holds.get(preempt.ticket_id)
-        if hold is not None and not hold.preempted.done():
-            hold.preempted.set_result(preempt)
+        request = self.pending_tickets.get(preempt.ticket_id)
+        if request is not None and not request.preempted.done():
+            request.preempted.set_result(preempt)
--- a/src/tealcove/dispatch/role.py
+++ b/src/tealcove/dispatch/role.py
@@ -41,7 +41,7 @@
 # A tick that comes later than this means that the process was frozen.
 FROZEN_AFTER = 0.75
 # Ends of a request that tell of a server which can't be reached.
-LOST = (messages.Outcome.NOT_SENT, messages.Outcome.CRASHED)
+SERVER_LOST = (messages.Outcome.NOT_SENT, messages.Outcome.CRASHED)
 
 FindCell = Callable[[ids.CellId], cells.Cell | None]
 
@@ -92,12 +92,12 @@
 
     def start(self) -> None:
         """Begin to take tickets."""
-        self.transport.handle(messages.Ticket, self.take_ticket)
-        self.transport.handle(messages.Withdrawal, self.take_withdrawal)
-        self.transport.handle(messages.Progress, self.take_progress)
-        self.transport.handle(messages.Done, self.take_done)
-        self.transport.handle(holds.Hold, self.take_hold)
-        self.members.listen(self.note_change)
+        self.transport.handle(messages.Ticket, self.handle_ticket)
+        self.transport.handle(messages.Withdrawal, self.handle_withdrawal)
+        self.transport.handle(messages.Progress, self.handle_progress)
+        self.transport.handle(messages.Done, self.handle_done)
+        self.transport.handle(holds.Hold, self.handle_hold)
+        self.members.listen(self.record_membership_change)
         self.ticker = tasks.start(self.tick(), "dispatcher tick")
 
     async def stop(self) -> None:
@@ -107,10 +107,10 @@
         ]
         await tasks.stop([self.ticker, *polls])
 
-    def take_ticket(self, sender: ids.InstanceId, ticket: messages.Ticket) -> None:
+    def handle_ticket(self, sender: ids.InstanceId, ticket: messages.Ticket) -> None:
         """Queue a ticket, or refuse it when its cell isn't known here."""
         self.spans.begin(ticket)
-        held = self.hold(ticket)
+        held = self.serve_cell(ticket)
         heartbeat = self.members.find(ticket.entry)
         if heartbeat is not None:
             self.entries[ticket.entry] = heartbeat.incarnation
@@ -125,7 +125,7 @@
         fitting = reading.exclude_unequipped(ticket, held.holdings)
         self.send(held.decider.enqueue(fitting, clock.now()))
 
-    def take_hold(self, sender: ids.InstanceId, hold: holds.Hold) -> None:
+    def handle_hold(self, sender: ids.InstanceId, hold: holds.Hold) -> None:
         """Keep a server from new work, or end that, and report to the steward."""
         now = clock.now()
         self.holds.take(hold, now)
@@ -140,7 +140,7 @@
         if peer is not None:
             self.transport.send(peer, report)
 
-    def take_withdrawal(
+    def handle_withdrawal(
         self, sender: ids.InstanceId, withdrawal: messages.Withdrawal
     ) -> None:
         """Forget a ticket."""
@@ -149,7 +149,7 @@
         if held is not None:
             self.send(held.decider.withdraw(withdrawal.ticket_id, clock.now()))
 
-    def take_progress(
+    def handle_progress(
         self, sender: ids.InstanceId, progress: messages.Progress
     ) -> None:
         """Learn of a first token."""
@@ -157,15 +157,15 @@
         if held is not None:
             self.send(held.decider.progress(progress, clock.now()))
 
-    def take_done(self, sender: ids.InstanceId, done: messages.Done) -> None:
+    def handle_done(self, sender: ids.InstanceId, done: messages.Done) -> None:
         """Learn that a slot is free."""
         held = self.held.get(done.cell)
         if held is not None:
-            if done.outcome in LOST:
+            if done.outcome in SERVER_LOST:
                 held.lost[done.server] = clock.now()
             self.send(held.decider.done(done, clock.now()))
 
-    def hold(self, ticket: messages.Ticket) -> heldcell.HeldCell | None:
+    def serve_cell(self, ticket: messages.Ticket) -> heldcell.HeldCell | None:
         """Return a ticket's cell, served from now on; None: it doesn't exist."""
         held = self.held.get(ticket.cell)
         if held is not None:
@@ -203,14 +203,14 @@
         is_new = ticket.running_on is None and ticket.waited < WAITED_ELSEWHERE
         return not (is_settled and is_new)
 
-    def decided(self) -> dict[ids.PoolId, list[backendview.BackendView]]:
+    def views_by_pool(self) -> dict[ids.PoolId, list[backendview.BackendView]]:
         """Return the servers of each pool for which this instance decides."""
         found: dict[ids.PoolId, list[backendview.BackendView]] = {}
         for held in self.held.values():
             found.setdefault(held.cell.pool, []).extend(held.decider.backend_views())
         return found
 
-    def note_change(self) -> None:
+    def record_membership_change(self) -> None:
         """Remember that the set of serving instances has just changed."""
         self.members_changed = clock.now()
 
@@ -237,7 +237,7 @@
             await asyncio.sleep(TICK_INTERVAL)
             now = clock.now()
             if now - before > FROZEN_AFTER:
-                self.note_frozen(now)
+                self.handle_freeze(now)
             before = now
             try:
                 self.advance(now)
@@ -272,7 +272,7 @@
             del self.held[cell_id]
             held.stop()
 
-    def note_frozen(self, now: ids.Instant) -> None:
+    def handle_freeze(self, now: ids.Instant) -> None:
         """Let the entries tell again what runs.
 
         While this process was frozen, the next in rank may have granted slots
@@ -307,14 +307,14 @@
     def send(self, outgoing: list[scheduler.Outgoing]) -> None:
         """Tell the entries what was decided."""
         for out in outgoing:
-            self.note(out.message)
+            self.record(out.message)
             peer = self.members.endpoint_of(out.entry)
             if peer is None:
                 log.warning("no address of {} for {}", out.entry, out.message)
                 continue
             self.transport.send(peer, out.message)
 
-    def note(
+    def record(
         self,
         sent: messages.Grant | messages.Refusal | messages.Preempt | messages.Queued,
     ) -> None:
--- a/src/tealcove/dispatch/tests/test_requester.py
+++ b/src/tealcove/dispatch/tests/test_requester.py
@@ -52,8 +52,8 @@
             prefix=(),
             remaining=0.0,
         )
-        self.hold = pending.PendingTicket(ticket, self.far(), None)
-        self.obtaining = asyncio.create_task(self.requester.obtain(self.hold))
+        self.pending_ticket = pending.PendingTicket(ticket, self.far(), None)
+        self.obtaining = asyncio.create_task(self.requester.obtain(self.pending_ticket))
         ranked = self.members.rank(CELL, clock.now())
         self.first, self.second = ranked
 
@@ -61,10 +61,10 @@
         """Return a deadline that no test comes near to."""
         return ids.Instant(clock.now() + 1000.0)
 
-    def another_hold(self) -> pending.PendingTicket:
+    def another_pending_ticket(self) -> pending.PendingTicket:
         """Return another request's ticket for the same cell."""
         ticket = msgspec.structs.replace(
-            self.hold.ticket, ticket_id=ids.new_ticket_id()
+            self.pending_ticket.ticket, ticket_id=ids.new_ticket_id()
         )
         return pending.PendingTicket(ticket, self.far(), None)
 
@@ -83,8 +83,8 @@
 
     def queue_at(self, instance: ids.InstanceId) -> None:
         """Let an instance answer that it has the ticket."""
-        queued = messages.Queued(ticket_id=self.hold.ticket.ticket_id)
-        self.requester.take_queued(instance, queued)
+        queued = messages.Queued(ticket_id=self.pending_ticket.ticket.ticket_id)
+        self.requester.handle_queued(instance, queued)
 
     def configure(self, revision: int, *leaving: str) -> None:
         """Put a pool in force, some of whose servers leave."""
@@ -118,14 +118,14 @@
     ) -> None:
         """Let an instance grant a slot."""
         grant = messages.Grant(
-            ticket_id=self.hold.ticket.ticket_id,
+            ticket_id=self.pending_ticket.ticket.ticket_id,
             cell=CELL,
             server=ids.BackendServerId(server),
             host="127.0.0.1",
             port=1,
             revision=ids.Revision(revision),
         )
-        self.requester.take_grant(instance, grant)
+        self.requester.handle_grant(instance, grant)
 
     def returned_to(self, instance: ids.InstanceId) -> int:
         """Return how many withdrawals an instance was sent."""
@@ -156,7 +156,7 @@
     before = asking.returned_to(asking.first)
     asking.grant_from(asking.first)
     assert asking.returned_to(asking.first) == before + 1
-    assert asking.hold.answer.result() is grant
+    assert asking.pending_ticket.answer.result() is grant
 
 
 async def test_the_next_ticket_is_not_held_up_by_a_silent_dispatcher(
@@ -171,12 +171,14 @@
     await asking.asked(asking.second, 1)
     asking.queue_at(asking.second)
     asked = len(asking.mesh.to(asking.port(asking.first), messages.Ticket))
-    after = asyncio.create_task(asking.requester.obtain(asking.another_hold()))
+    after = asyncio.create_task(
+        asking.requester.obtain(asking.another_pending_ticket())
+    )
     await asking.asked(asking.second, 2)
     assert len(asking.mesh.to(asking.port(asking.first), messages.Ticket)) == asked
     # A late word shows that it was only slow: the next ticket is its own again.
     asking.queue_at(asking.first)
-    last = asyncio.create_task(asking.requester.obtain(asking.another_hold()))
+    last = asyncio.create_task(asking.requester.obtain(asking.another_pending_ticket()))
     await asking.asked(asking.first, asked + 1)
     after.cancel()
     last.cancel()
@@ -227,7 +229,7 @@
     asking.configure(2, "s")
     before = asking.returned_to(asking.first)
     asking.grant_from(asking.first, "s", 1)
-    assert not asking.hold.answer.done()
+    assert not asking.pending_ticket.answer.done()
     assert asking.returned_to(asking.first) == before + 1
     sent = asking.mesh.to(asking.port(asking.first), messages.Ticket)
     assert sent[-1].content.excluded == ("s",)
@@ -247,7 +249,7 @@
     asking.grant_from(asking.first, "s", 1)
     refusal = await asking.obtaining
     assert refusal.reason is messages.RefusalReason.NO_BACKEND_SERVER
-    assert not asking.requester.holds
+    assert not asking.requester.pending_tickets
 
 
 async def test_a_dispatcher_with_a_newer_list_is_believed(asking: Asking) -> None:
@@ -261,13 +263,13 @@
     await asking.asked(asking.second, 1)
     asking.queue_at(asking.second)
     refusal = messages.Refusal(
-        ticket_id=asking.hold.ticket.ticket_id,
+        ticket_id=asking.pending_ticket.ticket.ticket_id,
         reason=messages.RefusalReason.OVERLOAD,
         retry_after=1.0,
     )
-    asking.requester.take_refusal(asking.first, refusal)
-    assert not asking.hold.answer.done()
-    asking.requester.take_refusal(asking.second, refusal)
+    asking.requester.handle_refusal(asking.first, refusal)
+    assert not asking.pending_ticket.answer.done()
+    asking.requester.handle_refusal(asking.second, refusal)
     assert await asking.obtaining is refusal
 
 
@@ -283,7 +285,7 @@
     await asking.obtaining
     assert asking.requester.spread.tickets == {CELL: 1}
     done = messages.Done(
-        ticket_id=asking.hold.ticket.ticket_id,
+        ticket_id=asking.pending_ticket.ticket.ticket_id,
         cell=CELL,
         server=ids.BackendServerId("s"),
         outcome=messages.Outcome.COMPLETED,
@@ -293,6 +295,6 @@
         first_token_seconds=0.1,
         total_seconds=0.2,
     )
-    asking.requester.finish(asking.hold, done)
+    asking.requester.finish(asking.pending_ticket, done)
     assert not asking.requester.spread.tickets
-    assert not asking.requester.holds
+    assert not asking.requester.pending_tickets
--- a/src/tealcove/dispatch/tests/test_role.py
+++ b/src/tealcove/dispatch/tests/test_role.py
@@ -85,7 +85,7 @@
 
     def ask(self, **changes: object) -> messages.Ticket:
         ticket = builders.ticket(**{"entry": self.peer.instance, **changes})
-        self.role.take_ticket(ticket.entry, ticket)
+        self.role.handle_ticket(ticket.entry, ticket)
         return ticket
 
     def settle(self) -> None:
@@ -137,7 +137,7 @@
     await serving.until(lambda: not decider.is_gathering)
     assert not serving.sent(messages.Grant)
     done = builders.done(msgspec.structs.replace(grant_of(running[0]), server="s0"))
-    serving.role.take_done(serving.peer.instance, done)
+    serving.role.handle_done(serving.peer.instance, done)
     granted = serving.sent(messages.Grant)
     assert [grant.ticket_id for grant in granted] == [waiting.ticket_id]
 
@@ -196,7 +196,7 @@
     loads = serving.engines.loads
     await serving.until(lambda: serving.engines.loads > loads)
     crashed = builders.done(grant_of(ticket), outcome=messages.Outcome.CRASHED)
-    serving.role.take_done(serving.peer.instance, crashed)
+    serving.role.handle_done(serving.peer.instance, crashed)
     serving.engines.reachable = False
     late = serving.engines.loads
     # Lets the held reading go on, and holds the next one, which only begins once
@@ -247,7 +247,7 @@
     serving.role.release_cells(late)
     assert builders.CELL in serving.role.held
     withdrawal = messages.Withdrawal(ticket_id=ticket.ticket_id, cell=ticket.cell)
-    serving.role.take_withdrawal(serving.peer.instance, withdrawal)
+    serving.role.handle_withdrawal(serving.peer.instance, withdrawal)
     serving.members.rank = lambda *of: [serving.members.own.instance]
     serving.role.release_cells(ids.Instant(late + 2 * role.RELEASE_AFTER))
     assert builders.CELL in serving.role.held
--- a/src/tealcove/entry/exchange.py
+++ b/src/tealcove/entry/exchange.py
@@ -173,7 +173,7 @@
             with self.hops.ticket(hold):
                 found = await self.tickets.obtain(hold)
         except asyncio.CancelledError:
-            self.tickets.leave(hold)
+            self.tickets.abandon(hold)
             raise
         if isinstance(found, messages.Refusal):
             self.state.give_up()
@@ -202,7 +202,7 @@
             if clock.now() >= self.request.deadline:
                 raise problem.not_run(messages.RefusalReason.DEADLINE, RETRY_AFTER)
         except BaseException:
-            self.tickets.leave(hold)
+            self.tickets.abandon(hold)
             self.state.give_up()
             raise
 
--- a/src/tealcove/entry/generation.py
+++ b/src/tealcove/entry/generation.py
@@ -170,7 +170,7 @@
             cell=hold.ticket.cell,
             first_token_seconds=self.first_token_at - self.dispatched_at,
         )
-        self.tickets.tell(hold, progress)
+        self.tickets.send(hold, progress)
 
     def usage(self) -> engine.Usage:
         """See Exchange."""
--- a/src/tealcove/entry/tests/builders.py
+++ b/src/tealcove/entry/tests/builders.py
@@ -60,7 +60,7 @@
     def finish(self, hold: pending.PendingTicket, done: messages.Done) -> None:
         self.ended.append(done.outcome)
 
-    def leave(self, hold: pending.PendingTicket) -> None:
+    def abandon(self, hold: pending.PendingTicket) -> None:
         self.ended.append(messages.Outcome.NOT_SENT)
 
 
--- a/src/tealcove/entry/witnessing.py
+++ b/src/tealcove/entry/witnessing.py
@@ -83,9 +83,9 @@
     """Tell the dispatcher whose the ticket of a running request is now."""
     now = clock.now()
     ticket = hold.ticket
-    tickets.holds[ticket.ticket_id] = hold
+    tickets.pending_tickets[ticket.ticket_id] = hold
     tickets.spread.begin(ticket.cell)
     ranked = tickets.members.rank(ticket.cell, now, hold.near)
     if ranked:
-        tickets.name_holder(hold, ranked[0])
-        tickets.tell(hold, pending.current(hold, now))
+        tickets.set_dispatcher(hold, ranked[0])
+        tickets.send(hold, pending.current(hold, now))
--- a/src/tealcove/front/instance.py
+++ b/src/tealcove/front/instance.py
@@ -143,7 +143,7 @@
         self.spread = spread.Spread(self.pools, lambda other: 0.0, CELL_SERVERS)
         self.rollouts = keeper.Keeper(
             rollouts.StoreOrders(services.StoreTable(self.store)),
-            lambda: self.dispatcher.decided(),
+            lambda: self.dispatcher.views_by_pool(),
         )
         self.dispatcher = role.Dispatcher(
             self.mesh,
--- a/src/tealcove/ingress/exchange.py
+++ b/src/tealcove/ingress/exchange.py
@@ -170,7 +170,7 @@
         try:
             found = await self.services.tickets.obtain(hold)
         except asyncio.CancelledError:
-            self.services.tickets.leave(hold)
+            self.services.tickets.abandon(hold)
             raise
         if isinstance(found, messages.Refusal):
             if self.runs:
--- a/src/tealcove/ingress/report.py
+++ b/src/tealcove/ingress/report.py
@@ -34,7 +34,7 @@
             cell=self.hold.ticket.cell,
             first_token_seconds=now - self.sent_at,
         )
-        self.tickets.tell(self.hold, progress)
+        self.tickets.send(self.hold, progress)
 
     def end(
         self, outcome: messages.Outcome, tokens: int, now: ids.Instant
