--- a/src/tealcove/dispatch/backendview.py
+++ b/src/tealcove/dispatch/backendview.py
@@ -1,4 +1,4 @@
-"""A backend server as the goal scheduler sees it: slots, runs, speed, failures."""
+"""The goal scheduler's state of a backend server: slots, runs, speed, failures."""
 
 from __future__ import annotations
 
@@ -8,29 +8,30 @@
 from tealcove.dispatch import messages, prefill
 from tealcove.resources import kinds
 
-# What is taken for a server's speed until the first completions tell: those of a
-# fast engine, since a guess that is too slow would refuse work it could serve.
+# A server's speed before its first completions, in seconds: that of a fast engine,
+# since a speed that is too slow would refuse work it could serve.
 INITIAL_TOKEN_SECONDS = 0.006
 INITIAL_CALL_SECONDS = 0.08
-# A server of which nothing is known may be so many times slower than that. Entries that
-# take the guess for a prediction send requests anew which are only being read, after
-# all instances have ended at once.
+# Factor on the initial estimates that are sent to entries, since an unmeasured server
+# may be so many times slower. With plain estimates, after all instances have ended at
+# once, entries would resend requests that are still in prefill.
 GUESS_MARGIN = 4.0
-# The weight of a new observation: two of them count for more than all before, so
-# that a server that has slowed down is known after two completions.
+# The weight of a new observation: two of them count for more than all before, so that
+# a slowdown is noticed after two completions.
 OBSERVATION_WEIGHT = 0.4
-# Outputs below this tell nothing of the time that a token takes.
+# Shorter outputs aren't used to learn the time per token.
 MIN_OUTPUT_TOKENS = 8
-# Weight of one more failure or success in a server's share of failures.
+# Weight of a new outcome in a server's failure rate.
 FAILURE_WEIGHT = 0.15
-# Seconds for which a server gets nothing after it couldn't be reached; doubled up
-# to the longest while that goes on. Its entry is dropped after some seconds anyway.
+# Seconds for which an unreachable server gets no requests; doubled up to the maximum
+# while it stays unreachable. It's dropped from the list after some seconds anyway.
 MIN_PAUSE = 0.3
 MAX_PAUSE = 2.0
-# A run is overdue beyond its prediction times this, plus the grace in seconds.
+# A run is overdue after its predicted time times this factor, plus the grace period in
+# seconds.
 OVERDUE_FACTOR = 3.0
 OVERDUE_GRACE = 0.4
-# Failures in a row after which a server only gets one request at a time.
+# Consecutive failures after which a server only gets one request at a time.
 FAILURES_TO_PROBE = 4
 
 
@@ -39,26 +40,26 @@
 
     ticket: messages.Ticket
     started: ids.Instant
-    # When its entry last told of it.
+    # When its entry last sent its ticket.
     refreshed_at: ids.Instant
-    # What is to be read before its first token, prompts of others included; see
+    # Prefill work before its first token, including other prompts; see
     # prefill.QuadraticCost.
     work: float = 0.0
     # Predicted seconds to the first token and to the end.
     first: float = 0.0
     total: float = 0.0
     has_first_token: bool = False
-    # Granted by another dispatcher, so that its times can't be learnt from.
+    # Granted by another dispatcher, so its timing isn't used for learning.
     is_adopted: bool = False
 
     def is_overdue(self, now: ids.Instant) -> bool:
-        """Tell whether the run should have shown something long ago."""
+        """Tell whether the run has far exceeded its predicted time."""
         expected = self.total if self.has_first_token else self.first
         return now - self.started > expected * OVERDUE_FACTOR + OVERDUE_GRACE
 
 
 class BackendView:
-    """What is known of one backend server."""
+    """State and speed estimates of one backend server."""
 
     def __init__(
         self, spec: kinds.BackendServerSpec, quadratic: prefill.QuadraticCost
@@ -71,36 +72,36 @@
         self.token_seconds = INITIAL_TOKEN_SECONDS
         self.call_seconds = INITIAL_CALL_SECONDS
         self.observations = 0
-        # Share of its requests that fail, lately.
+        # Recent failure rate of its requests.
         self.failures = 0.0
         self.failed_in_row = 0
         self.paused_until = ids.Instant(0.0)
-        # When a run last showed a first token or its end.
+        # When a run last produced a first token or completed.
         self.last_activity = ids.Instant(0.0)
         self.pause = MIN_PAUSE
 
     def announced_first_seconds(self, run: Run) -> float:
-        """Return by when an entry may expect a run's first event, in seconds."""
+        """Return the seconds to a run's first event that are sent to its entry."""
         return run.first if self.is_measured() else GUESS_MARGIN * run.first
 
     def is_measured(self) -> bool:
-        """Tell whether its speed was observed, and not only that of others."""
+        """Tell whether its own speed was observed."""
         return self.observations > 0 or self.prefill.works > 0.0
 
     def free_slots(self, now: ids.Instant) -> int:
-        """Return how many more requests it may get now."""
+        """Return how many more requests it may receive now."""
         if self.spec.state is not kinds.ServerState.SERVING or now < self.paused_until:
             return 0
         slots = 1 if self.failed_in_row >= FAILURES_TO_PROBE else self.spec.slots
         free = slots - len(self.runs)
-        # Most servers are full when it's asked most often.
+        # Checked last, since most servers are full when this is called most often.
         return 0 if free > 0 and self.is_stalled(now) else free
 
     def is_stalled(self, now: ids.Instant) -> bool:
-        """Tell whether it hangs: a run is overdue, and no other shows anything.
+        """Tell whether it hangs: a run is overdue, and no later activity was seen.
 
-        A server may lose single answers and serve all else well. Were it left alone
-        for one overdue run, most servers would stand idle while some lose answers.
+        A server may lose single answers and serve all others well. If one overdue run
+        were enough, most servers would be idle whenever some of them lose answers.
         """
         return any(
             run.is_overdue(now) and self.last_activity <= run.started
@@ -108,7 +109,7 @@
         )
 
     def pending(self, now: ids.Instant) -> float:
-        """Return what it still has to read; see prefill.QuadraticCost."""
+        """Return the remaining prefill work; see prefill.QuadraticCost."""
         return sum(
             self.prefill.remaining_work(run.ticket.prompt_tokens, now - run.started)
             for run in self.runs.values()
@@ -122,7 +123,7 @@
         return self.prefill.first_seconds(self.work(ticket, pending))
 
     def work(self, ticket: messages.Ticket, pending: float) -> float:
-        """Return what is to be read before a ticket's first token."""
+        """Return the prefill work before a ticket's first token."""
         return pending + self.prefill.quadratic.work(ticket.prompt_tokens)
 
     def total_seconds(self, ticket: messages.Ticket, pending: float) -> float:
@@ -166,27 +167,27 @@
         return OBSERVATION_WEIGHT if self.observations else 1.0
 
     def record_success(self) -> None:
-        """Take a served request into the share of failures."""
+        """Update the failure rate after a completed request."""
         self.failures -= FAILURE_WEIGHT * self.failures
         self.failed_in_row = 0
         self.pause = MIN_PAUSE
 
     def record_failure(self) -> None:
-        """Take a failed request into the share of failures."""
+        """Update the failure rate after a failed request."""
         self.failures += FAILURE_WEIGHT * (1.0 - self.failures)
         self.failed_in_row += 1
 
     def record_unreachable(self, now: ids.Instant) -> None:
-        """Give it nothing for a while."""
+        """Pause the server, for longer each time in a row."""
         self.paused_until = ids.Instant(now + self.pause)
         self.pause = min(MAX_PAUSE, 2 * self.pause)
 
 
 def expected_tokens(ticket: messages.Ticket) -> int:
-    """Return the output tokens of a ticket that are likely."""
+    """Return the expected output tokens of a ticket, or else its upper bound."""
     return ticket.expected_tokens or ticket.output_tokens
 
 
 def stream_seconds(ticket: messages.Ticket, server: BackendView) -> float:
-    """Return the seconds from a ticket's first token to its end at a server."""
+    """Return the seconds from a ticket's first token to its end on a server."""
     return expected_tokens(ticket) * server.token_seconds
--- a/src/tealcove/dispatch/backendviews.py
+++ b/src/tealcove/dispatch/backendviews.py
@@ -1,4 +1,4 @@
-"""The backend servers of a cell as the goal scheduler sees them, and their runs."""
+"""The goal scheduler's state of a cell's backend servers and their runs."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 
 
 class Estimate(msgspec.Struct, frozen=True):
-    """What a ticket takes with nothing else running, in seconds."""
+    """The time that a ticket takes on idle servers, in seconds."""
 
-    # To its first token and to its end, each at the best server it may go to.
+    # To its first token and to its end, each on the fastest server allowed for it.
     first: float
     total: float
-    # For how long one like it holds a slot, whichever it gets: the mean by how often
-    # slots of each server become free. By the fastest server's time alone an overload
-    # would seem smaller than it is, and callers would wait in vain.
+    # Mean time for which it holds a slot, weighted by how often slots of each server
+    # become free. The fastest server's time alone would make an overload look smaller
+    # than it is, and callers would wait only to be refused.
     slot_seconds: float
 
 
@@ -31,23 +31,23 @@
 
     def __init__(self) -> None:
         self.servers: dict[ids.BackendServerId, backendview.BackendView] = {}
-        # One for all, since they read for the same model.
+        # Shared by all servers, since they run the same model.
         self.quadratic = prefill.QuadraticCost()
         self.server_by_ticket: dict[ids.TicketId, backendview.BackendView] = {}
 
     def configure(self, cell: cells.Cell) -> None:
-        """Take over a new list of servers; runs at those that left are forgotten."""
+        """Apply a new list of servers, and drop the runs on removed ones."""
         names = set()
         for spec in cell.servers:
             name = ids.BackendServerId(spec.name)
             names.add(name)
             known = self.servers.get(name)
             if known is not None and known.spec.start != spec.start:
-                # Started again under its name: it runs nothing of before. Kept, these
-                # runs would hold slots until their callers leave, and the failures and
-                # speeds of the old start would count for the new one.
+                # Restarted under the same name, so its earlier runs have ended. If they
+                # were kept, they would hold slots until their callers leave, and the
+                # failures and speeds of the old start would count for the new one.
                 log.info(
-                    "{} is at start {}: was {}", name, spec.start, known.spec.start
+                    "{} restarted: start {}, was {}", name, spec.start, known.spec.start
                 )
                 self.remove(name)
                 known = None
@@ -59,12 +59,12 @@
             self.remove(name)
 
     def remove(self, name: ids.BackendServerId) -> None:
-        """Let go of a server with all its runs."""
+        """Remove a server with all its runs."""
         for ticket_id in self.servers.pop(name).runs:
             del self.server_by_ticket[ticket_id]
 
     def create_view(self, spec: kinds.BackendServerSpec) -> backendview.BackendView:
-        """Let a new server start from the speed of the middle one of the others."""
+        """Return a new server's state, with the speed of the median known server."""
         view = backendview.BackendView(spec, self.quadratic)
         known = [other for other in self.servers.values() if other.observations]
         if known:
@@ -76,14 +76,14 @@
         return view
 
     def excluded(self, ticket: messages.Ticket) -> frozenset[ids.BackendServerId]:
-        """Return the servers that a ticket mustn't get; none when that were all."""
+        """Return the servers that a ticket excludes; none if it excludes all."""
         excluded = frozenset(ticket.excluded)
         return frozenset() if excluded.issuperset(self.servers) else excluded
 
     def estimate(self, ticket: messages.Ticket) -> Estimate:
-        """Return what a ticket takes; zeros where there are no servers.
+        """Return the time that a ticket takes; zeros if there are no servers.
 
-        One pass over the servers, since it's made for each arrival.
+        One pass over the servers, since it's called for each arrival.
         """
         excluded = self.excluded(ticket)
         first = total = math.inf
@@ -110,11 +110,11 @@
         return server.start(ticket, now)
 
     def adopt(self, ticket: messages.Ticket, now: ids.Instant) -> None:
-        """Take in a request that another dispatcher granted."""
+        """Record a running request that another dispatcher granted."""
         server = self.servers.get(ticket.running_on)
         if server is None or ticket.running_start != server.spec.start:
-            # At another start: it ended with that, or this instance hasn't heard of
-            # the start yet, and will be told of the ticket again.
+            # For another start: either the request ended with it, or this instance
+            # doesn't know the start yet, and the ticket will be sent again.
             return
         known = server.runs.get(ticket.ticket_id)
         if known is not None:
@@ -128,25 +128,25 @@
     def release(
         self, ticket_id: ids.TicketId
     ) -> tuple[backendview.BackendView, backendview.Run] | None:
-        """Take a slot back; None when the ticket holds none."""
+        """Release a ticket's slot; return None if it holds none."""
         server = self.server_by_ticket.pop(ticket_id, None)
         if server is None:
             return None
         return server, server.runs.pop(ticket_id)
 
     def release_entry(self, entry: ids.InstanceId) -> None:
-        """Take back the slots of an entry that is gone.
+        """Release the slots of a lost entry.
 
-        The servers stop as soon as the entry's connections are gone.
+        The servers stop its requests as soon as its connections are closed.
         """
         for ticket_id, server in list(self.server_by_ticket.items()):
             if server.runs[ticket_id].ticket.entry == entry:
                 self.release(ticket_id)
 
     def release_stale(self, now: ids.Instant) -> None:
-        """Take back the slots of which no entry tells any more."""
+        """Release the slots whose tickets are no longer refreshed."""
         since = now - scheduler.REFRESH_TIMEOUT
         for ticket_id, server in list(self.server_by_ticket.items()):
             if server.runs[ticket_id].refreshed_at < since:
-                log.info("slot of {} at {} is given up: untold", ticket_id, server.name)
+                log.info("released slot of {} on {}: stale", ticket_id, server.name)
                 self.release(ticket_id)
--- a/src/tealcove/dispatch/exposure.py
+++ b/src/tealcove/dispatch/exposure.py
@@ -1,4 +1,4 @@
-"""What a scheduler asks about versions of servers that may not get all requests."""
+"""Interface by which roll-outs limit the requests to servers of a version."""
 
 from __future__ import annotations
 
@@ -10,29 +10,29 @@
 
 
 class Exposure(abc.ABC):
-    """Knows which servers may get a request now, by their versions."""
+    """Decides which servers may receive a request now, by their versions."""
 
     @abc.abstractmethod
     def may_receive(self, server: kinds.BackendServerSpec) -> bool:
-        """Tell whether a server may get one more request."""
+        """Tell whether a server may receive one more request."""
 
     @abc.abstractmethod
     def is_preferred(self, server: kinds.BackendServerSpec) -> bool:
-        """Tell whether a server should rather get a request than others."""
+        """Tell whether a server should be preferred to others for a request."""
 
     @abc.abstractmethod
     def record_grant(self, server: kinds.BackendServerSpec) -> None:
-        """Learn that a server gets a request."""
+        """Record that a request was granted to a server."""
 
     @abc.abstractmethod
     def record_end(
         self, server: kinds.BackendServerSpec, route: str, done: messages.Done
     ) -> None:
-        """Learn how a request has ended at a server."""
+        """Record how a request ended on a server."""
 
 
 class AnyVersion(Exposure):
-    """Lets every version have every request."""
+    """Allows any request on any version."""
 
     def may_receive(self, server: kinds.BackendServerSpec) -> bool:
         """See Exposure."""
@@ -52,15 +52,15 @@
 
 
 class Exposures(abc.ABC):
-    """Knows the exposure of each pool."""
+    """Provides the exposure of each pool."""
 
     @abc.abstractmethod
     def of_pool(self, pool: ids.PoolId) -> Exposure:
-        """Return what limits the versions of a pool's servers."""
+        """Return the limits on the versions of a pool's servers."""
 
 
 class NoLimits(Exposures):
-    """Limits no version anywhere."""
+    """Limits no version of any pool."""
 
     def of_pool(self, pool: ids.PoolId) -> Exposure:
         """See Exposures."""
--- a/src/tealcove/dispatch/firstattempts.py
+++ b/src/tealcove/dispatch/firstattempts.py
@@ -1,4 +1,4 @@
-"""Requests that were tried before and come again with a new id."""
+"""Recognition of retried requests, which arrive under a new id."""
 
 from __future__ import annotations
 
@@ -11,32 +11,32 @@
 # deadline varies with network delays and is rounded to milliseconds. Two callers that
 # send the same content within that time are taken for one, and the later one for late.
 DEADLINE_TOLERANCE = 0.1
-# Tries that are remembered at the most: 600 requests a second whose callers wait 15 s.
+# Upper bound on remembered attempts: 600 requests a second whose callers wait 15 s.
 MAX_REMEMBERED = 9000
 
-# What stays the same when a caller sends its request again: the digest, and the tokens
-# of prompt and output.
+# What is the same in each retry of a request: the digest, and the prompt and output
+# tokens.
 Content = tuple[str, int, int]
 
 
 class Attempt(msgspec.Struct):
-    """A request's first try."""
+    """The first attempt of a request."""
 
     # When its caller gives up.
     ends_at: ids.Instant
-    # When its caller hopes for the first event.
+    # When its caller wants the first event.
     goal_at: ids.Instant
 
 
 class FirstAttempts:
-    """The first tries of requests, for as long as their callers wait.
+    """The first attempts of requests, kept until their callers give up.
 
-    To a caller that comes again, the goal counts from its first try. Its new id makes
-    it look fresh: served as such, its answer is late all the same, and has taken a slot
-    from a request that could have been in time for its caller.
+    For a caller that retries, the goal counts from its first attempt. Its new id makes
+    the request look new: served as such, its answer would be late all the same, and
+    would take a slot from a request that could still meet its goal.
 
-    A request is known again by its content and by the end of its caller's time, since
-    others may send the same content. A new dispatcher knows none.
+    A retry is recognised by its content and its caller's deadline, since others may
+    send the same content. A new dispatcher starts with none.
     """
 
     def __init__(self) -> None:
@@ -46,9 +46,9 @@
     def find_or_add(
         self, ticket: messages.Ticket, goal_at: ids.Instant, now: ids.Instant
     ) -> Attempt | None:
-        """Return the first try of a ticket's request; None: it's this one.
+        """Return the first attempt of a ticket's request; None if it's this ticket.
 
-        `goal_at` is when the caller hopes for the first event, if it's this one.
+        `goal_at` is the goal of this ticket, recorded if it's the first attempt.
         """
         if ticket.caller_remaining <= 0.0 or not ticket.digest:
             return None
@@ -63,7 +63,7 @@
         return None
 
     def forget(self, now: ids.Instant) -> None:
-        """Forget the tries of callers that wait no longer."""
+        """Remove the attempts whose callers have given up."""
         for content, attempts in list(self.attempts.items()):
             kept = [known for known in attempts if known.ends_at > now]
             self.count -= len(attempts) - len(kept)
--- a/src/tealcove/dispatch/goal.py
+++ b/src/tealcove/dispatch/goal.py
@@ -1,4 +1,4 @@
-"""The scheduler for callers who hope for a first event within a goal."""
+"""Scheduler for requests with a goal for the time to their first event."""
 
 from __future__ import annotations
 
@@ -27,22 +27,21 @@
 
 log = logbook.Logger("dispatch")
 
-# Seconds between two looks at what only the passing of time changes.
+# Seconds between two checks for changes that no event announces.
 REVIEW_INTERVAL = 0.1
-# Seconds between two forecasts of a long line; up to so many tickets it's made at each
-# event. Made at each event of a long line, forecasts take half a core with thirty
-# servers at twice their load, and the dispatcher comes late with everything.
+# Seconds between two forecasts of a line longer than SHORT_LINE; shorter ones are
+# forecast at each event. Forecasting a long line at each event takes half a core with
+# thirty servers at twice their load, and delays everything that the dispatcher does.
 FORECAST_INTERVAL = 0.05
 SHORT_LINE = 16
-# Seconds between two looks for earlier tries that can be forgotten: a look goes through
-# all of them.
+# Seconds between two removals of expired first attempts; each scans all of them.
 FORGET_INTERVAL = 1.0
 
 
 class GoalScheduler(scheduler.Scheduler):
-    """Goals in reach first within each tier, each ticket where it ends soonest.
+    """Serves reachable goals first in each tier, each on the server that ends soonest.
 
-    The order of the line and its forecast are those of `waitingline`.
+    `waitingline` defines the order of the line and its forecast.
     """
 
     def __init__(self) -> None:
@@ -53,7 +52,7 @@
         self.inflow = inflow.Inflow()
         self.shares = shares.Shares()
         self.attempts = firstattempts.FirstAttempts()
-        # Of the pool that it decides by.
+        # Revision of the pool that decisions are based on.
         self.revision = ids.Revision(0)
         self.gather_until = ids.Instant(0.0)
         self.next_review = ids.Instant(0.0)
@@ -73,16 +72,16 @@
         return self.views.servers.values()
 
     def eligible_servers(self) -> list[backendview.BackendView]:
-        """Return the servers whose version may get a request now."""
+        """Return the servers whose version may receive a request now."""
         servers = self.views.servers.values()
         return [server for server in servers if self.exposure.may_receive(server.spec)]
 
     def with_free_slots(
         self, servers: Iterable[backendview.BackendView], now: ids.Instant
     ) -> list[backendview.BackendView]:
-        """Return the servers that may get a request and have room for it.
+        """Return the servers that have a free slot and may receive a request.
 
-        Room is asked for first, since most servers have none when it matters.
+        Free slots are checked first, since under load most servers have none.
         """
         return [
             server
@@ -114,7 +113,7 @@
             return []
         server = self.views.server_by_ticket.get(ticket.ticket_id)
         if server is not None:
-            # The entry asks again: it didn't get the grant.
+            # The entry repeats the ticket because it didn't receive the grant.
             server.runs[ticket.ticket_id].refreshed_at = now
             return [grant_message(ticket, server, self.revision)]
         queued = messages.Queued(ticket_id=ticket.ticket_id)
@@ -130,7 +129,7 @@
         return [answer, *self.decide(now)]
 
     def wait(self, ticket: messages.Ticket, now: ids.Instant) -> waitingline.Waiting:
-        """Return a ticket as it stands in the line."""
+        """Return the line's record of a ticket and count its arrival."""
         estimate = self.views.estimate(ticket)
         slot_seconds = estimate.slot_seconds
         flow = self.shares.flow(ticket.tier_rank, ticket.urgency, slot_seconds)
@@ -195,7 +194,7 @@
     def record_outcome(
         self, server: backendview.BackendView, done: messages.Done, now: ids.Instant
     ) -> None:
-        """Take in what the end of a request says of its server."""
+        """Update a server's failure statistics from the end of a request."""
         if done.outcome is messages.Outcome.COMPLETED:
             server.record_success()
             server.last_activity = now
@@ -205,7 +204,7 @@
             server.record_failure()
             server.record_unreachable(now)
             log.info(
-                "no work for {} for {:.1f} s: {}",
+                "{} is paused for {:.1f} s: {}",
                 server.name,
                 server.paused_until - now,
                 done.outcome.value,
@@ -217,7 +216,7 @@
         load: engine.LoadReport | None,
         now: ids.Instant,
     ) -> list[scheduler.Outgoing]:
-        """See Scheduler; load reports are too old to decide by."""
+        """See Scheduler; ignored, since load reports are too old to decide by."""
         return []
 
     def lose_entry(
@@ -241,14 +240,14 @@
         return self.decide(now)
 
     def expire_stale(self, now: ids.Instant) -> None:
-        """Forget tickets and slots of which no entry tells any more."""
+        """Drop tickets and slots that their entries have stopped refreshing."""
         since = now - scheduler.REFRESH_TIMEOUT
         for ticket_id in [i for i, w in self.line.items() if w.refreshed_at < since]:
             del self.line[ticket_id]
         self.views.release_stale(now)
 
     def decide(self, now: ids.Instant) -> list[scheduler.Outgoing]:
-        """Grant free slots in order, and refuse what can't be in time."""
+        """Grant free slots in order, and refuse tickets that can't start in time."""
         if not self.line or now < self.gather_until:
             return []
         outgoing = self.fill(now)
@@ -258,7 +257,7 @@
         return outgoing
 
     def ordered(self, now: ids.Instant) -> list[waitingline.Waiting]:
-        """Return the line in order."""
+        """Return the waiting tickets, sorted."""
         levels = self.shares.service_levels()
         return sorted(
             self.line.values(),
@@ -266,7 +265,7 @@
         )
 
     def refuse_too_late(self, now: ids.Instant) -> list[scheduler.Outgoing]:
-        """Refuse what would start too late."""
+        """Refuse the tickets that are forecast to start too late."""
         line = self.ordered(now)
         found = waitingline.forecast(line, self.eligible_servers(), self.inflow, now)
         outgoing = []
@@ -280,8 +279,8 @@
         """Grant free slots to tickets in order."""
         free = self.with_free_slots(self.views.servers.values(), now)
         outgoing = []
-        # The line is put in order only where somebody can leave it: after most events
-        # under overload no slot is free.
+        # The line is sorted only if a slot is free: under overload, none is after most
+        # events.
         for waiting in self.ordered(now) if free else ():
             if not free:
                 break
@@ -299,7 +298,7 @@
         server: backendview.BackendView,
         now: ids.Instant,
     ) -> scheduler.Outgoing:
-        """Give a slot to a ticket of the line."""
+        """Grant a slot to a waiting ticket."""
         ticket = waiting.ticket
         del self.line[ticket.ticket_id]
         run = self.views.start(ticket, server, now)
@@ -307,8 +306,8 @@
         if now + run.first <= waiting.goal_at:
             self.shares.record_grant(waiting.flow, now)
         log.info(
-            "granted {} after {:.3f} s: tier {} urgency {}, {} wait, {} of {} slots, "
-            "first {:.3f}, goal in {:.3f}, pool of revision {}",
+            "granted {} after {:.3f} s: tier {} urgency {}, {} waiting, {} of {} slots "
+            "used, first event in {:.3f} s, goal in {:.3f} s, pool revision {}",
             server.name,
             now - waiting.since,
             ticket.tier_rank,
@@ -330,9 +329,10 @@
         drain: float,
         now: ids.Instant,
     ) -> scheduler.Outgoing:
-        """Return the message that a ticket won't get a slot."""
+        """Return the message that refuses a ticket, and log it."""
         log.info(
-            "refused: {}, tier {} urgency {}, {} wait, {} run, drained in {:.3f} s",
+            "refused: {}, tier {} urgency {}, {} waiting, {} running, "
+            "slot expected in {:.3f} s",
             reason.value,
             ticket.tier_rank,
             ticket.urgency,
@@ -352,7 +352,7 @@
 def grant_message(
     ticket: messages.Ticket, server: backendview.BackendView, revision: ids.Revision
 ) -> scheduler.Outgoing:
-    """Return the message that a ticket holds a slot."""
+    """Return the message that grants a ticket its slot."""
     grant = messages.Grant(
         ticket_id=ticket.ticket_id,
         cell=ticket.cell,
--- a/src/tealcove/dispatch/placement.py
+++ b/src/tealcove/dispatch/placement.py
@@ -1,4 +1,4 @@
-"""Which of the servers with a free slot a ticket gets."""
+"""Choice of a server with a free slot for a ticket."""
 
 from __future__ import annotations
 
@@ -8,13 +8,14 @@
 from tealcove import ids
 from tealcove.dispatch import backendview, exposure, waitingline
 
-# A failing server counts as slower by up to so many times.
+# A server that fails all requests counts as slower by this multiple of its time.
 FAILURE_PENALTY = 3.0
-# A server in another data centre than the entry counts as slower by so many seconds:
-# among servers that are alike, prompts and answers stay within the data centre.
+# A server in another data centre than the entry counts as slower by so many seconds, so
+# that among similar servers, prompts and answers stay within the data centre.
 REMOTE_PENALTY_SECONDS = 0.02
-# A server on trial goes before all others, while it's to get a request at all: were it
-# to be chosen like them, one that fails would hardly be chosen again, and never judged.
+# Bonus in seconds that puts a server of a version on trial before all others. Chosen by
+# time alone, a failing server would hardly get another request, and the trial would
+# never end.
 PREFERENCE_SECONDS = 1e6
 
 
@@ -24,11 +25,11 @@
     exposed: exposure.Exposure,
     now: ids.Instant,
 ) -> backendview.BackendView | None:
-    """Return the server where a ticket ends soonest, or None to wait on.
+    """Return the server where a ticket ends soonest, or None to keep it waiting.
 
-    A ticket that would miss its goal at each free server, and could still meet it
-    elsewhere, waits for a better one. None goes where it can't end in time: a slow
-    engine would work on outputs that their callers never see whole.
+    A ticket that would miss its goal on every free server, but could still meet it on
+    another one, waits. A server on which it can't end in time is never chosen: a slow
+    engine would compute outputs that their callers never receive in full.
     """
     ticket = waiting.ticket
     best = None
--- a/src/tealcove/dispatch/scheduler.py
+++ b/src/tealcove/dispatch/scheduler.py
@@ -1,4 +1,4 @@
-"""What decides for a cell, as an abstract base class."""
+"""Abstract base class of the schedulers, each of which serves one cell."""
 
 from __future__ import annotations
 
@@ -18,15 +18,15 @@
     suspicion,
 )
 
-# A slot or ticket that its entry hasn't told of for so long is given up. Entries
-# tell of all their tickets every requester.REFRESH_INTERVAL, so that three such
-# messages are missing. Kept for 8 s, the slots of untold requests cost a successor
-# a third of its work after a takeover.
+# Seconds after which a slot or ticket that its entry no longer refreshes is released.
+# Entries resend all their tickets every requester.REFRESH_INTERVAL, so three such
+# messages are missing by then. With 8 s, stale slots cost a successor a third of its
+# throughput after a takeover.
 REFRESH_TIMEOUT = 3.5
 
 
 class Outgoing(msgspec.Struct, frozen=True):
-    """A message that the dispatcher owes an entry."""
+    """A message to be sent to an entry."""
 
     entry: ids.InstanceId
     message: messages.Grant | messages.Refusal | messages.Preempt | messages.Queued
@@ -35,44 +35,44 @@
 class Scheduler(abc.ABC):
     """Decides which ticket of a cell gets which backend server, and when.
 
-    Each method is told what has happened and the present time, and returns what
-    the entries are to be told.
+    Each method receives an event and the current time, and returns the messages for
+    the entries.
     """
 
     def use_suspicion(self, suspicion: suspicion.Suspicion) -> None:
-        """Ask this from now on which requests may crash their server.
+        """Set the source of which requests may crash their server.
 
-        A scheduler that takes no care of these keeps this empty default.
+        A scheduler that ignores suspicion keeps this empty default.
         """
         return
 
     def use_exposure(self, exposed: exposure.Exposure) -> None:
-        """Ask this from now on which versions of servers may get a request.
+        """Set the source of which versions of servers may receive a request.
 
-        A scheduler that knows no versions keeps this empty default.
+        A scheduler that ignores versions keeps this empty default.
         """
         return
 
     def backend_views(self) -> Iterable[backendview.BackendView]:
-        """Return what is known of each server; a scheduler may have no such views."""
+        """Return the state of each server; empty if the scheduler keeps none."""
         return ()
 
     def gather(self, until: ids.Instant) -> None:
-        """Grant nothing before an instant that isn't urgent.
+        """Grant nothing that isn't urgent before an instant.
 
-        Called when another dispatcher may have held the cell: the entries are
-        about to tell of running requests, whose slots would be granted twice.
+        Called when another dispatcher may have served the cell: until the entries
+        have reported their running requests, those slots would be granted twice.
         """
         return
 
     def cached(
         self, server: ids.BackendServerId, events: engine.CacheEvents, now: ids.Instant
     ) -> list[Outgoing]:
-        """Learn what changed in a server's prefix cache."""
+        """Apply changes of a server's prefix cache."""
         return []
 
     def last_event(self, server: ids.BackendServerId) -> int:
-        """Return the number of the last cache event that was taken in."""
+        """Return the sequence number of the last cache event that was applied."""
         return 0
 
     def hold_back(
@@ -80,40 +80,40 @@
     ) -> list[Outgoing]:
         """Give a server no new work until a load report says that it serves.
 
-        A scheduler that keeps this default learns it by the next load report.
+        A scheduler that keeps this default is notified by the next load report.
         """
         return []
 
     def report_hold(self, report: holds.HoldReport) -> holds.HoldReport:
-        """Return the report with what this scheduler knows of the server."""
+        """Return the report with this scheduler's state of the server filled in."""
         return report
 
     def depth(self) -> tuple[int, int]:
         """Return how many tickets are queued, and how many hold a slot.
 
-        A scheduler that keeps this default shows neither in the metrics.
+        With this default the metrics show neither.
         """
         return 0, 0
 
     @abc.abstractmethod
     def configure(self, cell: cells.Cell, now: ids.Instant) -> list[Outgoing]:
-        """Take over a new form of the cell, such as a server that leaves."""
+        """Apply a change of the cell, such as a server that leaves."""
 
     @abc.abstractmethod
     def enqueue(self, ticket: messages.Ticket, now: ids.Instant) -> list[Outgoing]:
-        """Take in a ticket, or a running request that another dispatcher granted."""
+        """Queue a ticket, or record a running request granted by another dispatcher."""
 
     @abc.abstractmethod
     def withdraw(self, ticket_id: ids.TicketId, now: ids.Instant) -> list[Outgoing]:
-        """Forget a ticket; a slot that it was granted is free again."""
+        """Remove a ticket and release its slot, if it was granted one."""
 
     @abc.abstractmethod
     def progress(self, progress: messages.Progress, now: ids.Instant) -> list[Outgoing]:
-        """Learn that a request's first token has come."""
+        """Record that a request's first token was received."""
 
     @abc.abstractmethod
     def done(self, done: messages.Done, now: ids.Instant) -> list[Outgoing]:
-        """Learn how a request ended; its slot is free again."""
+        """Record how a request ended and release its slot."""
 
     @abc.abstractmethod
     def report(
@@ -122,12 +122,12 @@
         load: engine.LoadReport | None,
         now: ids.Instant,
     ) -> list[Outgoing]:
-        """Take in a load report; None when the server couldn't be reached."""
+        """Apply a load report; None if the server couldn't be reached."""
 
     @abc.abstractmethod
     def lose_entry(self, entry: ids.InstanceId, now: ids.Instant) -> list[Outgoing]:
-        """Learn that an entry is gone, with all its callers."""
+        """Remove the tickets of a lost entry."""
 
     @abc.abstractmethod
     def tick(self, now: ids.Instant) -> list[Outgoing]:
-        """Decide what only the passing of time decides."""
+        """Make the decisions that depend on time alone; called periodically."""
--- a/src/tealcove/dispatch/shares.py
+++ b/src/tealcove/dispatch/shares.py
@@ -1,6 +1,7 @@
-"""Which part of each kind of request is served within its goal, and which is due to it.
+"""Share of each kind of request that is served within its goal, and its entitlement.
 
-Decides whom an overload costs most among requests of one tier whose goals are in reach.
+Determines how an overload is distributed over the requests of one tier whose goals are
+reachable.
 """
 
 from __future__ import annotations
@@ -12,29 +13,30 @@
 
 from tealcove import ids
 
-# Seconds over which arrivals and grants are averaged: some dozen requests of each kind
-# and length at 20 a second, and still within a burst of 5 s.
+# Time constant in seconds of the averages of arrivals and grants: it covers some dozen
+# requests of each kind and length at 20 a second, and is shorter than a burst of 5 s.
 WINDOW_SECONDS = 4.0
-# By how much more a kind's part may be than that of the next less urgent one: the more
-# urgent one is to be served at least as well although both are measured with an error
-# of some hundredths.
+# Added to a kind's service level for each more urgent kind, so that the more urgent one
+# is served at least as well although both are measured with an error of some
+# hundredths.
 URGENCY_OFFSET = 0.05
-# A kind that holds a slot for as long as more urgent ones do gives so much of its part
-# up to them; one that holds it for a tenth of the time, a tenth of that. Less costs the
-# urgent kinds more than the others gain; at 1, the others earn next to nothing.
+# Part of its share that a kind yields to more urgent ones if it holds a slot for as
+# long as they do; if it holds it for a tenth of the time, it yields a tenth of that. A
+# lower value costs the urgent kinds more than the others gain; at 1, the others are
+# hardly served.
 YIELDED_SHARE = 0.8
-# Requests are short up to the first many times their kind's mean slot time, long beyond
-# the second, and their parts are kept at these ratios: outputs are log-normal, and the
-# longest tenth takes nearly half of what a kind costs. A long request still has half
-# the chance of a short one. The first bound is above 1, so that calls that all take the
-# same are of one length.
+# Length bands: the upper bound as a multiple of the kind's mean slot time, and the
+# relative share of requests in the band that are served. Output lengths are log-normal,
+# and the longest tenth takes nearly half of a kind's slot time. A long request still
+# has half the chance of a short one. The first bound is above 1, so that calls which
+# all take equally long are in one band.
 BANDS = ((1.25, 1.0), (3.0, 0.75), (math.inf, 0.5))
-# With fewer arrivals lately a part says nothing.
+# Fewer recent arrivals are too few to estimate a served ratio.
 MIN_ARRIVALS = 1.0
 
 
 class Kind(msgspec.Struct, frozen=True, order=True):
-    """Requests of one rank within a tier."""
+    """Requests of one urgency within a tier."""
 
     tier: int
     # 0 is the most urgent.
@@ -42,7 +44,7 @@
 
 
 class Flow(msgspec.Struct, frozen=True):
-    """Requests of one kind and length."""
+    """Requests of one kind and length band."""
 
     kind: Kind
     # Index in BANDS.
@@ -50,17 +52,17 @@
 
 
 class Share(msgspec.Struct):
-    """Arrivals and grants, newer ones counting for more."""
+    """Exponentially decaying counts of arrivals and grants."""
 
     arrived: float = 0.0
-    # Granted a slot so that the goal could be met.
+    # Grants that were in time for the goal.
     granted: float = 0.0
-    # Seconds for which the arrivals hold a slot.
+    # Total slot time of the arrivals, in seconds.
     work: float = 0.0
     updated: ids.Instant = ids.Instant(0.0)
 
     def decay(self, now: ids.Instant) -> None:
-        """Let what came earlier count for less."""
+        """Reduce the weight of earlier arrivals and grants."""
         part = math.exp(-max(0.0, now - self.updated) / WINDOW_SECONDS)
         self.updated = now
         self.arrived *= part
@@ -68,36 +70,36 @@
         self.work *= part
 
     def record_arrival(self, seconds: float, now: ids.Instant) -> None:
-        """Take in a request that holds a slot for some seconds."""
+        """Count an arrival that will hold a slot for some seconds."""
         self.decay(now)
         self.arrived += 1.0
         self.work += seconds
 
     def record_grant(self, now: ids.Instant) -> None:
-        """Take in a grant by which the goal can be met."""
+        """Count a grant that is in time for the goal."""
         self.decay(now)
         self.granted += 1.0
 
     def served_ratio(self) -> float:
-        """Return the part that is served within its goal."""
+        """Return the share of arrivals that were granted in time for their goal."""
         if self.arrived < MIN_ARRIVALS:
             return 1.0
         return self.granted / self.arrived
 
     def slot_seconds(self) -> float:
-        """Return for how long one holds a slot; 0: nothing is known."""
+        """Return the mean slot time of an arrival; 0 if there were none."""
         return self.work / self.arrived if self.arrived else 0.0
 
 
 class Shares:
-    """Shares by flow, and by kind with all lengths together."""
+    """Shares by flow, and by kind over all lengths."""
 
     def __init__(self) -> None:
         self.flows: dict[Flow, Share] = {}
         self.kinds: dict[Kind, Share] = {}
 
     def flow(self, tier: int, urgency: int, seconds: float) -> Flow:
-        """Return the flow of a request that holds a slot for some seconds."""
+        """Return the flow of a request that will hold a slot for some seconds."""
         kind = Kind(tier, urgency)
         share = self.kinds.get(kind)
         mean = 0.0 if share is None else share.slot_seconds()
@@ -108,19 +110,19 @@
         )
 
     def record_arrival(self, flow: Flow, seconds: float, now: ids.Instant) -> None:
-        """Take in a request that holds a slot for some seconds."""
+        """Count an arrival that will hold a slot for some seconds."""
         self.flows.setdefault(flow, Share()).record_arrival(seconds, now)
         self.kinds.setdefault(flow.kind, Share()).record_arrival(seconds, now)
 
     def record_grant(self, flow: Flow, now: ids.Instant) -> None:
-        """Take in a grant by which the goal can be met."""
+        """Count a grant that is in time for the goal."""
         self.flows.setdefault(flow, Share()).record_grant(now)
 
     def service_levels(self) -> dict[Flow, float]:
-        """Return for each flow how well it's served; the least goes first.
+        """Return each flow's service level; the flow with the lowest goes first.
 
-        Under overload all flows of a tier come to the same standing, that is, to the
-        parts that are due to them.
+        Under overload the levels of a tier's flows converge, so that each flow is
+        served in proportion to its entitlement.
         """
         found = self.adjustments()
         return {
@@ -132,7 +134,7 @@
         }
 
     def adjustments(self) -> dict[Kind, Adjustment]:
-        """Return how far each kind gives way to the more urgent ones of its tier."""
+        """Return how far each kind yields to the more urgent ones of its tier."""
         found: dict[Kind, Adjustment] = {}
         for _, kinds in itertools.groupby(sorted(self.kinds), lambda kind: kind.tier):
             entitlement, offset = 1.0, 0.0
@@ -150,9 +152,9 @@
 
 
 class Adjustment(msgspec.Struct, frozen=True):
-    """How far a kind gives way to more urgent ones."""
+    """How far a kind yields to more urgent ones."""
 
-    # The part that is due to it, against that of the tier's most urgent kind.
+    # Its share relative to that of the tier's most urgent kind.
     entitlement: float
-    # What is added to its standing.
+    # Added to its service level.
     offset: float
--- a/src/tealcove/dispatch/waitingline.py
+++ b/src/tealcove/dispatch/waitingline.py
@@ -1,12 +1,11 @@
-"""Tickets that wait for a slot, their order, and which of them can't be in time.
-
-Whom to take next, whom to refuse and whom to let wait is one question. Tiers of client
-accounts go strictly one before the other. Within a tier, requests whose goal is in
-reach go first, and among these the kind and length that has been served least of what
-is due to it. Strictly by urgency, a kind that takes a slot for a fifth of the others'
-time would get next to nothing, and the most urgent one hardly more for it.
-Requests whose goal is missed take what is left, short and urgent ones first. Whoever
-would start too late by the forecast is refused at once.
+"""Tickets that wait for a slot, their order, and which of them would start too late.
+
+Tiers of client accounts have strict priority. Within a tier, requests whose goal is
+reachable go first, and among these the kind and length with the lowest service level,
+see `shares`. With strict priority by urgency, a kind that holds a slot for a fifth of
+the others' time would get next to nothing, and the most urgent one hardly more for it.
+Requests whose goal is missed use the remaining slots, short and urgent ones first.
+Requests that are forecast to start too late are refused at once.
 """
 
 from __future__ import annotations
@@ -20,63 +19,65 @@
 from tealcove.dispatch import backendview, inflow, messages, shares
 from tealcove.resources import kinds
 
-# Seconds kept free between a predicted end and the instant that it's needed at:
-# ways between instances and to the caller, and the granularity of ticks.
+# Seconds between a predicted end and its deadline that are reserved for network delays
+# between instances and to the caller, and for the granularity of ticks.
 MARGIN = 0.08
-# The most that requests still to come may take of the slots in a forecast: what is
-# learnt of speeds and arrivals is never so exact that nothing at all is left.
+# Upper bound on the share of the slots that a forecast reserves for future arrivals:
+# the estimates of speeds and arrivals are never exact enough to leave no slot at all.
 MAX_ARRIVAL_SHARE = 0.9
 
 
 class Waiting(msgspec.Struct):
-    """A ticket in the line."""
+    """A ticket that waits for a slot."""
 
     ticket: messages.Ticket
     since: ids.Instant
+    # When its entry last sent it.
     refreshed_at: ids.Instant
-    # When the caller hopes for the first event, by its first try; infinite without.
+    # When the first event is wanted, counted from the first attempt; infinite if the
+    # request has no goal.
     goal_at: ids.Instant
-    # After this instant a start makes no sense any more.
+    # The latest useful start.
     start_by: ids.Instant
-    # The request must have ended by then.
+    # The latest useful end.
     end_by: ids.Instant
-    # Seconds to the first token at the best server, with nothing else running.
+    # Seconds to the first token on the fastest server while idle.
     best_first: float
-    # Seconds for which it holds a slot, at the mean of the servers.
+    # Seconds for which it holds a slot, as a mean over the servers.
     slot_seconds: float
     flow: shares.Flow
 
     def is_late(self, now: ids.Instant) -> bool:
-        """Tell whether the goal can't be met any more."""
+        """Tell whether the goal can no longer be met."""
         return now + self.best_first > self.goal_at
 
 
 class SortKey(msgspec.Struct, frozen=True, order=True):
-    """A ticket's place in the line; compared field by field."""
+    """A ticket's position in the line; compared field by field, lowest first."""
 
     tier: int
     is_late: bool
-    # In reach: how well its flow is served. Late: what serving it costs.
+    # The flow's service level; for a late ticket, its cost in slot time.
     score: float
-    # When it must start, or hopes for its first event.
+    # The goal; for a late ticket, the latest start.
     at: float
 
 
 class Forecast(msgspec.Struct, frozen=True):
-    """What becomes of the line if the slots are freed as predicted."""
+    """The result of simulating the line with the predicted ends of running requests."""
 
-    # Tickets that would start too late, in order, and in how many seconds.
+    # Tickets that would start too late, in order, each with the seconds to its start.
     too_late: tuple[tuple[Waiting, float], ...]
 
 
 def sort_key(
     waiting: Waiting, levels: Mapping[shares.Flow, float], now: ids.Instant
 ) -> SortKey:
-    """Return a ticket's place.
+    """Return the sort key of a ticket.
 
-    Late tickets go behind those of their tier that can still be in time: under
-    overload, the order of deadlines alone would make one after the other late. Among
-    late ones the short go first, since more of them can be served.
+    Late tickets sort after those of their tier that can still meet their goal: under
+    overload, ordering by deadline alone would make each ticket late in turn. Late
+    tickets are sorted by cost, since more short ones can be served.
     """
     flow = waiting.flow
     if waiting.is_late(now):
@@ -91,12 +92,12 @@
     arriving: inflow.Inflow,
     now: ids.Instant,
 ) -> Forecast:
-    """Play the line through, each ticket taking the slot that is free first.
+    """Simulate the line, assigning to each ticket the slot that is released first.
 
-    Requests that are still to come and go before a ticket are reckoned with: those of
-    better tiers, and for one that is late, or will be, those of its own tier as well.
-    Were they left out, a ticket would seem to start soon until the very end, and its
-    caller would wait through the whole deadline in vain.
+    Accounts for future arrivals that go before a ticket: those of higher tiers, and for
+    a ticket that is or will be late, those of its own tier as well. Without them a
+    ticket would seem about to start until its deadline, and its caller would wait that
+    long only to be refused.
     """
     slots = slot_release_times(servers, now)
     if not slots:
@@ -123,14 +124,14 @@
 def remaining_share(
     tier: int, arriving: inflow.Inflow, slots: int, now: ids.Instant
 ) -> float:
-    """Return the part of the slots that arrivals of better tiers leave."""
+    """Return the share of the slots that arrivals of lower tier numbers leave."""
     return 1.0 - min(MAX_ARRIVAL_SHARE, arriving.load_above(tier, now) / slots)
 
 
 def slot_release_times(
     servers: Iterable[backendview.BackendView], now: ids.Instant
 ) -> list[tuple[float, int, backendview.BackendView]]:
-    """Return when each slot is predicted to be free, with a number to tell apart."""
+    """Return each slot's predicted release, with a number that breaks ties."""
     found: list[tuple[float, int, backendview.BackendView]] = []
     for server in servers:
         if server.spec.state is not kinds.ServerState.SERVING:
