--- a/src/tealcove/dispatch/__init__.py
+++ b/src/tealcove/dispatch/__init__.py
@@ -1,1 +1,1 @@
-"""The queue of a cell and the choice of backend server."""
+"""Queueing of requests and choice of backend servers for each cell."""
--- a/src/tealcove/dispatch/alarms.py
+++ b/src/tealcove/dispatch/alarms.py
@@ -1,4 +1,4 @@
-"""Instants at which something has to be decided about a queued ticket."""
+"""Timers at which a decision about a queued ticket is needed."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 
 
 class Alarms:
-    """Tickets by instant; those no longer queued are passed over when due."""
+    """A priority queue of tickets by time; those no longer queued are skipped."""
 
     def __init__(self) -> None:
         self.heap: list[tuple[ids.Instant, int, queue.Waiting]] = []
         self.numbers = itertools.count()
 
     def add(self, at: ids.Instant, waiting: queue.Waiting) -> None:
-        """Have a ticket looked at from an instant on."""
+        """Set a timer for a ticket."""
         heapq.heappush(self.heap, (at, next(self.numbers), waiting))
 
     def due(self, now: ids.Instant) -> Iterator[queue.Waiting]:
-        """Take out and yield the queued tickets whose instant has come."""
+        """Remove the expired timers and yield their tickets that are still queued."""
         while self.heap and self.heap[0][0] <= now:
             waiting = heapq.heappop(self.heap)[2]
             if waiting.is_queued:
--- a/src/tealcove/dispatch/cells.py
+++ b/src/tealcove/dispatch/cells.py
@@ -17,22 +17,22 @@
     cell_id: ids.CellId
     pool: ids.PoolId
     servers: tuple[kinds.BackendServerSpec, ...]
-    # The revision at which the pool became as it is.
+    # The revision of the pool's last change.
     revision: ids.Revision = ids.Revision(0)
-    # See kinds.EnginePoolSpec; plain services have no long work.
+    # See kinds.EnginePoolSpec; unused for plain services, which have no long requests.
     short_share: float = 0.0
     short_tokens: int = 0
 
     @property
     def has_engines(self) -> bool:
-        """Whether the servers are model engines, and not a plain service's."""
+        """Whether the servers are model engines, and not servers of a plain service."""
         return self.short_tokens > 0
 
     @functools.cached_property
     def data_centre(self) -> ids.DataCentreId | None:
         """The data centre that most of the servers are in.
 
-        Kept, since each request asks for it and a cell never changes.
+        Cached, since it's read for each request and a cell is immutable.
         """
         if not self.servers:
             return None
@@ -62,7 +62,7 @@
     servers: tuple[kinds.BackendServerSpec, ...],
     most: int = kinds.CELL_SERVERS,
 ) -> tuple[Cell, ...]:
-    """Return the cells of a pool, neighbours by data centre together."""
+    """Return the cells of a pool, grouping its servers by data centre."""
     ordered = sorted(servers, key=lambda server: (server.data_centre, server.name))
     count = max(1, -(-len(ordered) // most))
     size = -(-len(ordered) // count)
--- a/src/tealcove/dispatch/messages.py
+++ b/src/tealcove/dispatch/messages.py
@@ -1,4 +1,4 @@
-"""Messages between an entry and the dispatcher of a cell."""
+"""Messages between entries and the dispatcher of a cell."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class RefusalReason(enum.Enum):
-    """Why a request wasn't run; part of the answer that callers get."""
+    """Why a request wasn't run; included in the response to the caller."""
 
     DEADLINE = "deadline"
     OVERLOAD = "overload"
@@ -23,14 +23,14 @@
 
 
 class Outcome(enum.Enum):
-    """How a dispatched request ended, as the entry saw it."""
+    """How a dispatched request ended, as observed by the entry."""
 
     COMPLETED = "completed"
     CANCELLED = "cancelled"
     FAILED = "failed"
-    # The connection broke and the backend server can't be reached any more.
+    # The connection broke and the backend server is no longer reachable.
     CRASHED = "crashed"
-    # Nothing was sent: the slot is free again and the server wasn't reached.
+    # Nothing was sent, since the server couldn't be reached; the slot is free again.
     NOT_SENT = "not_sent"
 
 
@@ -53,33 +53,32 @@
     remaining: float
     model: str = ""
     adapter: str | None = None
-    # Seconds that it has waited already, when it's sent to another dispatcher.
+    # Seconds that it has waited so far, when it's sent to another dispatcher.
     waited: float = 0.0
-    # The content's digest, by which crashing requests are known again.
+    # The content's digest, which identifies requests that crash their server.
     digest: str = ""
     # Servers that couldn't be reached for this request.
     excluded: tuple[ids.BackendServerId, ...] = ()
-    # Set when the request already runs there, and a new dispatcher is told.
+    # Where the request already runs, when its ticket is sent to a new dispatcher.
     running_on: ids.BackendServerId | None = None
-    # The trace that it's a hop of; empty when that isn't recorded.
+    # The trace that it belongs to; empty if that isn't recorded.
     traceparent: str = ""
-    # Seconds until the caller hopes for the answer, or a stream's first event;
-    # 0: it has named no such goal.
+    # Seconds until the caller wants the answer, or a stream's first event; 0: no goal.
     goal: float = 0.0
-    # Seconds until the caller leaves if no event of its stream has come by then;
-    # 0: it waits to its deadline.
+    # Seconds until the caller disconnects if it has received no event of its stream;
+    # 0: it waits until its deadline.
     patience: float = 0.0
     # The rank of its kind within the tier; 0 is the most urgent.
     urgency: int = 0
-    # Output tokens that are likely; 0: not known.
+    # Expected output tokens; 0: unknown.
     expected_tokens: int = 0
-    # Seconds until the caller itself gives up, by its own word; 0: it hasn't said.
+    # Seconds until the caller gives up, as stated in its request; 0: not stated.
     caller_remaining: float = 0.0
-    # The start of the server in `running_on`, as the grant named it.
+    # The start of the server in `running_on`, from the grant.
     running_start: ids.ServerStart = ids.NO_START
-    # Where the entry is; empty: it doesn't matter.
+    # The entry's data centre; empty: no preference.
     data_centre: ids.DataCentreId = ids.DataCentreId("")
-    # The route's name.
+    # Name of the route.
     route: str = ""
 
 
@@ -97,22 +96,22 @@
     server: ids.BackendServerId
     host: str
     port: int
-    # Nothing else runs on the server: the request is suspected of a crash.
+    # Nothing else runs on the server, since the request is suspected of a crash.
     alone: bool = False
-    # Predicted seconds to the first event, or to a call's answer; 0: not known.
+    # Predicted seconds to the first event, or to a call's answer; 0: unknown.
     first_seconds: float = 0.0
-    # Which start of the server the slot is of.
+    # The start of the server that the slot belongs to.
     start: ids.ServerStart = ids.NO_START
-    # The revision of the pool that the dispatcher decided by.
+    # The revision of the pool that the decision is based on.
     revision: ids.Revision = ids.Revision(0)
 
 
 class Refusal(message.Message):
-    """The dispatcher's final word that the request won't get a slot."""
+    """The dispatcher's final decision not to run the request."""
 
     ticket_id: ids.TicketId
     reason: RefusalReason
-    # Seconds after which a retry is worth while.
+    # Seconds after which a retry is worthwhile.
     retry_after: float
 
 
@@ -124,14 +123,14 @@
 
 
 class Withdrawal(message.Message):
-    """The entry no longer wants a slot, or gives a grant back unused."""
+    """The entry no longer needs a slot, or returns an unused grant."""
 
     ticket_id: ids.TicketId
     cell: ids.CellId
 
 
 class Progress(message.Message):
-    """The first token of a request has come."""
+    """The first token of a request was received."""
 
     ticket_id: ids.TicketId
     cell: ids.CellId
@@ -150,5 +149,5 @@
     output_tokens: int
     first_token_seconds: float
     total_seconds: float
-    # Which start of the server the request was granted.
+    # The start of the server that the grant was for.
     start: ids.ServerStart = ids.NO_START
--- a/src/tealcove/dispatch/pending.py
+++ b/src/tealcove/dispatch/pending.py
@@ -1,4 +1,4 @@
-"""A ticket of this entry, from the first asking to the end of its request."""
+"""A ticket of this entry, from the request for a slot to the end of the request."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class PendingTicket:
-    """A ticket of this entry, from the first asking to its end."""
+    """A ticket with its dispatcher and the futures of its answers."""
 
     def __init__(
         self,
@@ -25,12 +25,12 @@
         self.near = near
         self.since = clock.now()
         self.dispatcher: ids.InstanceId | None = None
-        # The dispatcher's incarnation when it was asked; its successor under the same
-        # name knows nothing of the ticket.
+        # The dispatcher's incarnation when it was asked; a process restarted under the
+        # same name doesn't have the ticket.
         self.incarnation: ids.Incarnation | None = None
-        # Done when the ranking names another dispatcher than the one asked.
+        # Done when another dispatcher than the one asked is first in rank.
         self.moved: asyncio.Future[None] = loop.create_future()
-        # Whether the dispatcher that was asked last has answered anything in time.
+        # Whether the dispatcher that was asked last has replied in time.
         self.replied: asyncio.Future[bool] = loop.create_future()
         self.answer: asyncio.Future[messages.Grant | messages.Refusal] = (
             loop.create_future()
@@ -38,13 +38,13 @@
         self.preempted: asyncio.Future[messages.Preempt] = loop.create_future()
 
     def set_replied(self, in_time: bool = True) -> None:
-        """Note that the dispatcher that was asked last is there, or seems not to be."""
+        """Record whether the dispatcher that was asked last replied in time."""
         if not self.replied.done():
             self.replied.set_result(in_time)
 
     @property
     def alone(self) -> bool:
-        """Tell whether the request has its server for itself."""
+        """Whether the request runs alone on its server."""
         if not self.answer.done() or self.answer.cancelled():
             return False
         found = self.answer.result()
@@ -52,7 +52,7 @@
 
 
 def current(request: PendingTicket, now: ids.Instant) -> messages.Ticket:
-    """Return a ticket with the times that request now."""
+    """Return a ticket with its times updated to now."""
     return msgspec.structs.replace(
         request.ticket,
         remaining=max(0.0, request.deadline - now),
@@ -61,20 +61,20 @@
 
 
 def signal_move(request: PendingTicket) -> None:
-    """Let a waiting ticket be taken to another dispatcher."""
+    """Signal that a waiting ticket must be sent to another dispatcher."""
     if not request.moved.done():
         request.moved.set_result(None)
 
 
 def withdrawal(ticket: messages.Ticket) -> messages.Withdrawal:
-    """Return the message that gives a ticket up."""
+    """Return the message that withdraws a ticket."""
     return messages.Withdrawal(ticket_id=ticket.ticket_id, cell=ticket.cell)
 
 
 def local_refusal(
     request: PendingTicket, reason: messages.RefusalReason
 ) -> messages.Refusal:
-    """Return a refusal that the entry gives on its own account."""
+    """Return a refusal that the entry itself decides."""
     return messages.Refusal(
         ticket_id=request.ticket.ticket_id, reason=reason, retry_after=1.0
     )
--- a/src/tealcove/dispatch/policy.py
+++ b/src/tealcove/dispatch/policy.py
@@ -1,4 +1,4 @@
-"""Finds the scheduler that the settings name."""
+"""Loads the scheduler class that the settings name."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def find(name: str) -> type[scheduler.Scheduler]:
-    """Return the scheduler class of "module:Class"; raises SettingsError."""
+    """Return the scheduler class of "module:Class"; raise SettingsError if invalid."""
     module_name, _, class_name = name.partition(":")
     try:
         found = getattr(importlib.import_module(module_name), class_name)
@@ -21,7 +21,7 @@
 
 
 def invalid_policy(name: str, problem: str) -> errors.SettingsError:
-    """Return the error for a name that leads to no scheduler."""
+    """Return the error for a name that isn't a scheduler's."""
     return errors.SettingsError(
         f"$.dispatch.policy: {name!r} {problem}",
         'Write "module:Class" of a tealcove.dispatch.scheduler.Scheduler',
--- a/src/tealcove/dispatch/reading.py
+++ b/src/tealcove/dispatch/reading.py
@@ -1,4 +1,4 @@
-"""What a dispatcher reads of its backend servers, and what others say of them."""
+"""Reads the state of backend servers for a dispatcher."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class Reader:
-    """Reads backend servers; any failure means that nothing was learnt."""
+    """Reads backend servers; a failed read returns None."""
 
     def __init__(
         self,
@@ -29,12 +29,12 @@
         held: holds.Holds,
     ) -> None:
         self.engines = engines
-        # The platform's lagging list, as it was last read.
+        # Returns the platform's list as last read, which lags behind.
         self.listed = listed
         self.holds = held
 
     async def load(self, server: engine.Server) -> engine.LoadReport | None:
-        """Return a load report, "leaving" as soon as anybody says so."""
+        """Return a load report, with state "leaving" if any source says so."""
         try:
             load = await self.engines.load(server)
             state = await self.engines.state(server)
@@ -47,7 +47,7 @@
         return load
 
     def is_listed_as_leaving(self, server: engine.Server) -> bool:
-        """Tell whether the platform's list has a server as leaving."""
+        """Tell whether the platform lists a server as leaving."""
         return any(
             listed.kind is instances.ListedKind.BACKEND_SERVER
             and listed.state is instances.ListedState.LEAVING
@@ -56,17 +56,17 @@
         )
 
     async def holding(self, server: engine.Server) -> engine.Holding | None:
-        """Return which models and adapters an engine has."""
+        """Return the models and adapters that an engine has loaded."""
         try:
             return await self.engines.holding(server)
         except errors.BackendError as error:
-            log.debug("no state: {}", error)
+            log.debug("no models and adapters: {}", error)
             return None
 
     async def events(
         self, server: engine.Server, after: int
     ) -> engine.CacheEvents | None:
-        """Return what changed in an engine's prefix cache."""
+        """Return the changes of an engine's prefix cache after a sequence number."""
         try:
             return await self.engines.cache_events(server, after)
         except errors.BackendError as error:
@@ -77,8 +77,8 @@
 def exclude_unequipped(ticket: messages.Ticket, found: Holdings) -> messages.Ticket:
     """Return a ticket that excludes the engines which lack its model or adapter.
 
-    A pool that is given another model, or a new engine, needs its time to load:
-    an engine answers 404 until then, and the caller would get that for an answer.
+    After a change of a pool's model, and on a new engine, loading takes time. Until
+    then an engine answers 404, which would be passed on to the caller.
     """
     unequipped = tuple(
         server for server, holding in found.items() if is_unequipped(holding, ticket)
@@ -89,7 +89,7 @@
 
 
 def is_unequipped(holding: engine.Holding, ticket: messages.Ticket) -> bool:
-    """Tell whether an engine can't compute a ticket's request."""
+    """Tell whether an engine lacks a ticket's model or adapter."""
     if ticket.model and ticket.model not in holding.models:
         return True
     return ticket.adapter is not None and ticket.adapter not in holding.adapters
--- a/src/tealcove/dispatch/requester.py
+++ b/src/tealcove/dispatch/requester.py
@@ -1,4 +1,4 @@
-"""The entry's side of tickets: asks dispatchers for slots and keeps them told."""
+"""The entry's side of tickets: requests slots from dispatchers and refreshes them."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 
 log = logbook.Logger("dispatch")
 
-# Seconds after which the dispatcher is told of a ticket again.
+# Seconds between two refreshes of a ticket at its dispatcher.
 REFRESH_INTERVAL = 1.0
-# A dispatcher that left a ticket unanswered gets another one after so many seconds,
-# about as long as a small group takes to suspect it.
+# Seconds after which a dispatcher that left a ticket unanswered gets another one, about
+# as long as a small group takes to suspect it.
 RETRY_SILENT_AFTER = 1.0
 
-# Gets a ticket, how its request ended, whether it ran alone, and the time.
+# Receives a ticket, how its request ended, whether it ran alone, and the time.
 Listener = Callable[[messages.Ticket, messages.Done, bool, ids.Instant], None]
 
 
 class Requester:
-    """All tickets of this entry that wait or run."""
+    """Manages this entry's tickets of waiting and running requests."""
 
     def __init__(
         self,
@@ -40,18 +40,18 @@
         self.members = known
         self.ticket_timeout = ticket_timeout
         self.pending_tickets: dict[ids.TicketId, pending.PendingTicket] = {}
-        # Dispatchers that were told what runs in a cell although another holds it.
+        # Cells and dispatchers that were sent the running tickets in advance.
         self.informed: set[tuple[ids.CellId, ids.InstanceId]] = set()
         # Dispatchers that left a ticket unanswered.
         self.silence = silence.Silence(RETRY_SILENT_AFTER)
-        # Functions that learn how each dispatched request ended.
+        # Called at the end of each dispatched request.
         self.listeners: list[Listener] = []
         self.refreshing: asyncio.Task[None] | None = None
-        # Grants that were given back since their servers have left.
+        # Count of grants that were returned since their servers have left.
         self.declined = 0
 
     def start(self) -> None:
-        """Begin to take grants."""
+        """Register the message handlers and start the periodic refresh."""
         self.transport.handle(messages.Queued, self.handle_queued)
         self.transport.handle(messages.Grant, self.handle_grant)
         self.transport.handle(messages.Refusal, self.handle_refusal)
@@ -60,15 +60,15 @@
         self.refreshing = tasks.start(self.refresh(), "ticket refresh")
 
     async def stop(self) -> None:
-        """End the task."""
+        """Stop the refresh."""
         await tasks.stop([self.refreshing])
 
     async def obtain(
         self, request: pending.PendingTicket
     ) -> messages.Grant | messages.Refusal:
-        """Wait for a slot, asking the next in rank when a dispatcher is silent.
+        """Wait for a slot, asking the next in rank if a dispatcher is silent.
 
-        Ends with a refusal at the deadline at the latest.
+        Returns a refusal at the deadline at the latest.
         """
         self.pending_tickets[request.ticket.ticket_id] = request
         self.spread.begin(request.ticket.cell)
@@ -99,11 +99,11 @@
         return request.answer.result()
 
     def first_responsive(self, ranked: list[ids.InstanceId], now: ids.Instant) -> int:
-        """Return the place of the first dispatcher that isn't known to be silent.
+        """Return the index of the first dispatcher that isn't known to be silent.
 
         A dead one is suspected after 1 s, or 3 s in a large group. Until then each
-        request would wait for its answer anew, 0.3 s of the 0.5 s that callers hope
-        for a first event in.
+        request would wait for its reply again, for 0.3 s of the 0.5 s within which
+        callers want a first event.
         """
         for place, instance in enumerate(ranked):
             if not self.silence.is_silent(instance, now):
@@ -128,13 +128,13 @@
     def set_dispatcher(
         self, request: pending.PendingTicket, dispatcher: ids.InstanceId
     ) -> None:
-        """Remember which process has a ticket."""
+        """Record which process has a ticket."""
         heartbeat = self.members.find(dispatcher)
         request.dispatcher = dispatcher
         request.incarnation = None if heartbeat is None else heartbeat.incarnation
 
     async def wait_for_reply(self, request: pending.PendingTicket) -> bool:
-        """Tell whether the dispatcher answered the ticket in time."""
+        """Wait for any reply, and tell whether it arrived in time."""
         loop = asyncio.get_running_loop()
         timer = loop.call_later(self.ticket_timeout, request.set_replied, False)
         try:
@@ -145,11 +145,11 @@
     def send_running(
         self, waiting: pending.PendingTicket, dispatcher: ids.InstanceId
     ) -> None:
-        """Tell the next in rank what runs in a cell, before it's asked for slots.
+        """Send a cell's running tickets to the next in rank, before it grants slots.
 
-        Nobody suspects the silent dispatcher yet, so nobody has taken its running
-        work elsewhere. The next in rank would think all slots free, and requests
-        would wait inside the engines, where no tier goes before another.
+        The silent dispatcher isn't suspected yet, so its running tickets weren't
+        reassigned. The next in rank would take all slots for free, and requests would
+        queue inside the engines, which don't know tiers.
         """
         cell = waiting.ticket.cell
         peer = self.members.endpoint_of(dispatcher)
@@ -162,7 +162,7 @@
                 self.transport.send(peer, pending.current(request, now))
 
     async def wait_for_answer(self, request: pending.PendingTicket) -> None:
-        """Wait for the answer while the dispatcher stays the one to ask."""
+        """Wait for the answer, the deadline or another dispatcher."""
         timeout = max(0.0, request.deadline - clock.now())
         await asyncio.wait(
             (request.answer, request.moved),
@@ -171,17 +171,17 @@
         )
 
     def abandon(self, request: pending.PendingTicket) -> None:
-        """Give up a ticket, or a grant that wasn't used."""
+        """Withdraw a ticket, or return an unused grant."""
         self.forget(request)
         if request.dispatcher is not None:
             self.send(request, pending.withdrawal(request.ticket))
 
     def finish(self, request: pending.PendingTicket, done: messages.Done) -> None:
-        """Tell the dispatcher that a dispatched request has ended.
+        """Notify the dispatcher that a dispatched request has ended.
 
-        The listeners go first: a mark against a request that crashed its server
-        must reach the dispatcher before the news that the slot is free, or the
-        next copy of the request would be granted a slot at once.
+        The listeners are called first: the mark on a request that crashed its server
+        must reach the dispatcher before it learns that the slot is free, or the next
+        copy of the request would be granted a slot at once.
         """
         self.forget(request)
         for listener in self.listeners:
@@ -189,7 +189,7 @@
         self.send(request, done)
 
     def forget(self, request: pending.PendingTicket) -> None:
-        """Let go of a ticket that neither waits nor runs any more."""
+        """Remove a ticket that no longer waits or runs."""
         if self.pending_tickets.pop(request.ticket.ticket_id, None) is not None:
             self.spread.end(request.ticket.cell)
 
@@ -200,15 +200,15 @@
             self.transport.send(peer, sent)
 
     def reassign_all(self) -> None:
-        """Take tickets to the dispatcher that the ranking names from now on.
+        """Move tickets to the dispatchers that are now first in rank.
 
-        Called when the set of serving instances changes. Running requests are
-        told to the new dispatcher too: it would promise their slots twice.
+        Called when the set of serving instances changes. Running tickets are moved
+        too: without them, the new dispatcher would grant their slots twice.
         """
         now = clock.now()
         self.informed.clear()
-        # Ranked once for each cell: for each of hundreds of tickets it would keep the
-        # event loop from first tokens for as long as a caller may wait for one.
+        # Ranked once for each cell: ranking for each of hundreds of tickets would block
+        # the event loop for as long as a caller may wait for a first token.
         first: dict[tuple[ids.CellId, ids.DataCentreId | None], list[ids.InstanceId]]
         first = {}
         for request in list(self.pending_tickets.values()):
@@ -226,7 +226,7 @@
         first: ids.InstanceId,
         now: ids.Instant,
     ) -> None:
-        """Take a ticket to the first in rank, unless that one has it."""
+        """Move a ticket to the first in rank, unless that one has it."""
         if self.is_assigned_to(request, first):
             return
         if request.ticket.running_on is None:
@@ -239,10 +239,10 @@
     def is_assigned_to(
         self, request: pending.PendingTicket, instance: ids.InstanceId
     ) -> bool:
-        """Tell whether the process now under a name is the one that was asked.
+        """Tell whether an instance's current process is the one that has the ticket.
 
-        A dispatcher that was restarted within the time to suspect it never looks
-        gone; without this, tickets that it forgot would wait to their deadlines.
+        A dispatcher that restarts before it's suspected never seems to be gone;
+        without this check, the tickets that it lost would wait until their deadlines.
         """
         heartbeat = self.members.find(instance)
         return (
@@ -252,11 +252,11 @@
         )
 
     async def refresh(self) -> None:
-        """Tell dispatchers again and again of the tickets that they should have.
+        """Resend tickets to their dispatchers periodically.
 
-        A message between instances may be lost, such as a grant while a link is
-        set up anew. The dispatcher answers a repeated ticket as it did the first,
-        and takes back slots whose tickets are no longer told of.
+        A message between instances may be lost, such as a grant during a reconnect.
+        The dispatcher answers a repeated ticket like the first, and releases slots
+        whose tickets are no longer refreshed.
         """
         while True:
             await asyncio.sleep(REFRESH_INTERVAL)
@@ -274,13 +274,13 @@
         server: ids.BackendServerId,
         start: ids.ServerStart = ids.NO_START,
     ) -> None:
-        """Remember where a ticket's request runs, for a new dispatcher."""
+        """Record where a ticket's request runs, for a new dispatcher."""
         request.ticket = msgspec.structs.replace(
             request.ticket, running_on=server, running_start=start
         )
 
     def handle_queued(self, sender: ids.InstanceId, queued: messages.Queued) -> None:
-        """Note that a dispatcher has a ticket."""
+        """Record that a dispatcher has a ticket."""
         self.silence.end(sender)
         request = self.pending_tickets.get(queued.ticket_id)
         if request is not None and request.dispatcher == sender:
@@ -289,8 +289,8 @@
     def handle_grant(self, sender: ids.InstanceId, grant: messages.Grant) -> None:
         """Use the first grant of a ticket, and return every other one.
 
-        A ticket that was asked of two dispatchers, since the first was silent for
-        a while, may get a slot from both.
+        A ticket that was sent to two dispatchers, since the first was silent for a
+        while, may be granted a slot by both.
         """
         self.silence.end(sender)
         request = self.pending_tickets.get(grant.ticket_id)
@@ -313,13 +313,13 @@
             self.transport.send(peer, returned)
 
     def decline(self, request: pending.PendingTicket, grant: messages.Grant) -> None:
-        """Give back a slot of a server that has left, and ask for another one.
+        """Return a slot of a server that has left, and request another one.
 
-        The dispatcher's list is older than this instance's.
+        The dispatcher's list of servers is older than this instance's.
         """
         self.declined += 1
         log.info(
-            "declined {}, which has left: granted by {} with the pool of revision {}",
+            "declined {}, which has left: granted by {} with pool revision {}",
             grant.server,
             request.dispatcher,
             grant.revision,
@@ -327,7 +327,7 @@
         )
         self.send(request, pending.withdrawal(request.ticket))
         if grant.server in request.ticket.excluded:
-            # It knows no other server.
+            # The dispatcher has no other server.
             self.forget(request)
             reason = messages.RefusalReason.NO_BACKEND_SERVER
             request.answer.set_result(pending.local_refusal(request, reason))
@@ -337,7 +337,7 @@
         self.send(request, pending.current(request, clock.now()))
 
     def handle_refusal(self, sender: ids.InstanceId, refusal: messages.Refusal) -> None:
-        """Take the word of the ticket's present dispatcher only."""
+        """Accept a refusal from the ticket's current dispatcher only."""
         self.silence.end(sender)
         request = self.pending_tickets.get(refusal.ticket_id)
         if (
@@ -350,7 +350,7 @@
             request.set_replied()
 
     def handle_preempt(self, sender: ids.InstanceId, preempt: messages.Preempt) -> None:
-        """Pass on the order to stop a running request."""
+        """Signal a running request to stop."""
         request = self.pending_tickets.get(preempt.ticket_id)
         if request is not None and not request.preempted.done():
             request.preempted.set_result(preempt)
--- a/src/tealcove/dispatch/role.py
+++ b/src/tealcove/dispatch/role.py
@@ -1,4 +1,4 @@
-"""The dispatcher role of an instance: the cells that it serves."""
+"""Dispatcher role of an instance, which serves the cells assigned to it."""
 
 from __future__ import annotations
 
@@ -28,30 +28,30 @@
 log = logbook.Logger("dispatch")
 
 TICK_INTERVAL = 0.05
-# A cell that belongs to another instance and has no tickets is kept for so long.
+# Seconds for which a cell is kept that belongs to another instance and has no tickets.
 RELEASE_AFTER = 10.0
 RELEASE_INTERVAL = 1.0
 # Seconds for which a newly served cell grants nothing that isn't urgent, so that
-# entries can tell of the work that another dispatcher has granted: two heartbeats.
+# entries can report the work that another dispatcher has granted: two heartbeats.
 GATHER_SECONDS = 0.5
-# Another dispatcher may have served the cell if the members changed within so
-# long, or if its first ticket has waited elsewhere.
+# Another dispatcher may have served the cell if the members changed less than
+# SETTLED_AFTER ago, or if its first ticket has waited for WAITED_ELSEWHERE or more.
 SETTLED_AFTER = 5.0
 WAITED_ELSEWHERE = 0.1
-# A tick that comes later than this means that the process was frozen.
+# Seconds between two ticks that mean that the process was frozen.
 FROZEN_AFTER = 0.75
-# Ends of a request that tell of a server which can't be reached.
+# Outcomes of a request whose server can't be reached.
 SERVER_LOST = (messages.Outcome.NOT_SENT, messages.Outcome.CRASHED)
 
 FindCell = Callable[[ids.CellId], cells.Cell | None]
 
 
 class Dispatcher:
-    """Hands messages to the scheduler of their cell and sends what it decides.
+    """Passes messages to the scheduler of their cell and sends its decisions.
 
-    Any instance serves a cell as soon as it gets a ticket for it: the entries
-    decide by the ranking whom they ask. Two dispatchers of one cell for a moment
-    promise a slot twice, which the entries' tickets make harmless.
+    An instance serves a cell as soon as it receives a ticket for it: the entries
+    choose the dispatcher by the ranking. While a cell briefly has two dispatchers,
+    a slot may be granted twice; the entries' tickets make that harmless.
     """
 
     def __init__(
@@ -79,11 +79,11 @@
         self.poll_interval = poll_interval
         self.suspicion = suspects or suspicion.NoSuspicion()
         self.spans = spans.Spans(source)
-        # How often this instance decided so, for the metrics.
+        # Counts of this instance's grants and preemptions, for the metrics.
         self.granted = 0
         self.preempted = 0
         self.members_changed = clock.now()
-        # The entries that tickets came from, as they were then.
+        # The incarnation of each entry when it last sent a ticket.
         self.entries: dict[ids.InstanceId, ids.Incarnation] = {}
         self.held: dict[ids.CellId, heldcell.HeldCell] = {}
         self.has_cells = asyncio.Event()
@@ -91,7 +91,7 @@
         self.next_release = ids.Instant(clock.now() + RELEASE_INTERVAL)
 
     def start(self) -> None:
-        """Begin to take tickets."""
+        """Register the message handlers and start the periodic tick."""
         self.transport.handle(messages.Ticket, self.handle_ticket)
         self.transport.handle(messages.Withdrawal, self.handle_withdrawal)
         self.transport.handle(messages.Progress, self.handle_progress)
@@ -108,7 +108,7 @@
         await tasks.stop([self.ticker, *polls])
 
     def handle_ticket(self, sender: ids.InstanceId, ticket: messages.Ticket) -> None:
-        """Queue a ticket, or refuse it when its cell isn't known here."""
+        """Queue a ticket, or refuse it if its cell is unknown."""
         self.spans.begin(ticket)
         held = self.serve_cell(ticket)
         heartbeat = self.members.find(ticket.entry)
@@ -126,7 +126,7 @@
         self.send(held.decider.enqueue(fitting, clock.now()))
 
     def handle_hold(self, sender: ids.InstanceId, hold: holds.Hold) -> None:
-        """Keep a server from new work, or end that, and report to the steward."""
+        """Hold a server back from new work, or end that, and report to the steward."""
         now = clock.now()
         self.holds.take(hold, now)
         held = self.held.get(hold.cell)
@@ -143,7 +143,7 @@
     def handle_withdrawal(
         self, sender: ids.InstanceId, withdrawal: messages.Withdrawal
     ) -> None:
-        """Forget a ticket."""
+        """Remove a withdrawn ticket."""
         self.spans.end(withdrawal.ticket_id, spans.WITHDRAWN)
         held = self.held.get(withdrawal.cell)
         if held is not None:
@@ -152,13 +152,13 @@
     def handle_progress(
         self, sender: ids.InstanceId, progress: messages.Progress
     ) -> None:
-        """Learn of a first token."""
+        """Record a request's first token."""
         held = self.held.get(progress.cell)
         if held is not None:
             self.send(held.decider.progress(progress, clock.now()))
 
     def handle_done(self, sender: ids.InstanceId, done: messages.Done) -> None:
-        """Learn that a slot is free."""
+        """Record the end of a request and release its slot."""
         held = self.held.get(done.cell)
         if held is not None:
             if done.outcome in SERVER_LOST:
@@ -166,7 +166,7 @@
             self.send(held.decider.done(done, clock.now()))
 
     def serve_cell(self, ticket: messages.Ticket) -> heldcell.HeldCell | None:
-        """Return a ticket's cell, served from now on; None: it doesn't exist."""
+        """Return a ticket's cell, and start serving it; None if it doesn't exist."""
         held = self.held.get(ticket.cell)
         if held is not None:
             return held
@@ -194,8 +194,8 @@
     ) -> bool:
         """Tell whether another dispatcher may have granted slots of a cell.
 
-        If not, as long as the members have stayed the same, a ticket of a cell
-        would always have come here, so that the first one has nothing to wait for.
+        While the members haven't changed, every ticket of a cell is sent to the same
+        instance, so the first one has no other grants to wait for.
         """
         if not self.members.peers:
             return False
@@ -204,18 +204,18 @@
         return not (is_settled and is_new)
 
     def views_by_pool(self) -> dict[ids.PoolId, list[backendview.BackendView]]:
-        """Return the servers of each pool for which this instance decides."""
+        """Return the state of the servers that this instance dispatches to, by pool."""
         found: dict[ids.PoolId, list[backendview.BackendView]] = {}
         for held in self.held.values():
             found.setdefault(held.cell.pool, []).extend(held.decider.backend_views())
         return found
 
     def record_membership_change(self) -> None:
-        """Remember that the set of serving instances has just changed."""
+        """Record when the set of serving instances changed."""
         self.members_changed = clock.now()
 
     def reconfigure(self) -> None:
-        """Bring every held cell to the configuration now in force."""
+        """Apply the configuration in force to every served cell."""
         for cell_id, held in list(self.held.items()):
             cell = self.find_cell(cell_id)
             if cell is None:
@@ -226,11 +226,11 @@
                 held.poll_servers()
 
     async def tick(self) -> None:
-        """Let the schedulers see time pass."""
+        """Advance the schedulers periodically."""
         before = clock.now()
         while True:
             if not self.held:
-                # There is nothing to decide until a ticket comes.
+                # There is nothing to decide until a ticket arrives.
                 self.has_cells.clear()
                 await self.has_cells.wait()
                 before = clock.now()
@@ -242,13 +242,13 @@
             try:
                 self.advance(now)
             except Exception:
-                # Without ticks no ticket expires and no late work is noticed, on
-                # every cell of this instance and for good. One fault of one cell's
-                # scheduler mustn't do that.
-                log.exception("the tick failed")
+                # If this task ended, no ticket would expire and no late work would be
+                # noticed any more, in all cells of this instance. A fault in one
+                # cell's scheduler mustn't cause that.
+                log.exception("dispatcher tick failed")
 
     def advance(self, now: ids.Instant) -> None:
-        """Decide what only the passing of time decides."""
+        """Make the decisions that depend on time alone."""
         self.drop_lost_entries(now)
         for held in self.held.values():
             self.send(held.decider.tick(now))
@@ -257,10 +257,10 @@
             self.release_cells(now)
 
     def release_cells(self, now: ids.Instant) -> None:
-        """Let go of cells that another instance serves and that have no tickets.
+        """Release cells that another instance serves and that have no tickets.
 
-        Without it, each instance that was ever asked for a cell, such as during a
-        takeover, would poll all its backend servers for ever.
+        Without it, each instance that ever received a ticket for a cell, such as
+        during a takeover, would poll all its backend servers indefinitely.
         """
         for cell_id, held in list(self.held.items()):
             ranked = self.members.rank(cell_id, now, held.cell.data_centre)
@@ -273,16 +273,16 @@
             held.stop()
 
     def handle_freeze(self, now: ids.Instant) -> None:
-        """Let the entries tell again what runs.
+        """Wait for the entries to report their running requests again.
 
-        While this process was frozen, the next in rank may have granted slots
-        that are counted as free here.
+        While this process was frozen, the next in rank may have granted slots that
+        are counted as free here.
         """
         for held in self.held.values():
             held.decider.gather(ids.Instant(now + self.gather_seconds))
 
     def drop_lost_entries(self, now: ids.Instant) -> None:
-        """Tell the schedulers which entries are silent or were replaced."""
+        """Notify the schedulers of entries that are silent or were replaced."""
         for entry, incarnation in list(self.entries.items()):
             if self.is_present(entry, incarnation, now):
                 continue
@@ -293,9 +293,9 @@
     def is_present(
         self, entry: ids.InstanceId, incarnation: ids.Incarnation, now: ids.Instant
     ) -> bool:
-        """Tell whether an entry is the process that it was, and not silent.
+        """Tell whether an entry is still the same process, and not silent.
 
-        An entry that leaves is present until it's silent: it finishes its work.
+        A leaving entry is present until it's silent, since it finishes its work.
         """
         if entry == self.members.own.instance:
             return True
@@ -305,12 +305,12 @@
         return not self.members.is_suspect(member, now)
 
     def send(self, outgoing: list[scheduler.Outgoing]) -> None:
-        """Tell the entries what was decided."""
+        """Send decisions to the entries."""
         for out in outgoing:
             self.record(out.message)
             peer = self.members.endpoint_of(out.entry)
             if peer is None:
-                log.warning("no address of {} for {}", out.entry, out.message)
+                log.warning("unknown address of {}, dropped {}", out.entry, out.message)
                 continue
             self.transport.send(peer, out.message)
 
--- a/src/tealcove/dispatch/spans.py
+++ b/src/tealcove/dispatch/spans.py
@@ -1,4 +1,4 @@
-"""The dispatcher's spans: a ticket from the queue to its grant or refusal."""
+"""The dispatcher's trace spans, each from queueing a ticket to its grant or refusal."""
 
 from __future__ import annotations
 
@@ -15,27 +15,27 @@
 GRANTED = "granted"
 WITHDRAWN = "withdrawn"
 FORGOTTEN = "forgotten"
-# Spans that are open at the most. A ticket whose entry is gone gets no answer;
-# without a bound its span would stay for ever.
+# Upper bound on open spans. A ticket whose entry is lost gets no answer; without a
+# bound its span would stay open indefinitely.
 MAX_OPEN = 5_000
 
 
 class Spans:
-    """Open spans by ticket; only tickets of recorded traces have one."""
+    """The open spans by ticket; only tickets of recorded traces have one."""
 
     def __init__(self, source: measuring.Source | None = None) -> None:
         self.source = source or measuring.Nothing()
         self.open: dict[ids.TicketId, trace.Span] = {}
 
     def begin(self, ticket: messages.Ticket) -> None:
-        """Open the span of a ticket that is to be queued, at its first telling."""
+        """Open the span of a ticket when it's first received."""
         if not (ticket.traceparent and self.source.tracing):
             return
         if ticket.running_on is not None or ticket.ticket_id in self.open:
             return
         if len(self.open) >= MAX_OPEN:
             self.end(next(iter(self.open)), FORGOTTEN)
-        # Here, since an instance that traces nothing needs nothing of it.
+        # Imported here, since an instance without tracing doesn't need it.
         from tealcove import telemetry
 
         self.open[ticket.ticket_id] = self.source.tracer.start_span(
--- a/src/tealcove/dispatch/suspicion.py
+++ b/src/tealcove/dispatch/suspicion.py
@@ -1,4 +1,4 @@
-"""What a scheduler asks about requests that may crash their backend server."""
+"""Interface to the records of requests that may crash their backend server."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 
 
 class Suspicion(abc.ABC):
-    """Knows the requests, by digest of content, that were near a crash."""
+    """Identifies requests, by digest of content, that ran during a crash."""
 
-    # Changes whenever any answer may have changed.
+    # Changes whenever the result of a method may have changed.
     version: int = 0
 
     @abc.abstractmethod
     def is_suspect(self, digest: str) -> bool:
-        """Tell whether such a request has to run alone on its server."""
+        """Tell whether a request must run alone on its server."""
 
     @abc.abstractmethod
     def is_quarantined(self, digest: str) -> bool:
-        """Tell whether such a request isn't run at all for now."""
+        """Tell whether a request must not run for now."""
 
     @abc.abstractmethod
     def lost(
@@ -30,7 +30,7 @@
         alone: bool,
         now: ids.Instant,
     ) -> None:
-        """Learn of a request whose backend server is gone while it ran there."""
+        """Record a request whose backend server was lost while running it."""
 
 
 class NoSuspicion(Suspicion):
--- a/src/tealcove/dispatch/tests/builders.py
+++ b/src/tealcove/dispatch/tests/builders.py
@@ -1,4 +1,4 @@
-"""Test data for the dispatch slice."""
+"""Test data for the dispatch package."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
 
 
 def done(grant: messages.Grant, **changes: object) -> messages.Done:
-    """Return the end of `ticket()` on a server of the builders' speed."""
+    """Return the end of a `ticket()` on a server of the speed of this module."""
     found = {
         "ticket_id": grant.ticket_id,
         "cell": CELL,
@@ -88,7 +88,7 @@
 
 
 def opened(*servers: kinds.BackendServerSpec, **changes: object) -> fair.FairScheduler:
-    """Return a scheduler whose servers' speed is known."""
+    """Return a scheduler that has learnt the speed of its servers."""
     found = fair.FairScheduler()
     found.configure(cell(*servers, **changes), instant(0))
     for spec in servers:
@@ -98,7 +98,7 @@
 
 
 def train(found: fair.FairScheduler, name: str, factor: float = 1.0) -> None:
-    """Let a server complete requests of which it takes `factor` times as long."""
+    """Let a server complete requests at `factor` times the usual duration."""
     grant = messages.Grant(
         ticket_id=ids.TicketId("taught"), cell=CELL, server=name, host="", port=0
     )
@@ -127,7 +127,7 @@
 def refresh_tickets(
     found: fair.FairScheduler, now: ids.Instant, *lost: ids.InstanceId
 ) -> None:
-    """Let all entries but lost ones tell of their tickets, as living ones do."""
+    """Let all entries but lost ones resend their tickets."""
     tickets = [waiting.ticket for waiting in found.state.queue.tickets.values()]
     for name, server in found.state.fleet.servers.items():
         for running in server.running.values():
--- a/src/tealcove/dispatch/tests/transport.py
+++ b/src/tealcove/dispatch/tests/transport.py
@@ -1,4 +1,4 @@
-"""A mesh that only notes what is sent, for tests."""
+"""A mesh for tests that only records what is sent."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Sent:
-    """One message and its receiver's port."""
+    """A message and its receiver's port."""
 
     def __init__(self, port: int, content: message.Message) -> None:
         self.port = port
@@ -14,7 +14,7 @@
 
 
 class RecordingMesh:
-    """Takes the place of `mesh.Mesh`; nothing leaves the process."""
+    """Replaces `mesh.Mesh`; nothing leaves the process."""
 
     def __init__(self) -> None:
         self.sent: list[Sent] = []
@@ -23,7 +23,7 @@
         """Ignore handlers: tests call them themselves."""
 
     def send(self, peer: endpoint.Endpoint, sent: message.Message) -> bool:
-        """Note a message."""
+        """Record a message."""
         self.sent.append(Sent(peer.port, sent))
         return True
 
