--- a/src/tealcove/dispatch/tests/test_firstattempts.py
+++ b/src/tealcove/dispatch/tests/test_firstattempts.py
@@ -1,4 +1,4 @@
-"""Requests that come again are known by their content and their caller's time."""
+"""Tests of recognising retries by their content and their caller's deadline."""
 
 from __future__ import annotations
 
@@ -21,19 +21,18 @@
     return attempts.find_or_add(sent, builders.instant(at + 0.25), builders.instant(at))
 
 
-def test_a_caller_that_comes_again_hopes_for_no_more_than_before():
+def test_a_retry_keeps_the_goal_of_its_first_attempt():
     attempts = firstattempts.FirstAttempts()
     assert first(attempts, ticket(), 0.0) is None
     again = first(attempts, ticket(remaining=9.2), 0.8)
     assert again.goal_at == builders.instant(0.25)
 
 
-def test_others_with_the_same_content_are_fresh():
-    """Requests for one much asked content are all taken for late.
+def test_other_requests_with_the_same_content_are_new():
+    """Guards against taking requests with popular content for retries.
 
-    Symptom: they're put behind all others from the second one on. Sequence: many
-    callers send the same content within a second. Cause: the content alone is taken
-    for the request.
+    Many callers send the same content within a second. If requests were identified by
+    content alone, all but the first would count as late and go behind all others.
     """
     attempts = firstattempts.FirstAttempts()
     assert first(attempts, ticket(), 0.0) is None
@@ -42,14 +41,14 @@
     assert first(attempts, ticket(remaining=9.2, digest="e"), 0.8) is None
 
 
-def test_a_ticket_that_waited_elsewhere_is_no_new_try():
+def test_a_ticket_that_waited_elsewhere_is_no_new_attempt():
     attempts = firstattempts.FirstAttempts()
     assert first(attempts, ticket(), 0.0) is None
     moved = ticket(remaining=10.0, waited=0.7)
     assert first(attempts, moved, 0.7) is not None
 
 
-def test_without_a_word_of_the_callers_time_nothing_is_known():
+def test_without_a_callers_deadline_nothing_is_remembered():
     attempts = firstattempts.FirstAttempts()
     assert first(attempts, ticket(remaining=0.0), 0.0) is None
     assert first(attempts, ticket(remaining=0.0), 0.1) is None
--- a/src/tealcove/dispatch/tests/test_goal.py
+++ b/src/tealcove/dispatch/tests/test_goal.py
@@ -1,4 +1,4 @@
-"""The goal scheduler: rank, goals, refusals, failing servers, takeover."""
+"""Tests of the goal scheduler: rank, goals, refusals, failing servers, takeover."""
 
 from __future__ import annotations
 
@@ -42,11 +42,10 @@
 
 
 def test_goals_in_reach_go_before_late_ones_of_the_same_rank():
-    """Under overload every request is late.
+    """Guards against every request being late under overload.
 
-    Symptom: all first events come after the goal though half of them could be in
-    time. Sequence: more requests come than fit; the oldest is served first, each a
-    little late. Cause: requests whose goal is missed go on being first in line.
+    Served oldest first, each request is a little late, although half of them could meet
+    their goal. Requests whose goal is missed must not stay first in line.
     """
     found = opened()
     _, first = enqueue(found, remaining=60.0)
@@ -61,18 +60,17 @@
 
 
 def restarted(found: goal.GoalScheduler, at: float) -> list:
-    """Let the one server be at its next start."""
+    """Restart the only server."""
     servers = builders.server("s0", 1, start=ids.ServerStart(2))
     return found.configure(builders.cell(servers), builders.instant(at))
 
 
-def test_a_server_that_started_again_runs_nothing_of_before():
-    """A server that was restarted under its name stays without work.
+def test_a_restarted_server_keeps_no_earlier_runs():
+    """Guards against a restarted server staying idle with all slots taken.
 
-    Symptom: its slots are taken while it's idle. Sequence: it dies without closing
-    its connections and starts again under the same name; the entries still wait for
-    the answers of its old start, and go on telling of them. Cause: the name alone is
-    taken for the server, so that its old runs hold slots of the new start.
+    A server dies without closing its connections and restarts under the same name; the
+    entries still wait for answers of its old start, and refresh their tickets. If
+    servers are identified by name alone, the old runs hold slots of the new start.
     """
     found = opened()
     old, out = enqueue(found, remaining=60.0)
@@ -91,12 +89,11 @@
     assert list(found.views.server_by_ticket) == [waiting.ticket_id]
 
 
-def test_what_became_of_the_old_start_says_nothing_of_the_new_one():
-    """A server that has just started again gets little work.
+def test_outcomes_of_the_old_start_do_not_count_for_the_new_one():
+    """Guards against a restarted server counting as failing from its start.
 
-    Symptom: it counts as failing or out of reach from its start on. Sequence: it
-    dies, and its entry with the new start reaches the dispatcher before the entries'
-    word that their requests broke off. Cause: that word is put down to the new start.
+    The list with the new start reaches the dispatcher before the entries' reports of
+    requests that broke off. Those reports must not be attributed to the new start.
     """
     found = opened()
     _, out = enqueue(found, remaining=60.0)
@@ -110,7 +107,7 @@
 
 
 def test_the_failures_of_the_old_start_are_forgotten_with_it():
-    """The same, but the word that the requests broke off comes first."""
+    """As above, but the reports of broken requests arrive first."""
     found = opened()
     _, out = enqueue(found, remaining=60.0)
     (grant,) = builders.granted(out)
@@ -142,7 +139,7 @@
     assert granted_names(enqueue(found)[1]) == ["slow"]
 
 
-def test_a_goal_that_is_missed_here_and_met_elsewhere_is_waited_for():
+def test_a_ticket_waits_for_a_server_that_meets_its_goal():
     found = opened("slow", "fast")
     found.views.servers["slow"].prefill.rate = 1e-2
     (first,) = builders.granted(enqueue(found)[1])
@@ -165,18 +162,17 @@
     assert granted_names(found.tick(builders.instant(0.6))) == [grant.server]
 
 
-def test_a_server_that_hangs_gets_nothing_more():
+def test_a_server_that_hangs_gets_no_more_requests():
     found = opened("s0", slots=4)
     enqueue(found, remaining=60.0)
     assert granted_names(enqueue(found, 5.0, remaining=60.0)[1]) == []
 
 
 def test_a_server_that_loses_single_answers_goes_on_getting_work():
-    """Most servers stand idle while first events come five times later.
+    """Guards against idle servers while first events come five times later.
 
-    Symptom: few requests are served by few servers. Sequence: a server loses three
-    answers in ten and serves all others well. Cause: it gets nothing while any of
-    its runs is overdue.
+    A server loses three answers in ten and serves all others well. It must get
+    requests although one of its runs is overdue.
     """
     found = opened("s0", slots=4)
     enqueue(found, remaining=60.0)
@@ -191,13 +187,12 @@
     assert granted_names(enqueue(found, excluded=names)[1]) == ["s0"]
 
 
-def test_slots_that_nobody_tells_of_are_free_after_a_takeover():
-    """A successor serves a part of what could be served.
+def test_stale_slots_are_released_after_a_takeover():
+    """Guards against a successor serving only two thirds of the work for seconds.
 
-    Symptom: after a dispatcher's death two thirds of the work for many seconds.
-    Sequence: entries tell the successor of running requests; some of these entries
-    die too, or their requests end unseen. Cause: slots of requests that nobody
-    tells of are kept for 8 s.
+    Entries report their running requests to the successor; some of these entries die
+    too, or the ends of their requests are lost. Slots that are no longer refreshed
+    must not be kept for as long as 8 s.
     """
     found = opened("s0")
     running = builders.ticket(running_on=ids.BackendServerId("s0"))
@@ -232,12 +227,11 @@
     )
 
 
-def test_a_prompt_that_is_read_at_once_does_not_end_all_decisions():
-    """A dispatcher answers no ticket any more.
+def test_a_very_fast_prefill_does_not_break_predictions():
+    """Guards against divisions by zero, after which no ticket is answered.
 
-    Symptom: tickets to one dispatcher aren't answered, its log has divisions by zero.
-    Sequence: an engine's first completion is of a short prompt, and takes less than
-    the time taken for granted. Cause: 0 s for each prompt token was learnt.
+    An engine's first completion is of a short prompt and takes less than the base
+    time, from which a rate of 0 s per prompt token must not be learnt.
     """
     found = opened(slots=2)
     first, outgoing = enqueue(found, prompt_tokens=300)
@@ -251,12 +245,12 @@
     assert granted_names(outgoing) == ["s0"]
 
 
-def test_a_takeover_does_not_look_like_a_rush():
-    """Requests of low ranks are refused after a dispatcher's death.
+def test_a_takeover_does_not_count_as_arrivals():
+    """Guards against refusals of low ranks after a dispatcher's death.
 
-    Symptom: 503 for a second or two though there is room. Sequence: the next in rank
-    gets all waiting tickets within a moment. Cause: they counted as arrivals, as if
-    as many came in every moment.
+    The next in rank receives all waiting tickets at once. If they counted as arrivals,
+    a high arrival rate would be assumed, and requests would get 503 for a second or two
+    though slots are free.
     """
     found = opened(slots=4)
     for _ in range(40):
@@ -266,7 +260,7 @@
     assert found.inflow.load_above(2, builders.instant(0)) > 0.0
 
 
-def test_without_any_server_a_ticket_waits_until_its_time_is_over():
+def test_without_any_server_a_ticket_waits_until_its_deadline():
     found = goal.GoalScheduler()
     found.configure(builders.cell(), builders.instant(0))
     _, outgoing = enqueue(found, remaining=1.0)
@@ -282,17 +276,17 @@
     return grant
 
 
-def test_entries_wait_longer_for_servers_of_which_nothing_is_known():
-    """Prompts are read twice in the seconds after everything was killed.
+def test_entries_wait_longer_for_unmeasured_servers():
+    """Guards against duplicate prefill in the seconds after all instances were killed.
 
-    Symptom: requests are sent to a second server although the first works on them.
-    Sequence: a new dispatcher grants a slot of a slow server; the first event doesn't
-    come within four times what it told. Cause: that was a guess, made for fast servers.
+    A new dispatcher grants a slot of a slow server, whose first event takes more than
+    four times the initial estimate, which is that of a fast server. The entry must not
+    resend the request to a second server in that time.
     """
     found = opened(slots=2)
     grant = first_of(found, 0.0)
     run = found.views.server_by_ticket[grant.ticket_id].runs[grant.ticket_id]
-    # An engine of a fifth of the speed that is guessed, with a prompt before this one.
+    # An engine of a fifth of the initial speed, with a prompt before this one.
     assert grant.first_seconds * exchange.SILENCE_FACTOR > 2 * 5 * run.first
     progress = messages.Progress(
         ticket_id=grant.ticket_id, cell=builders.CELL, first_token_seconds=run.first
@@ -303,12 +297,11 @@
     assert known.first_seconds == run.first
 
 
-def test_of_servers_alike_the_near_one_is_taken():
-    """Prompts cross between data centres although engines beside them are free.
+def test_among_equal_servers_the_near_one_is_chosen():
+    """Guards against needless traffic between data centres.
 
-    Symptom: two thirds of all prompts and answers go to another data centre. Sequence:
-    engines of three data centres are free and equally fast. Cause: the choice goes by
-    time alone, and between equals by their order.
+    With free and equally fast engines in three data centres, a choice by time alone
+    sends two thirds of all prompts to another data centre.
     """
     found = goal.GoalScheduler()
     servers = [
@@ -322,7 +315,7 @@
         assert granted_names(outgoing) == [f"s-{place}"]
 
 
-def test_a_far_server_is_taken_that_ends_much_sooner():
+def test_a_remote_server_is_chosen_if_it_ends_much_sooner():
     found = goal.GoalScheduler()
     servers = [
         builders.server(f"s-{place}", data_centre=place) for place in ("dc-1", "dc-2")
--- a/src/tealcove/dispatch/tests/test_prefill.py
+++ b/src/tealcove/dispatch/tests/test_prefill.py
@@ -1,4 +1,4 @@
-"""Base, rate and square of prompts are learnt from first events."""
+"""Tests of learning base, rate and quadratic term from first events."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
     return BASE + prompt * (1.0 + SQUARE * prompt) * rate
 
 
-def taught(count: int, noise: float = 0.0, seed: int = 1) -> prefill.Prefill:
-    """Return what is learnt from so many prompts, each read alone."""
+def learnt_from(count: int, noise: float = 0.0, seed: int = 1) -> prefill.Prefill:
+    """Return the estimates learnt from so many prompts, each processed alone."""
     source = random.Random(seed)
     quadratic = prefill.QuadraticCost()
     found = prefill.Prefill(quadratic)
@@ -30,7 +30,7 @@
 
 
 def test_the_first_observation_replaces_the_guess():
-    found = taught(0)
+    found = learnt_from(0)
     work = found.quadratic.work(4000)
     found.learn(4000, work, 0.43)
     assert found.first_seconds(work) == pytest.approx(0.43)
@@ -38,30 +38,30 @@
 
 @pytest.mark.parametrize("prompt", [200, 2000, 8000, 20_000, 40_000])
 def test_short_and_long_prompts_are_predicted_alike(prompt: int) -> None:
-    """Long prompts miss goals that they were predicted to meet.
+    """Guards against long prompts missing goals that they were predicted to meet.
 
-    Symptom: prompts of 20,000 tokens and more come a quarter later than predicted.
-    Sequence: a server has read short prompts. Cause: attention is quadratic.
+    Attention is quadratic: extrapolated linearly from short prompts, those of 20,000
+    tokens and more take a quarter longer than predicted.
     """
-    found = taught(400)
+    found = learnt_from(400)
     predicted = found.first_seconds(found.quadratic.work(prompt))
     assert predicted == pytest.approx(seconds(prompt), rel=0.1, abs=0.01)
 
 
-def test_short_prompts_that_were_held_up_do_not_slow_long_ones_down():
-    """Servers stand idle while requests wait for others.
+def test_delayed_short_prompts_do_not_inflate_predictions_for_long_ones():
+    """Guards against predictions that keep requests from idle servers.
 
-    Symptom: prompts of 6,000 tokens are predicted to take .6 s, and take .13 s.
-    Sequence: short prompts wait some tens of milliseconds for the steps of others.
-    Cause: the rate is the mean of seconds a token, each prompt counting alike.
+    Short prompts wait some tens of milliseconds for engine steps of other requests. If
+    all prompts had equal weight in the rate, those of 6,000 tokens would be predicted
+    to take .6 s, while they take .13 s.
     """
-    found = taught(400, noise=0.07)
+    found = learnt_from(400, noise=0.07)
     predicted = found.first_seconds(found.quadratic.work(6000))
     assert predicted == pytest.approx(seconds(6000), abs=0.04)
 
 
-def test_a_server_that_has_slowed_down_is_known_soon():
-    found = taught(200)
+def test_a_slowdown_is_noticed_soon():
+    found = learnt_from(200)
     for _ in range(25):
         found.learn(3000, found.quadratic.work(3000), seconds(3000, rate=4 * RATE))
     predicted = found.first_seconds(found.quadratic.work(3000))
--- a/src/tealcove/dispatch/tests/test_prefixindex.py
+++ b/src/tealcove/dispatch/tests/test_prefixindex.py
@@ -1,4 +1,4 @@
-"""What is believed to be in a server's cache."""
+"""Tests of the estimate of a server's prefix cache."""
 
 from __future__ import annotations
 
@@ -25,10 +25,9 @@
 
 
 def test_a_gap_makes_what_was_known_before_it_uncertain() -> None:
-    """Prompts go to a server that has dropped their prefix long ago.
+    """Guards against sending prompts to a server that has evicted their prefix.
 
-    Events: the event of the removal got lost. Cause: the missing number in the
-    sequence was passed over.
+    The removal event was lost, which a missing sequence number shows.
     """
     index = prefixindex.PrefixIndex()
     index.apply_events(event(1, "stored", 1, 2))
@@ -39,7 +38,7 @@
     assert index.match((1, 2)) == 2
 
 
-def test_old_numbers_change_nothing_and_a_new_count_forgets_all() -> None:
+def test_old_events_are_ignored_and_a_new_sequence_clears_the_index() -> None:
     index = prefixindex.PrefixIndex()
     index.apply_events(event(1, "stored", 1))
     index.apply_events(event(2, "stored", 2))
--- a/src/tealcove/dispatch/tests/test_requester.py
+++ b/src/tealcove/dispatch/tests/test_requester.py
@@ -1,4 +1,4 @@
-"""The entry's side of tickets."""
+"""Tests of the entry's side of tickets."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 from tealcove.membership.tests import builders
 from tealcove.resources import copy, kinds
 
-PATIENCE = 30.0
+TEST_TIMEOUT = 30.0
 CELL = ids.CellId("engines/0")
 SERVERS = ("s", "t")
 
 
 class Asking:
-    """A requester among three instances, with one ticket on its way."""
+    """A requester among three instances, with one ticket sent."""
 
     def __init__(self) -> None:
         self.mesh = transport.RecordingMesh()
@@ -58,7 +58,7 @@
         self.first, self.second = ranked
 
     def far(self) -> ids.Instant:
-        """Return a deadline that no test comes near to."""
+        """Return a deadline that no test reaches."""
         return ids.Instant(clock.now() + 1000.0)
 
     def another_pending_ticket(self) -> pending.PendingTicket:
@@ -75,19 +75,19 @@
     async def asked(self, instance: ids.InstanceId, times: int) -> None:
         """Wait until an instance was sent the ticket so many times."""
         port = self.port(instance)
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TEST_TIMEOUT):
             while True:
                 if len(self.mesh.to(port, messages.Ticket)) >= times:
                     return
                 await asyncio.sleep(0.005)
 
     def queue_at(self, instance: ids.InstanceId) -> None:
-        """Let an instance answer that it has the ticket."""
+        """Let an instance reply that it has the ticket."""
         queued = messages.Queued(ticket_id=self.pending_ticket.ticket.ticket_id)
         self.requester.handle_queued(instance, queued)
 
     def configure(self, revision: int, *leaving: str) -> None:
-        """Put a pool in force, some of whose servers leave."""
+        """Put a pool with some leaving servers in force."""
         spec = kinds.EnginePoolSpec(
             servers=tuple(
                 kinds.BackendServerSpec(
@@ -141,12 +141,11 @@
     await found.requester.stop()
 
 
-async def test_a_silent_dispatcher_is_passed_over(asking: Asking) -> None:
-    """Callers wait for a frozen dispatcher until they give up.
+async def test_a_silent_dispatcher_is_skipped(asking: Asking) -> None:
+    """Guards against callers waiting for a frozen dispatcher until they give up.
 
-    Symptom: requests of all entries hang although backend servers are idle.
-    Sequence: the first in rank is frozen; its grant comes after the second's.
-    Cause: a ticket that nobody takes over, or two grants of which both are used.
+    The first in rank is frozen; its grant arrives after that of the second. The ticket
+    must be sent to the second, and only one of the two grants must be used.
     """
     await asking.asked(asking.second, 1)
     asking.queue_at(asking.second)
@@ -162,11 +161,10 @@
 async def test_the_next_ticket_is_not_held_up_by_a_silent_dispatcher(
     asking: Asking,
 ) -> None:
-    """Every request of a second comes late after a dispatcher's death.
+    """Guards against late first events until a dispatcher's death is suspected.
 
-    Symptom: first events 0.3 s later than usual until the death is suspected.
-    Sequence: the first in rank dies; one ticket finds out, and others come. Cause:
-    each of them waited for the dead one's answer anew.
+    The first in rank dies and leaves one ticket unanswered. Later tickets must not wait
+    for its reply too, which would delay each by 0.3 s for about a second.
     """
     await asking.asked(asking.second, 1)
     asking.queue_at(asking.second)
@@ -176,7 +174,7 @@
     )
     await asking.asked(asking.second, 2)
     assert len(asking.mesh.to(asking.port(asking.first), messages.Ticket)) == asked
-    # A late word shows that it was only slow: the next ticket is its own again.
+    # A late reply shows that it was only slow: it's sent the next ticket again.
     asking.queue_at(asking.first)
     last = asyncio.create_task(asking.requester.obtain(asking.another_pending_ticket()))
     await asking.asked(asking.first, asked + 1)
@@ -185,14 +183,12 @@
 
 
 async def test_a_restarted_dispatcher_is_asked_again(asking: Asking) -> None:
-    """Tickets wait to their deadlines at a dispatcher that forgot them.
+    """Guards against requests ending with `deadline` after a restart, servers idle.
 
-    Symptom: some requests end with `deadline` after a restart, servers idle.
-    Sequence: the dispatcher has the ticket queued; it's replaced by a process of
-    the same name before anyone suspects it.
-    Cause: the ranking names the same instance as before, so nobody asks again.
+    The dispatcher has the ticket queued and is replaced by a process of the same name
+    before it's suspected. The ranking doesn't change, but the ticket must be resent.
     """
-    # Asking again after some seconds would hide the fault.
+    # The periodic refresh would hide the fault.
     await asking.requester.stop()
     await asking.asked(asking.first, 1)
     asking.queue_at(asking.first)
@@ -206,11 +202,10 @@
 
 
 async def test_a_lost_grant_is_asked_for_again(asking: Asking) -> None:
-    """A slot stays promised to a request that doesn't know of it.
+    """Guards against a request ending with `deadline` although it was granted a slot.
 
-    Symptom: a request ends with `deadline` while a slot looks taken.
-    Sequence: the dispatcher queues and grants; the grant is lost with a link.
-    Cause: messages between instances aren't repeated by the transport.
+    The dispatcher queues and grants; the grant is lost with a connection, and the
+    transport doesn't repeat messages between instances.
     """
     await asking.asked(asking.first, 1)
     asking.queue_at(asking.first)
@@ -222,7 +217,7 @@
 async def test_a_server_that_has_left_gets_no_request_from_an_outdated_dispatcher(
     asking: Asking,
 ) -> None:
-    """A server gets requests long after it has said that it leaves."""
+    """Guards against a server getting requests long after it announced its leaving."""
     asking.configure(1)
     await asking.asked(asking.first, 1)
     asking.queue_at(asking.first)
@@ -252,14 +247,14 @@
     assert not asking.requester.pending_tickets
 
 
-async def test_a_dispatcher_with_a_newer_list_is_believed(asking: Asking) -> None:
+async def test_a_grant_based_on_a_newer_list_is_accepted(asking: Asking) -> None:
     asking.configure(1, "s")
     await asking.asked(asking.first, 1)
     asking.grant_from(asking.first, "s", 2)
     assert (await asking.obtaining).server == "s"
 
 
-async def test_a_refusal_of_a_former_dispatcher_is_no_answer(asking: Asking) -> None:
+async def test_a_refusal_of_a_former_dispatcher_is_ignored(asking: Asking) -> None:
     await asking.asked(asking.second, 1)
     asking.queue_at(asking.second)
     refusal = messages.Refusal(
@@ -273,12 +268,11 @@
     assert await asking.obtaining is refusal
 
 
-async def test_an_ended_request_weighs_on_its_cell_no_more(asking: Asking) -> None:
-    """The entry shuns the cells that it has used most.
+async def test_an_ended_request_no_longer_counts_for_its_cell(asking: Asking) -> None:
+    """Guards against an entry avoiding the cells that it has used most.
 
-    Symptom: requests leave the cell that has their prefix cached, more and more.
-    Sequence: requests are granted slots and end.
-    Cause: their tickets stay counted as running in the cell.
+    If tickets of ended requests stayed counted as running in a cell, more and more
+    requests would leave the cell that has their prefix cached.
     """
     await asking.asked(asking.first, 1)
     asking.grant_from(asking.first)
--- a/src/tealcove/dispatch/tests/test_role.py
+++ b/src/tealcove/dispatch/tests/test_role.py
@@ -1,4 +1,4 @@
-"""The dispatcher role: what it reads from servers, and when a cell may be shared."""
+"""Tests of the dispatcher role: reading servers, takeover and release of cells."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 from tealcove.membership.tests import builders as membership_builders
 from tealcove.storage import instances
 
-PATIENCE = 30.0
+TEST_TIMEOUT = 30.0
 SERVER = builders.server("s0")
 
 
 class ScriptedEngines:
-    """Takes the place of `engine.EngineClient` for what the role calls."""
+    """Replaces `engine.EngineClient` in the calls of the role."""
 
     def __init__(self) -> None:
         self.report = builders.load()
@@ -31,7 +31,7 @@
         self.loads = 0
         # The ports that loads were read from.
         self.ports: set[int] = set()
-        # A test may hold a reading back.
+        # Cleared by a test to delay a load report.
         self.answered = asyncio.Event()
         self.answered.set()
 
@@ -89,7 +89,7 @@
         return ticket
 
     def settle(self) -> None:
-        """Let the members have been the same for long."""
+        """Make the last change of the members long ago."""
         self.role.members_changed = ids.Instant(clock.now() - 1000.0)
 
     def sent(self, kind: type) -> list:
@@ -100,7 +100,7 @@
         return self.role.held[builders.CELL].decider.state.fleet.servers["s0"]
 
     async def until(self, check: Callable[[], bool]) -> None:
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TEST_TIMEOUT):
             while True:
                 if check():
                     return
@@ -122,13 +122,13 @@
     assert [g.ticket_id for g in serving.sent(messages.Grant)] == [ticket.ticket_id]
 
 
-async def test_a_ticket_that_waited_elsewhere_lets_running_work_be_told_of(
+async def test_a_ticket_that_waited_elsewhere_waits_for_reports_of_running_work(
     serving: Serving,
 ) -> None:
-    """A server gets twice the work that it has slots for.
+    """Guards against a server getting twice the work that it has slots for.
 
-    Events: a dispatcher dies; its successor grants all slots before the entries
-    have told it what runs already.
+    A dispatcher dies; its successor must not grant slots before the entries have
+    reported what runs already.
     """
     serving.settle()
     waiting = serving.ask(waited=0.4)
@@ -155,7 +155,7 @@
 
 
 @pytest.mark.parametrize("source", ["health", "load", "list"])
-async def test_a_server_is_leaving_as_soon_as_anybody_says_so(
+async def test_a_server_is_leaving_as_soon_as_any_source_says_so(
     serving: Serving, source: str
 ) -> None:
     serving.settle()
@@ -181,13 +181,13 @@
     assert len(serving.sent(messages.Grant)) == 1
 
 
-async def test_a_reading_from_before_a_crash_doesn_t_bring_a_server_back(
+async def test_a_load_report_requested_before_a_crash_doesn_t_bring_a_server_back(
     serving: Serving,
 ) -> None:
-    """Requests are sent to a server that has just died.
+    """Guards against sending requests to a server that has just died.
 
-    Events: its load is being read; it crashes, and an entry tells so; the reading
-    arrives. Cause: the reading counted by when it arrived.
+    Its load is being read; it crashes, and an entry reports that; then the load report
+    arrives. The report counts by when it was requested, not by when it arrived.
     """
     serving.settle()
     ticket = serving.ask()
@@ -199,8 +199,8 @@
     serving.role.handle_done(serving.peer.instance, crashed)
     serving.engines.reachable = False
     late = serving.engines.loads
-    # Lets the held reading go on, and holds the next one, which only begins once
-    # the first was taken in.
+    # Releases the delayed report and delays the next one, which is only requested once
+    # the first was processed.
     serving.engines.answered.set()
     serving.engines.answered.clear()
     await serving.until(lambda: serving.engines.loads > late)
@@ -231,13 +231,12 @@
     await serving.until(lambda: len(queue) == 0)
 
 
-async def test_a_cell_of_another_instance_is_let_go(serving: Serving) -> None:
-    """Load on the engines grows with every takeover.
+async def test_a_cell_of_another_instance_is_released(serving: Serving) -> None:
+    """Guards against each engine being polled by ever more instances.
 
-    Symptom: each engine is polled by several instances.
-    Sequence: an instance is asked for a cell while its dispatcher is frozen; the
-    dispatcher is back and gets all further tickets.
-    Cause: a cell that was served once is served for ever.
+    An instance gets tickets for a cell while its dispatcher is frozen; then the
+    dispatcher resumes and gets all further tickets. The instance must stop serving the
+    cell.
     """
     ticket = serving.ask()
     held = serving.role.held[builders.CELL]
@@ -263,11 +262,10 @@
 async def test_a_server_that_has_moved_is_read_at_its_new_address(
     serving: Serving,
 ) -> None:
-    """A replaced engine counts as unreachable although it runs.
+    """Guards against a moved engine counting as unreachable.
 
-    Symptom: an engine gets no work after an operator changed its address.
-    Sequence: the pool's spec names another port for a server of the same name.
-    Cause: the task that polls it goes on with the address from its start.
+    An operator changes the port of a server of the same name. The task that polls it
+    must not continue with the old address.
     """
     serving.ask()
     await serving.until(lambda: serving.engines.ports == {SERVER.port})
@@ -284,11 +282,9 @@
 
 
 async def test_ticks_go_on_after_one_has_failed(serving: Serving) -> None:
-    """A dispatcher no longer sees time pass.
+    """Guards against queued tickets of all cells waiting beyond their deadlines.
 
-    Symptom: queued tickets of all cells wait beyond their deadlines.
-    Sequence: a scheduler fails once in its tick.
-    Cause: the exception ends the only task that ticks.
+    A scheduler raises once in its tick, which must not end the only ticking task.
     """
     serving.ask()
     decider = serving.role.held[builders.CELL].decider
--- a/src/tealcove/dispatch/tests/test_shares.py
+++ b/src/tealcove/dispatch/tests/test_shares.py
@@ -1,4 +1,4 @@
-"""Parts of kinds and lengths, and which of them goes first."""
+"""Tests of the entitlements and the priority of kinds and length bands."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 from tealcove.dispatch import shares
 from tealcove.dispatch.tests import builders
 
-# Seconds for which a request of each kind holds a slot.
+# Slot times in seconds.
 LONG, SHORT = 2.0, 0.2
 
 
 def arrive(
     found: shares.Shares, urgency: int, seconds: float, times: int = 10, tier: int = 1
 ) -> shares.Flow:
-    """Let requests of a kind arrive; return the flow of the last one."""
+    """Record arrivals of a kind; return the flow of the last one."""
     for _ in range(times):
         flow = found.flow(tier, urgency, seconds)
         found.record_arrival(flow, seconds, builders.instant(0))
@@ -26,7 +26,7 @@
         found.record_grant(flow, builders.instant(0))
 
 
-def test_a_kind_that_takes_little_gives_little_up():
+def test_a_kind_with_short_slot_times_yields_little():
     found = shares.Shares()
     urgent = arrive(found, 0, LONG)
     costly = arrive(found, 1, LONG)
@@ -41,7 +41,7 @@
     )
 
 
-def test_no_kind_is_due_more_than_a_more_urgent_one():
+def test_no_kind_is_entitled_to_more_than_a_more_urgent_one():
     found = shares.Shares()
     flows = [arrive(found, u, s) for u, s in ((0, LONG), (1, LONG), (2, SHORT))]
     dues = [found.adjustments()[flow.kind].entitlement for flow in flows]
@@ -49,14 +49,14 @@
     assert dues[2] > 0.9 * dues[1]
 
 
-def test_tiers_give_nothing_up_to_each_other():
+def test_tiers_do_not_yield_to_each_other():
     found = shares.Shares()
     arrive(found, 0, LONG, tier=0)
     lower = arrive(found, 0, LONG, tier=1)
     assert found.adjustments()[lower.kind].entitlement == 1.0
 
 
-def test_the_kind_that_lacks_most_of_its_due_part_goes_first():
+def test_the_kind_with_the_lowest_service_level_goes_first():
     found = shares.Shares()
     urgent = arrive(found, 0, LONG)
     cheap = arrive(found, 1, SHORT)
@@ -69,7 +69,7 @@
     assert levels[urgent] < levels[cheap]
 
 
-def test_long_requests_of_a_kind_are_due_half():
+def test_long_requests_of_a_kind_are_entitled_to_half():
     found = shares.Shares()
     usual = arrive(found, 0, 1.0, times=30)
     longest = arrive(found, 0, 10.0, times=1)
@@ -80,7 +80,7 @@
     assert levels[longest] == pytest.approx(2.0 * levels[usual])
 
 
-def test_a_kind_of_which_nothing_is_known_counts_as_served():
+def test_an_unknown_kind_counts_as_served():
     found = shares.Shares()
     flow = found.flow(1, 0, 3.0)
     assert flow.band == 0
@@ -89,7 +89,7 @@
     assert found.flow(1, 0, 3.0).band == 0
 
 
-def test_old_arrivals_fade():
+def test_old_arrivals_decay():
     found = shares.Shares()
     flow = arrive(found, 0, LONG, times=20)
     later = builders.instant(5 * shares.WINDOW_SECONDS)
