--- a/src/tealcove/dispatch/backendview.py
+++ b/src/tealcove/dispatch/backendview.py
@@ -15,7 +15,7 @@
 # Factor on the initial estimates that are sent to entries, since an unmeasured server
 # may be so many times slower. With plain estimates, after all instances have ended at
 # once, entries would resend requests that are still in prefill.
-GUESS_MARGIN = 4.0
+INITIAL_MARGIN = 4.0
 # The weight of a new observation: two of them count for more than all before, so that
 # a slowdown is noticed after two completions.
 OBSERVATION_WEIGHT = 0.4
@@ -82,7 +82,7 @@
 
     def announced_first_seconds(self, run: Run) -> float:
         """Return the seconds to a run's first event that are sent to its entry."""
-        return run.first if self.is_measured() else GUESS_MARGIN * run.first
+        return run.first if self.is_measured() else INITIAL_MARGIN * run.first
 
     def is_measured(self) -> bool:
         """Tell whether its own speed was observed."""
@@ -163,7 +163,7 @@
         self.observations += 1
 
     def weight(self) -> float:
-        """Return the weight of a new observation; the first replaces the guess."""
+        """Return the weight of a new observation; 1 for the first."""
         return OBSERVATION_WEIGHT if self.observations else 1.0
 
     def record_success(self) -> None:
--- a/src/tealcove/dispatch/firstattempts.py
+++ b/src/tealcove/dispatch/firstattempts.py
@@ -54,18 +54,18 @@
             return None
         content = (ticket.digest, ticket.prompt_tokens, ticket.output_tokens)
         ends_at = ids.Instant(now - ticket.waited + ticket.caller_remaining)
-        for known in self.attempts.get(content, ()):
-            if abs(known.ends_at - ends_at) < DEADLINE_TOLERANCE:
-                return known
+        for attempt in self.attempts.get(content, ()):
+            if abs(attempt.ends_at - ends_at) < DEADLINE_TOLERANCE:
+                return attempt
         if self.count < MAX_REMEMBERED:
             self.attempts.setdefault(content, []).append(Attempt(ends_at, goal_at))
             self.count += 1
         return None
 
-    def forget(self, now: ids.Instant) -> None:
+    def expire(self, now: ids.Instant) -> None:
         """Remove the attempts whose callers have given up."""
         for content, attempts in list(self.attempts.items()):
-            kept = [known for known in attempts if known.ends_at > now]
+            kept = [attempt for attempt in attempts if attempt.ends_at > now]
             self.count -= len(attempts) - len(kept)
             if kept:
                 self.attempts[content] = kept
--- a/src/tealcove/dispatch/goal.py
+++ b/src/tealcove/dispatch/goal.py
@@ -35,7 +35,7 @@
 FORECAST_INTERVAL = 0.05
 SHORT_LINE = 16
 # Seconds between two removals of expired first attempts; each scans all of them.
-FORGET_INTERVAL = 1.0
+EXPIRY_INTERVAL = 1.0
 
 
 class GoalScheduler(scheduler.Scheduler):
@@ -57,7 +57,7 @@
         self.gather_until = ids.Instant(0.0)
         self.next_review = ids.Instant(0.0)
         self.next_forecast = ids.Instant(0.0)
-        self.next_forget = ids.Instant(0.0)
+        self.next_expiry = ids.Instant(0.0)
 
     def use_suspicion(self, suspicion: suspicion.Suspicion) -> None:
         """See Scheduler."""
@@ -234,9 +234,9 @@
             return []
         self.next_review = ids.Instant(now + REVIEW_INTERVAL)
         self.expire_stale(now)
-        if now >= self.next_forget:
-            self.next_forget = ids.Instant(now + FORGET_INTERVAL)
-            self.attempts.forget(now)
+        if now >= self.next_expiry:
+            self.next_expiry = ids.Instant(now + EXPIRY_INTERVAL)
+            self.attempts.expire(now)
         return self.decide(now)
 
     def expire_stale(self, now: ids.Instant) -> None:
--- a/src/tealcove/dispatch/tests/builders.py
+++ b/src/tealcove/dispatch/tests/builders.py
@@ -131,8 +131,8 @@
     tickets = [waiting.ticket for waiting in found.state.queue.tickets.values()]
     for name, server in found.state.fleet.servers.items():
         for running in server.running.values():
-            told = msgspec.structs.replace(running.ticket, running_on=name)
-            tickets.append(told)
+            resent = msgspec.structs.replace(running.ticket, running_on=name)
+            tickets.append(resent)
     for one in tickets:
         if one.entry not in lost:
             found.enqueue(one, now)
--- a/src/tealcove/dispatch/tests/test_firstattempts.py
+++ b/src/tealcove/dispatch/tests/test_firstattempts.py
@@ -61,12 +61,12 @@
     now = 0.0
     for digest, remaining, pause in sent:
         now += pause
-        attempts.forget(builders.instant(now))
+        attempts.expire(builders.instant(now))
         first(attempts, ticket(remaining=remaining, digest=str(digest)), now)
-        kept = [known for found in attempts.attempts.values() for known in found]
+        kept = [attempt for found in attempts.attempts.values() for attempt in found]
         assert attempts.count == len(kept)
-        assert all(known.ends_at > builders.instant(now) for known in kept)
-    attempts.forget(builders.instant(now + 21.0))
+        assert all(attempt.ends_at > builders.instant(now) for attempt in kept)
+    attempts.expire(builders.instant(now + 21.0))
     assert attempts.count == 0
     assert not attempts.attempts
 
--- a/src/tealcove/dispatch/tests/test_goal.py
+++ b/src/tealcove/dispatch/tests/test_goal.py
@@ -79,8 +79,8 @@
     (next_one,) = builders.granted(restarted(found, 1))
     assert next_one.ticket_id == waiting.ticket_id
     assert (grant.start, next_one.start) == (0, 2)
-    told = msgspec.structs.replace(old, running_on=grant.server)
-    assert found.enqueue(told, builders.instant(1.1)) == []
+    refreshed = msgspec.structs.replace(old, running_on=grant.server)
+    assert found.enqueue(refreshed, builders.instant(1.1)) == []
     assert list(found.views.server_by_ticket) == [waiting.ticket_id]
     now = msgspec.structs.replace(
         waiting, running_on=grant.server, running_start=next_one.start
--- a/src/tealcove/dispatch/tests/test_prefill.py
+++ b/src/tealcove/dispatch/tests/test_prefill.py
@@ -10,11 +10,11 @@
 
 BASE = 0.04
 RATE = 1 / 60_000
-SQUARE = 1.7e-5
+COEFFICIENT = 1.7e-5
 
 
 def seconds(prompt: int, rate: float = RATE) -> float:
-    return BASE + prompt * (1.0 + SQUARE * prompt) * rate
+    return BASE + prompt * (1.0 + COEFFICIENT * prompt) * rate
 
 
 def learnt_from(count: int, noise: float = 0.0, seed: int = 1) -> prefill.Prefill:
