--- a/src/tealcove/dispatch/backendview.py
+++ b/src/tealcove/dispatch/backendview.py
@@ -1,4 +1,4 @@
-"""A backend server as the goal scheduler sees it: slots, runs, speed, failures."""
+"""The goal scheduler's state of a backend server: slots, runs, speed, failures."""
 
 from __future__ import annotations
 
@@ -8,29 +8,30 @@
 from tealcove.dispatch import messages, prefill
 from tealcove.resources import kinds
 
-# What is taken for a server's speed until the first completions tell: those of a
-# fast engine, since a guess that is too slow would refuse work it could serve.
-FIRST_TOKEN_SECONDS = 0.006
-FIRST_CALL_SECONDS = 0.08
-# A server of which nothing is known may be so many times slower than that. Entries that
-# take the guess for a prediction send requests anew which are only being read, after
-# all instances have ended at once.
-GUESS_MARGIN = 4.0
-# The weight of a new observation: two of them count for more than all before, so
-# that a server that has slowed down is known after two completions.
-WEIGHT = 0.4
-# Outputs below this tell nothing of the time that a token takes.
-LEAST_OUTPUT_TOKENS = 8
-# Weight of one more failure or success in a server's share of failures.
+# A server's speed before its first completions, in seconds: that of a fast engine,
+# since a speed that is too slow would refuse work it could serve.
+INITIAL_TOKEN_SECONDS = 0.006
+INITIAL_CALL_SECONDS = 0.08
+# Factor on the initial estimates that are sent to entries, since an unmeasured server
+# may be so many times slower. With plain estimates, after all instances have ended at
+# once, entries would resend requests that are still in prefill.
+INITIAL_MARGIN = 4.0
+# The weight of a new observation: two of them count for more than all before, so that
+# a slowdown is noticed after two completions.
+OBSERVATION_WEIGHT = 0.4
+# Shorter outputs aren't used to learn the time per token.
+MIN_OUTPUT_TOKENS = 8
+# Weight of a new outcome in a server's failure rate.
 FAILURE_WEIGHT = 0.15
-# Seconds for which a server gets nothing after it couldn't be reached; doubled up
-# to the longest while that goes on. Its entry is dropped after some seconds anyway.
-FIRST_PAUSE = 0.3
-LONGEST_PAUSE = 2.0
-# A run is overdue beyond its prediction times this, plus the grace in seconds.
+# Seconds for which an unreachable server gets no requests; doubled up to the maximum
+# while it stays unreachable. It's dropped from the list after some seconds anyway.
+MIN_PAUSE = 0.3
+MAX_PAUSE = 2.0
+# A run is overdue after its predicted time times this factor, plus the grace period in
+# seconds.
 OVERDUE_FACTOR = 3.0
 OVERDUE_GRACE = 0.4
-# Failures in a row after which a server only gets one request at a time.
+# Consecutive failures after which a server only gets one request at a time.
 FAILURES_TO_PROBE = 4
 
 
@@ -39,76 +40,78 @@
 
     ticket: messages.Ticket
     started: ids.Instant
-    # When its entry last told of it.
-    told: ids.Instant
-    # What is to be read before its first token, prompts of others included; see
-    # prefill.Square.
+    # When its entry last sent its ticket.
+    refreshed_at: ids.Instant
+    # Prefill work before its first token, including other prompts; see
+    # prefill.QuadraticCost.
     work: float = 0.0
     # Predicted seconds to the first token and to the end.
     first: float = 0.0
     total: float = 0.0
     has_first_token: bool = False
-    # Granted by another dispatcher, so that its times can't be learnt from.
+    # Granted by another dispatcher, so its timing isn't used for learning.
     is_adopted: bool = False
 
     def is_overdue(self, now: ids.Instant) -> bool:
-        """Tell whether the run should have shown something long ago."""
+        """Tell whether the run has far exceeded its predicted time."""
         expected = self.total if self.has_first_token else self.first
         return now - self.started > expected * OVERDUE_FACTOR + OVERDUE_GRACE
 
 
 class BackendView:
-    """What is known of one backend server."""
+    """State and speed estimates of one backend server."""
 
-    def __init__(self, spec: kinds.BackendServerSpec, square: prefill.Square) -> None:
+    def __init__(
+        self, spec: kinds.BackendServerSpec, quadratic: prefill.QuadraticCost
+    ) -> None:
         self.name = ids.BackendServerId(spec.name)
         self.spec = spec
         self.runs: dict[ids.TicketId, Run] = {}
-        self.prefill = prefill.Prefill(square)
+        self.prefill = prefill.Prefill(quadratic)
         # Seconds for each output token, and for a call.
-        self.token_seconds = FIRST_TOKEN_SECONDS
-        self.call_seconds = FIRST_CALL_SECONDS
+        self.token_seconds = INITIAL_TOKEN_SECONDS
+        self.call_seconds = INITIAL_CALL_SECONDS
         self.observations = 0
-        # Share of its requests that fail, lately.
+        # Recent failure rate of its requests.
         self.failures = 0.0
         self.failed_in_row = 0
         self.paused_until = ids.Instant(0.0)
-        # When a run last showed a first token or its end.
-        self.heard_at = ids.Instant(0.0)
-        self.pause = FIRST_PAUSE
+        # When a run last produced a first token or completed.
+        self.last_activity = ids.Instant(0.0)
+        self.pause = MIN_PAUSE
 
-    def told_first_seconds(self, run: Run) -> float:
-        """Return by when an entry may expect a run's first event, in seconds."""
-        return run.first if self.is_known() else GUESS_MARGIN * run.first
+    def announced_first_seconds(self, run: Run) -> float:
+        """Return the seconds to a run's first event that are sent to its entry."""
+        return run.first if self.is_measured() else INITIAL_MARGIN * run.first
 
-    def is_known(self) -> bool:
-        """Tell whether its speed was observed, and not only that of others."""
+    def is_measured(self) -> bool:
+        """Tell whether its own speed was observed."""
         return self.observations > 0 or self.prefill.works > 0.0
 
-    def room(self, now: ids.Instant) -> int:
-        """Return how many more requests it may get now."""
+    def free_slots(self, now: ids.Instant) -> int:
+        """Return how many more requests it may receive now."""
         if self.spec.state is not kinds.ServerState.SERVING or now < self.paused_until:
             return 0
         slots = 1 if self.failed_in_row >= FAILURES_TO_PROBE else self.spec.slots
-        room = slots - len(self.runs)
-        # Most servers are full when it's asked most often.
-        return 0 if room > 0 and self.is_silent(now) else room
+        free = slots - len(self.runs)
+        # Checked last, since most servers are full when this is called most often.
+        return 0 if free > 0 and self.is_stalled(now) else free
 
-    def is_silent(self, now: ids.Instant) -> bool:
-        """Tell whether it hangs: a run is overdue, and no other shows anything.
+    def is_stalled(self, now: ids.Instant) -> bool:
+        """Tell whether it hangs: a run is overdue, and no later activity was seen.
 
-        A server may lose single answers and serve all else well. Were it left alone
-        for one overdue run, most servers would stand idle while some lose answers.
+        A server may lose single answers and serve all others well. If one overdue run
+        were enough, most servers would be idle whenever some of them lose answers.
         """
         return any(
-            run.is_overdue(now) and self.heard_at <= run.started
+            run.is_overdue(now) and self.last_activity <= run.started
             for run in self.runs.values()
         )
 
     def pending(self, now: ids.Instant) -> float:
-        """Return what it still has to read; see prefill.Square."""
+        """Return the remaining prefill work; see prefill.QuadraticCost."""
         return sum(
-            self.prefill.left(run.ticket.prompt_tokens, now - run.started)
+            self.prefill.remaining_work(run.ticket.prompt_tokens, now - run.started)
             for run in self.runs.values()
             if not run.has_first_token
         )
@@ -120,8 +123,8 @@
         return self.prefill.first_seconds(self.work(ticket, pending))
 
     def work(self, ticket: messages.Ticket, pending: float) -> float:
-        """Return what is to be read before a ticket's first token."""
-        return pending + self.prefill.square.work(ticket.prompt_tokens)
+        """Return the prefill work before a ticket's first token."""
+        return pending + self.prefill.quadratic.work(ticket.prompt_tokens)
 
     def total_seconds(self, ticket: messages.Ticket, pending: float) -> float:
         """Return the seconds to a ticket's end."""
@@ -133,7 +136,7 @@
         run = Run(
             ticket=ticket,
             started=now,
-            told=now,
+            refreshed_at=now,
             work=self.work(ticket, pending),
             first=self.first_seconds(ticket, pending),
             total=self.total_seconds(ticket, pending),
@@ -141,50 +144,50 @@
         self.runs[ticket.ticket_id] = run
         return run
 
-    def learn_first(self, run: Run, seconds: float) -> None:
+    def learn_first_token(self, run: Run, seconds: float) -> None:
         """Learn from the time to a first token."""
         if not run.is_adopted:
             self.prefill.learn(run.ticket.prompt_tokens, run.work, seconds)
 
-    def learn_end(self, run: Run, done: messages.Done) -> None:
+    def learn_completion(self, run: Run, done: messages.Done) -> None:
         """Learn from a completed request."""
         if run.is_adopted:
             return
         weight = self.weight()
         if run.ticket.prompt_tokens == 0:
             self.call_seconds += weight * (done.total_seconds - self.call_seconds)
-        elif done.output_tokens >= LEAST_OUTPUT_TOKENS:
+        elif done.output_tokens >= MIN_OUTPUT_TOKENS:
             streamed = done.total_seconds - done.first_token_seconds
             seen = streamed / done.output_tokens
             self.token_seconds += weight * (seen - self.token_seconds)
         self.observations += 1
 
     def weight(self) -> float:
-        """Return the weight of a new observation; the first replaces the guess."""
-        return WEIGHT if self.observations else 1.0
+        """Return the weight of a new observation; 1 for the first."""
+        return OBSERVATION_WEIGHT if self.observations else 1.0
 
-    def note_success(self) -> None:
-        """Take a served request into the share of failures."""
+    def record_success(self) -> None:
+        """Update the failure rate after a completed request."""
         self.failures -= FAILURE_WEIGHT * self.failures
         self.failed_in_row = 0
-        self.pause = FIRST_PAUSE
+        self.pause = MIN_PAUSE
 
-    def note_failure(self) -> None:
-        """Take a failed request into the share of failures."""
+    def record_failure(self) -> None:
+        """Update the failure rate after a failed request."""
         self.failures += FAILURE_WEIGHT * (1.0 - self.failures)
         self.failed_in_row += 1
 
-    def note_unreachable(self, now: ids.Instant) -> None:
-        """Give it nothing for a while."""
+    def record_unreachable(self, now: ids.Instant) -> None:
+        """Pause the server, for longer each time in a row."""
         self.paused_until = ids.Instant(now + self.pause)
-        self.pause = min(LONGEST_PAUSE, 2 * self.pause)
+        self.pause = min(MAX_PAUSE, 2 * self.pause)
 
 
 def expected_tokens(ticket: messages.Ticket) -> int:
-    """Return the output tokens of a ticket that are likely."""
+    """Return the expected output tokens of a ticket, or else its upper bound."""
     return ticket.expected_tokens or ticket.output_tokens
 
 
 def stream_seconds(ticket: messages.Ticket, server: BackendView) -> float:
-    """Return the seconds from a ticket's first token to its end at a server."""
+    """Return the seconds from a ticket's first token to its end on a server."""
     return expected_tokens(ticket) * server.token_seconds
--- a/src/tealcove/dispatch/cellstate.py
+++ b/src/tealcove/dispatch/cellstate.py
@@ -96,7 +96,7 @@
         self.queue.charge(ticket, running.charged)
         self.remove_from_queue(waiting)
         self.fleet.start(server, running, now)
-        server.index.note_grant(ticket.prefix)
+        server.index.record_grant(ticket.prefix)
         return self.grant_message(ticket, server)
 
     def grant_message(
@@ -154,7 +154,7 @@
             refreshed_at=now,
         )
         self.fleet.start(server, running, now)
-        server.index.note_grant(ticket.prefix)
+        server.index.record_grant(ticket.prefix)
 
     def end(
         self, ticket_id: ids.TicketId, now: ids.Instant, tokens: float = 0.0
--- a/src/tealcove/dispatch/fair.py
+++ b/src/tealcove/dispatch/fair.py
@@ -46,7 +46,7 @@
         self.gather_until = ids.Instant(0.0)
         self.next_review = ids.Instant(0.0)
 
-    def suspect_by(self, suspicion: suspicion.Suspicion) -> None:
+    def use_suspicion(self, suspicion: suspicion.Suspicion) -> None:
         """See Scheduler."""
         self.state.suspicion = suspicion
 
@@ -196,13 +196,13 @@
         """See Scheduler."""
         server_state = self.state.fleet.servers.get(server)
         if server_state is not None:
-            server_state.index.take_events(events)
+            server_state.index.apply_events(events)
         return []
 
     def last_event(self, server: ids.BackendServerId) -> int:
         """See Scheduler."""
         server_state = self.state.fleet.servers.get(server)
-        return 0 if server_state is None else server_state.index.last
+        return 0 if server_state is None else server_state.index.last_sequence
 
     def hold_back(
         self, server: ids.BackendServerId, now: ids.Instant
@@ -265,7 +265,7 @@
                 is_orphan = True
             # A lost entry refreshes nothing: its requests have `orphaned_until`.
             is_stale = running.orphaned_until is None and (
-                now - running.refreshed_at > scheduler.UNTOLD_SECONDS
+                now - running.refreshed_at > scheduler.REFRESH_TIMEOUT
             )
             if is_orphan or is_stale:
                 self.state.end(ticket_id, now, running.charged)
@@ -273,7 +273,7 @@
     def drop_stale_tickets(self, now: ids.Instant) -> None:
         """Remove queued tickets whose entry has stopped refreshing them."""
         for waiting in list(self.state.queue.tickets.values()):
-            if now - waiting.refreshed_at > scheduler.UNTOLD_SECONDS:
+            if now - waiting.refreshed_at > scheduler.REFRESH_TIMEOUT:
                 self.state.remove_from_queue(waiting)
 
     def decide(
--- a/src/tealcove/dispatch/placing.py
+++ b/src/tealcove/dispatch/placement.py
@@ -1,4 +1,4 @@
-"""Which of the servers with a free slot a ticket gets."""
+"""Choice of a server with a free slot for a ticket."""
 
 from __future__ import annotations
 
@@ -8,14 +8,15 @@
 from tealcove import ids
 from tealcove.dispatch import backendview, exposure, waitingline
 
-# A failing server counts as slower by up to so many times.
-FAILURE_COST = 3.0
-# A server in another data centre than the entry counts as slower by so many seconds:
-# among servers that are alike, prompts and answers stay within the data centre.
-FAR_SECONDS = 0.02
-# A server on trial goes before all others, while it's to get a request at all: were it
-# to be chosen like them, one that fails would hardly be chosen again, and never judged.
-WANTED_SECONDS = 1e6
+# A server that fails all requests counts as slower by this multiple of its time.
+FAILURE_PENALTY = 3.0
+# A server in another data centre than the entry counts as slower by so many seconds, so
+# that among similar servers, prompts and answers stay within the data centre.
+REMOTE_PENALTY_SECONDS = 0.02
+# Bonus in seconds that puts a server of a version on trial before all others. Chosen by
+# time alone, a failing server would hardly get another request, and the trial would
+# never end.
+PREFERENCE_SECONDS = 1e6
 
 
 def choose(
@@ -24,11 +25,11 @@
     exposed: exposure.Exposure,
     now: ids.Instant,
 ) -> backendview.BackendView | None:
-    """Return the server where a ticket ends soonest, or None to wait on.
+    """Return the server where a ticket ends soonest, or None to keep it waiting.
 
-    A ticket that would miss its goal at each free server, and could still meet it
-    elsewhere, waits for a better one. None goes where it can't end in time: a slow
-    engine would work on outputs that their callers never see whole.
+    A ticket that would miss its goal on every free server, but could still meet it on
+    another one, waits. A server on which it can't end in time is never chosen: a slow
+    engine would compute outputs that their callers never receive in full.
     """
     ticket = waiting.ticket
     best = None
@@ -39,11 +40,11 @@
         cost = server.total_seconds(ticket, pending)
         if now + cost > waiting.end_by:
             continue
-        cost *= 1.0 + FAILURE_COST * server.failures
+        cost *= 1.0 + FAILURE_PENALTY * server.failures
         if ticket.data_centre not in ("", server.spec.data_centre):
-            cost += FAR_SECONDS
-        if exposed.is_wanted(server.spec) and now + first <= waiting.goal_at:
-            cost -= WANTED_SECONDS
+            cost += REMOTE_PENALTY_SECONDS
+        if exposed.is_preferred(server.spec) and now + first <= waiting.goal_at:
+            cost -= PREFERENCE_SECONDS
         if cost < best_cost:
             best, best_cost, best_first = server, cost, first
     if best is None:
--- a/src/tealcove/dispatch/tests/builders.py
+++ b/src/tealcove/dispatch/tests/builders.py
@@ -1,4 +1,4 @@
-"""Test data for the dispatch slice."""
+"""Test data for the dispatch package."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
 
 
 def done(grant: messages.Grant, **changes: object) -> messages.Done:
-    """Return the end of `ticket()` on a server of the builders' speed."""
+    """Return the end of a `ticket()` on a server of the speed of this module."""
     found = {
         "ticket_id": grant.ticket_id,
         "cell": CELL,
@@ -74,31 +74,31 @@
     return ids.Instant(1000.0 + seconds)
 
 
-def told(outgoing: list[scheduler.Outgoing], kind: type) -> list:
+def messages_of(outgoing: list[scheduler.Outgoing], kind: type) -> list:
     """Return the messages of one kind."""
     return [o.message for o in outgoing if isinstance(o.message, kind)]
 
 
 def granted(outgoing: list[scheduler.Outgoing]) -> list[messages.Grant]:
-    return told(outgoing, messages.Grant)
+    return messages_of(outgoing, messages.Grant)
 
 
 def refused(outgoing: list[scheduler.Outgoing]) -> list[messages.Refusal]:
-    return told(outgoing, messages.Refusal)
+    return messages_of(outgoing, messages.Refusal)
 
 
 def opened(*servers: kinds.BackendServerSpec, **changes: object) -> fair.FairScheduler:
-    """Return a scheduler whose servers' speed is known."""
+    """Return a scheduler that has learnt the speed of its servers."""
     found = fair.FairScheduler()
     found.configure(cell(*servers, **changes), instant(0))
     for spec in servers:
-        teach(found, spec.name)
+        train(found, spec.name)
     found.tick(instant(0))
     return found
 
 
-def teach(found: fair.FairScheduler, name: str, factor: float = 1.0) -> None:
-    """Let a server complete requests of which it takes `factor` times as long."""
+def train(found: fair.FairScheduler, name: str, factor: float = 1.0) -> None:
+    """Let a server complete requests at `factor` times the usual duration."""
     grant = messages.Grant(
         ticket_id=ids.TicketId("taught"), cell=CELL, server=name, host="", port=0
     )
@@ -124,15 +124,15 @@
     return grants
 
 
-def tell_again(
+def refresh_tickets(
     found: fair.FairScheduler, now: ids.Instant, *lost: ids.InstanceId
 ) -> None:
-    """Let all entries but lost ones tell of their tickets, as living ones do."""
+    """Let all entries but lost ones resend their tickets."""
     tickets = [waiting.ticket for waiting in found.state.queue.tickets.values()]
     for name, server in found.state.fleet.servers.items():
         for running in server.running.values():
-            told = msgspec.structs.replace(running.ticket, running_on=name)
-            tickets.append(told)
+            resent = msgspec.structs.replace(running.ticket, running_on=name)
+            tickets.append(resent)
     for one in tickets:
         if one.entry not in lost:
             found.enqueue(one, now)
--- a/src/tealcove/dispatch/tests/test_choice.py
+++ b/src/tealcove/dispatch/tests/test_choice.py
@@ -22,7 +22,7 @@
     fair_scheduler = builders.opened(*specs)
     for spec, factor in zip(specs, factors, strict=True):
         for _ in range(20):
-            builders.teach(fair_scheduler, spec.name, factor)
+            builders.train(fair_scheduler, spec.name, factor)
     return fair_scheduler
 
 
@@ -87,7 +87,7 @@
 
 def test_cached_long_prompt_is_short_work() -> None:
     fair_scheduler = open_servers(1.0, slots=4)
-    fair_scheduler.state.fleet.servers["s0"].index.note_grant(PREFIX)
+    fair_scheduler.state.fleet.servers["s0"].index.record_grant(PREFIX)
     cached = {"prompt_tokens": 32 * 64, "output_tokens": 100, "prefix": PREFIX}
     assert len(builders.fill(fair_scheduler, 4, NOW, **cached)) == 4
 
--- a/src/tealcove/dispatch/tests/test_prefixindex.py
+++ b/src/tealcove/dispatch/tests/test_prefixindex.py
@@ -1,4 +1,4 @@
-"""What is believed to be in a server's cache."""
+"""Tests of the estimate of a server's prefix cache."""
 
 from __future__ import annotations
 
@@ -15,38 +15,37 @@
 
 def test_grants_count_at_once_and_events_late() -> None:
     index = prefixindex.PrefixIndex()
-    index.note_grant((1, 2, 3))
+    index.record_grant((1, 2, 3))
     assert index.match((1, 2, 3, 4)) == 3
-    index.take_events(event(1, "removed", 3))
-    index.take_events(event(2, "stored", 7))
+    index.apply_events(event(1, "removed", 3))
+    index.apply_events(event(2, "stored", 7))
     assert index.match((1, 2, 3, 4)) == 2
     assert index.match((7, 8)) == 1
     assert index.match((5,)) == index.match(()) == 0
 
 
 def test_a_gap_makes_what_was_known_before_it_uncertain() -> None:
-    """Prompts go to a server that has dropped their prefix long ago.
+    """Guards against sending prompts to a server that has evicted their prefix.
 
-    Events: the event of the removal got lost. Cause: the missing number in the
-    sequence was passed over.
+    The removal event was lost, which a missing sequence number shows.
     """
     index = prefixindex.PrefixIndex()
-    index.take_events(event(1, "stored", 1, 2))
-    index.take_events(event(3, "stored", 8, 9))
+    index.apply_events(event(1, "stored", 1, 2))
+    index.apply_events(event(3, "stored", 8, 9))
     assert index.match((1, 2)) == 2 * prefixindex.UNCERTAIN_WEIGHT
     assert index.match((8, 9)) == 2
-    index.note_grant((1, 2))
+    index.record_grant((1, 2))
     assert index.match((1, 2)) == 2
 
 
-def test_old_numbers_change_nothing_and_a_new_count_forgets_all() -> None:
+def test_old_events_are_ignored_and_a_new_sequence_clears_the_index() -> None:
     index = prefixindex.PrefixIndex()
-    index.take_events(event(1, "stored", 1))
-    index.take_events(event(2, "stored", 2))
-    index.take_events(engine.CacheEvents((engine.CacheEvent(1, "removed", (1,)),), 2))
+    index.apply_events(event(1, "stored", 1))
+    index.apply_events(event(2, "stored", 2))
+    index.apply_events(engine.CacheEvents((engine.CacheEvent(1, "removed", (1,)),), 2))
     assert index.match((1,)) == 1
-    index.take_events(event(1, "stored", 5))
-    assert (index.match((1,)), index.last) == (0, 0)
+    index.apply_events(event(1, "stored", 5))
+    assert (index.match((1,)), index.last_sequence) == (0, 0)
 
 
 @hypothesis.given(
@@ -59,9 +58,9 @@
     index = prefixindex.PrefixIndex()
     index.set_capacity(capacity)
     for number, blocks in enumerate(prompts):
-        index.note_grant(tuple(blocks))
+        index.record_grant(tuple(blocks))
         assert index.match(tuple(blocks)) == min(len(blocks), capacity)
-        index.take_events(event(number + 1, "stored", *blocks))
+        index.apply_events(event(number + 1, "stored", *blocks))
         assert len(index.blocks) <= capacity
     index.set_capacity(0)
     assert index.capacity == capacity
--- a/src/tealcove/dispatch/tests/test_slots.py
+++ b/src/tealcove/dispatch/tests/test_slots.py
@@ -27,7 +27,7 @@
     granted = builders.granted(fair_scheduler.enqueue(first, NOW))
     assert builders.granted(fair_scheduler.enqueue(first, NOW)) == granted
     fair_scheduler.enqueue(second, NOW)
-    assert builders.told(fair_scheduler.enqueue(second, NOW), messages.Queued)
+    assert builders.messages_of(fair_scheduler.enqueue(second, NOW), messages.Queued)
     assert not builders.granted(fair_scheduler.enqueue(second, NOW))
 
 
@@ -134,7 +134,7 @@
     fair_scheduler.lose_entry(builders.ENTRY, NOW)
     assert set(fair_scheduler.state.queue.tickets) == {waiting.ticket_id}
     assert not builders.granted(fair_scheduler.tick(builders.instant(2)))
-    builders.tell_again(fair_scheduler, builders.instant(4), builders.ENTRY)
+    builders.refresh_tickets(fair_scheduler, builders.instant(4), builders.ENTRY)
     freed = builders.granted(
         fair_scheduler.tick(builders.instant(1 + fair.ORPHAN_SECONDS))
     )
@@ -159,7 +159,7 @@
     fair_scheduler.lose_entry(builders.ENTRY, builders.instant(2))
     fair_scheduler.enqueue(taken, builders.instant(3))
     fair_scheduler.lose_entry(builders.ENTRY, builders.instant(4))
-    builders.tell_again(fair_scheduler, builders.instant(3 + fair.ORPHAN_SECONDS))
+    builders.refresh_tickets(fair_scheduler, builders.instant(3 + fair.ORPHAN_SECONDS))
     fair_scheduler.tick(builders.instant(4 + fair.ORPHAN_SECONDS))
     assert fair_scheduler.state.fleet.servers["s0"].free_slots() == 0
     urgent = builders.ticket(remaining=1.3, tier_rank=0, entry="other")
@@ -172,7 +172,7 @@
     """A cell loses more and more slots, because messages of ends were lost."""
     fair_scheduler = open_one(slots=1)
     builders.fill(fair_scheduler, 2, NOW, remaining=60.0)
-    fair_scheduler.tick(builders.instant(2 + scheduler.UNTOLD_SECONDS))
+    fair_scheduler.tick(builders.instant(2 + scheduler.REFRESH_TIMEOUT))
     assert len(fair_scheduler.state.queue) == 0
     assert fair_scheduler.state.fleet.servers["s0"].free_slots() == 1
 
--- a/src/tealcove/dispatch/tests/test_stragglers.py
+++ b/src/tealcove/dispatch/tests/test_stragglers.py
@@ -18,7 +18,7 @@
 ) -> None:
     """Complete requests on s0 that take `factor` times as long as expected."""
     for _ in range(15):
-        builders.teach(fair_scheduler, "s0", factor)
+        builders.train(fair_scheduler, "s0", factor)
     fair_scheduler.tick(now)
 
 
@@ -94,7 +94,7 @@
     for grant in first:
         if grant.server != "s0":
             fair_scheduler.done(builders.done(grant), builders.instant(2))
-    builders.tell_again(fair_scheduler, builders.instant(6))
+    builders.refresh_tickets(fair_scheduler, builders.instant(6))
     fair_scheduler.report("s0", builders.load(0), builders.instant(7))
     fair_scheduler.tick(builders.instant(7))
     assert state(fair_scheduler).pace is servers.Pace.PROBED
@@ -148,7 +148,7 @@
         *(builders.server(f"s{n}", generation="") for n in range(3))
     )
     for _ in range(300):
-        builders.teach(fair_scheduler, "s0", 4.0)
+        builders.train(fair_scheduler, "s0", 4.0)
     fair_scheduler.tick(builders.instant(1))
     assert state(fair_scheduler).pace is servers.Pace.NORMAL
     slow_down(fair_scheduler, 20.0, builders.instant(2))
--- a/src/tealcove/quarantine/tests/test_sharing.py
+++ b/src/tealcove/quarantine/tests/test_sharing.py
@@ -102,7 +102,7 @@
     """Return a cell of one full server, with a quarantine."""
     found, _ = new_quarantine("one")
     scheduler = fair.FairScheduler()
-    scheduler.suspect_by(found)
+    scheduler.use_suspicion(found)
     server = dispatch_builders.server("s1", slots=1)
     scheduler.configure(dispatch_builders.cell(server, short_share=0.0), EARLY)
     scheduler.report(server.name, dispatch_builders.load(), EARLY)
@@ -122,7 +122,7 @@
     for number in range(2):
         lost = dispatch_builders.ticket(digest=D)
         found.lost(lost, ids.BackendServerId(f"x{number}"), False, EARLY)
-    refused = dispatch_builders.told(scheduler.tick(EARLY), messages.Refusal)
+    refused = dispatch_builders.messages_of(scheduler.tick(EARLY), messages.Refusal)
     assert [(r.ticket_id, r.reason) for r in refused] == [
         (waiting.ticket_id, QUARANTINED)
     ]
--- a/src/tealcove/rollout/controller.py
+++ b/src/tealcove/rollout/controller.py
@@ -202,23 +202,23 @@
         service_state = self.controller.by_service.get(self.service)
         return None if service_state is None else service_state.rollout
 
-    def may_take(self, server: kinds.BackendServerSpec) -> bool:
+    def may_receive(self, server: kinds.BackendServerSpec) -> bool:
         """See Exposure."""
         found = self.rollout()
-        return found is None or found.may_take(server)
+        return found is None or found.may_receive(server)
 
-    def is_wanted(self, server: kinds.BackendServerSpec) -> bool:
+    def is_preferred(self, server: kinds.BackendServerSpec) -> bool:
         """See Exposure."""
         found = self.rollout()
-        return found is not None and found.is_wanted(server)
+        return found is not None and found.is_preferred(server)
 
-    def note_grant(self, server: kinds.BackendServerSpec) -> None:
+    def record_grant(self, server: kinds.BackendServerSpec) -> None:
         """See Exposure."""
         found = self.rollout()
         if found is not None:
-            found.note_grant(server)
+            found.record_grant(server)
 
-    def note_end(
+    def record_end(
         self, server: kinds.BackendServerSpec, route: str, done: messages.Done
     ) -> None:
         """See Exposure."""
@@ -226,7 +226,7 @@
         if service_state is None:
             return
         if service_state.rollout is not None:
-            service_state.rollout.note_end(server, route, done)
+            service_state.rollout.record_end(server, route, done)
         elif done.outcome is not messages.Outcome.CANCELLED:
             has_failed = done.outcome is not messages.Outcome.COMPLETED
             service_state.evidence.record_old(route, has_failed)
--- a/src/tealcove/rollout/progress.py
+++ b/src/tealcove/rollout/progress.py
@@ -88,7 +88,7 @@
         """Tell whether a server is of the new version."""
         return server.version == self.order.to
 
-    def may_take(self, server: kinds.BackendServerSpec) -> bool:
+    def may_receive(self, server: kinds.BackendServerSpec) -> bool:
         """See Exposure."""
         is_new = self.is_new(server)
         if self.state is order.State.ROLLED_BACK:
@@ -98,7 +98,7 @@
         # The old servers keep serving if the new ones are lost.
         return server.version not in self.replaced_versions or not self.has_new_servers
 
-    def is_wanted(self, server: kinds.BackendServerSpec) -> bool:
+    def is_preferred(self, server: kinds.BackendServerSpec) -> bool:
         """See Exposure."""
         if self.stage is not Stage.TRIAL or not self.may_trial(server):
             return False
@@ -112,14 +112,14 @@
         most = TRIAL_ALLOWANCE + TRIAL_SHARE * self.granted
         return server.name in self.trial_servers and self.trial_count < most
 
-    def note_grant(self, server: kinds.BackendServerSpec) -> None:
+    def record_grant(self, server: kinds.BackendServerSpec) -> None:
         """See Exposure."""
         self.granted += 1
         if self.is_new(server):
             self.trial_count += 1
             self.trials_by_server[server.name] += 1
 
-    def note_end(
+    def record_end(
         self, server: kinds.BackendServerSpec, route: str, done: messages.Done
     ) -> None:
         """See Exposure."""
--- a/src/tealcove/rollout/tests/builders.py
+++ b/src/tealcove/rollout/tests/builders.py
@@ -24,7 +24,7 @@
 
 def view(name: str, version: str) -> backendview.BackendView:
     spec = dispatching.server(name, version=version)
-    return backendview.BackendView(spec, prefill.Square())
+    return backendview.BackendView(spec, prefill.QuadraticCost())
 
 
 def views(version: str, count: int = 12) -> list[backendview.BackendView]:
@@ -72,11 +72,11 @@
         """Grant and complete one request."""
         self.arrived += 1
         servers = [
-            one for one in (*self.old, *self.new) if self.rollout.may_take(one.spec)
+            one for one in (*self.old, *self.new) if self.rollout.may_receive(one.spec)
         ]
-        wanted = [one for one in servers if self.rollout.is_wanted(one.spec)]
+        wanted = [one for one in servers if self.rollout.is_preferred(one.spec)]
         server = self.source.choice(wanted or servers)
-        self.rollout.note_grant(server.spec)
+        self.rollout.record_grant(server.spec)
         is_new = server.spec.version == NEW
         self.exposed += is_new
         route = self.source.choice(ROUTES)
@@ -84,7 +84,7 @@
         if is_new:
             part = 1.0 - (1.0 - part) * (1.0 - self.added_failures.get(route, 0.0))
         has_failed = self.source.random() < part
-        self.rollout.note_end(server.spec, route, done(server.name, has_failed))
+        self.rollout.record_end(server.spec, route, done(server.name, has_failed))
         self.observe(server, is_new)
 
     def observe(self, server: backendview.BackendView, is_new: bool) -> None:
@@ -93,7 +93,7 @@
         factor = self.slowdown if is_new else 1.0
         machine = 4.0 if server.name.endswith(("0", "1", "2")) else 1.0
         seen = 0.02 * factor * machine * self.source.lognormvariate(0.0, 0.3)
-        weight = backendview.WEIGHT if server.observations > 1 else 1.0
+        weight = backendview.OBSERVATION_WEIGHT if server.observations > 1 else 1.0
         server.call_seconds += weight * (seen - server.call_seconds)
 
     def run(self, rate: float = 100.0, seconds: float = PERIOD) -> order.State:
--- a/src/tealcove/rollout/tests/test_controller.py
+++ b/src/tealcove/rollout/tests/test_controller.py
@@ -26,7 +26,7 @@
 
     def exposed_servers(self) -> int:
         """Return the number of new servers that may get a request."""
-        return sum(self.exposure.may_take(one.spec) for one in self.new)
+        return sum(self.exposure.may_receive(one.spec) for one in self.new)
 
 
 @pytest.fixture
@@ -73,7 +73,7 @@
     """Record failed answers of the new version."""
     for server in one.new * 3:
         done = builders.done(server.name, has_failed=True)
-        one.exposure.note_end(server.spec, "a", done)
+        one.exposure.record_end(server.spec, "a", done)
 
 
 def test_successor_continues_from_the_stored_status(play) -> None:
