--- a/bench/slopes/crowd.py
+++ b/bench/slopes/crowd.py
@@ -12,7 +12,7 @@
 
 from bench.slopes import members as population
 from tealcove import ids
-from tealcove.membership import heart, messages
+from tealcove.membership import heartbeats, messages
 from tealcove.peers import endpoint, mesh
 
 HOST = "127.0.0.1"
@@ -71,7 +71,7 @@
         while True:
             with_known = left <= 0.0
             if self.mesh.send(watched, full if with_known else self.heartbeat):
-                left = heart.KNOWN_INTERVAL if with_known else left - interval
+                left = heartbeats.KNOWN_INTERVAL if with_known else left - interval
             await asyncio.sleep(interval)
 
 
--- a/bench/slopes/members.py
+++ b/bench/slopes/members.py
@@ -12,7 +12,7 @@
 from tealcove import ids
 from tealcove.backends import engine
 from tealcove.dispatch import cells, holds, reading
-from tealcove.membership import force, members, messages, ranking
+from tealcove.membership import members, messages, ranking, revision_status
 from tealcove.resources import kinds
 from tealcove.storage import instances
 
@@ -92,7 +92,7 @@
 def calls(count: int) -> dict[str, Callable[[], object]]:
     """Return the calls that are measured, by name."""
     known = deployment(count)
-    status = force.HeartbeatStatus(known)
+    status = revision_status.HeartbeatStatus(known)
     beat = next(iter(known.peers.values())).heartbeat
     engines = int(count * ENGINES_AN_INSTANCE)
     servers = pool(engines // POOLS)
--- a/bench/slopes/peers.py
+++ b/bench/slopes/peers.py
@@ -14,7 +14,7 @@
 from tests import deployment
 
 from bench.slopes import crowd, watch
-from tealcove.membership import heart
+from tealcove.membership import heartbeats
 from tealcove.storage import instances
 
 # Peers of one process.
@@ -109,7 +109,7 @@
     """Print a line for each run."""
     print(
         f"heartbeats every {found.interval} s, with all addresses "
-        f"every {heart.KNOWN_INTERVAL} s"
+        f"every {heartbeats.KNOWN_INTERVAL} s"
     )
     for count, listed in itertools.product(found.members, found.listed):
         for use in await measure(count, listed, found):
--- a/src/tealcove/catalog/sharing.py
+++ b/src/tealcove/catalog/sharing.py
@@ -9,7 +9,7 @@
 
 from tealcove import clock, errors, ids
 from tealcove.catalog import copies, following, messages, serverlist, telling
-from tealcove.membership import heart, members, ranking
+from tealcove.membership import heartbeats, members, ranking
 from tealcove.membership import messages as membership_messages
 from tealcove.peers import mesh
 
@@ -51,7 +51,7 @@
         self,
         transport: mesh.Mesh,
         known: members.Members,
-        beating: heart.Heart,
+        beating: heartbeats.HeartbeatService,
         held: tuple[copies.ConfigurationCopy, serverlist.ServersCopy],
         follows: following.Following,
         bytes_per_second: float,
--- a/src/tealcove/daemon.py
+++ b/src/tealcove/daemon.py
@@ -29,7 +29,7 @@
 from tealcove.entry import gate, http
 from tealcove.limits import limit
 from tealcove.limits import role as limits_role
-from tealcove.membership import heart, members, messages
+from tealcove.membership import heartbeats, members, messages
 from tealcove.orders import drains, steward
 from tealcove.orders import role as orders_role
 from tealcove.peers import endpoint, mesh, security
@@ -105,7 +105,7 @@
         )
         beat = found.heartbeat
         self.members = members.Members(own, beat.suspect_after, beat.forget_after)
-        self.heart = heart.Heart(
+        self.heart = heartbeats.HeartbeatService(
             self.mesh,
             self.members,
             rowlist.RowInstanceList(self.rows),
--- a/src/tealcove/dispatch/requester.py
+++ b/src/tealcove/dispatch/requester.py
@@ -10,7 +10,7 @@
 
 from tealcove import clock, ids, tasks
 from tealcove.dispatch import messages, pending, spread
-from tealcove.membership import members, silence
+from tealcove.membership import members, unresponsive
 from tealcove.peers import mesh, message
 
 log = logbook.Logger("dispatch")
@@ -43,7 +43,7 @@
         # Dispatchers that were told what runs in a cell although another holds it.
         self.told: set[tuple[ids.CellId, ids.InstanceId]] = set()
         # Dispatchers that left a ticket unanswered.
-        self.silence = silence.Silence(TRIED_AGAIN_SECONDS)
+        self.silence = unresponsive.UnresponsivePeers(TRIED_AGAIN_SECONDS)
         # Functions that learn how each dispatched request ended.
         self.listeners: list[Listener] = []
         self.refreshing: asyncio.Task[None] | None = None
@@ -86,11 +86,11 @@
                 attempt = self.first_heard(ranked, now)
             self.ask(hold, ranked[attempt % len(ranked)], now)
             if not await self.is_heard(hold):
-                self.silence.note(hold.holder, clock.now())
+                self.silence.note_timeout(hold.holder, clock.now())
                 attempt += 1
                 self.tell_running(hold, ranked[attempt % len(ranked)])
                 continue
-            self.silence.end(hold.holder)
+            self.silence.note_response(hold.holder)
             if not hold.answer.done():
                 await self.wait_while_held(hold)
             attempt = None
@@ -104,7 +104,7 @@
         for a first event in.
         """
         for place, instance in enumerate(ranked):
-            if not self.silence.is_silent(instance, now):
+            if not self.silence.is_unresponsive(instance, now):
                 return place
         return 0
 
@@ -264,7 +264,7 @@
 
     def take_queued(self, sender: ids.InstanceId, queued: messages.Queued) -> None:
         """Note that a dispatcher has a ticket."""
-        self.silence.end(sender)
+        self.silence.note_response(sender)
         hold = self.holds.get(queued.ticket_id)
         if hold is not None and hold.holder == sender:
             hold.hear()
@@ -275,7 +275,7 @@
         A ticket that was asked of two dispatchers, since the first was silent for
         a while, may get a slot from both.
         """
-        self.silence.end(sender)
+        self.silence.note_response(sender)
         hold = self.holds.get(grant.ticket_id)
         if hold is not None and hold.holder == sender and not hold.answer.done():
             hold.hear()
@@ -317,7 +317,7 @@
 
     def take_refusal(self, sender: ids.InstanceId, refusal: messages.Refusal) -> None:
         """Take the word of the ticket's present dispatcher only."""
-        self.silence.end(sender)
+        self.silence.note_response(sender)
         hold = self.holds.get(refusal.ticket_id)
         if hold is not None and hold.holder == sender and not hold.answer.done():
             self.forget(hold)
--- a/src/tealcove/front/parts.py
+++ b/src/tealcove/front/parts.py
@@ -10,14 +10,14 @@
 from tealcove.catalog import copies, follower, serverlist
 from tealcove.front import settings
 from tealcove.ingress import budget
-from tealcove.membership import heart, members, messages
+from tealcove.membership import heartbeats, members, messages
 from tealcove.peers import endpoint, mesh
 from tealcove.platform import names, services, store
 from tealcove.storage import instances, rowlist
 
 # Seconds between two looks at the list of instances: heartbeats tell of new ones,
 # and each look is paid for.
-LIST_INTERVALS = heart.ListIntervals(first=1.0, longest=60.0)
+LIST_INTERVALS = heartbeats.ListIntervals(first=1.0, longest=60.0)
 # Cores at which the classes of processors begin: what the weakest machine of the large
 # deployments has.
 WEAKEST_CORES = 0.5
@@ -89,7 +89,7 @@
     transport: mesh.Mesh,
     known: members.Members,
     rows: store.StoreClient,
-) -> heart.Heart:
+) -> heartbeats.HeartbeatService:
     """Return the heartbeats, which begin when they are started."""
     own = known.own
     listed = instances.ListedInstance(
@@ -101,7 +101,7 @@
         peer_port=own.peer_port,
         data_centre=own.data_centre,
     )
-    return heart.Heart(
+    return heartbeats.HeartbeatService(
         transport,
         known,
         rowlist.RowInstanceList(services.StoreTable(rows), listed),
--- a/src/tealcove/limits/asking.py
+++ b/src/tealcove/limits/asking.py
@@ -11,7 +11,7 @@
 
 from tealcove import clock, ids
 from tealcove.limits import admission, bucket, home, messages
-from tealcove.membership import members, silence
+from tealcove.membership import members, unresponsive
 from tealcove.peers import mesh
 
 log = logbook.Logger("limits")
@@ -90,7 +90,7 @@
         self.numbers = itertools.count(1)
         self.asked: dict[int, asyncio.Future[messages.Charged]] = {}
         # Homes that left a question unanswered.
-        self.silence = silence.Silence(SILENT_SECONDS)
+        self.silence = unresponsive.UnresponsivePeers(SILENT_SECONDS)
 
     def start(self) -> None:
         """Begin to answer."""
@@ -136,7 +136,7 @@
             if answer is not None:
                 return instance, answer
             waits += 1
-            self.silence.note(instance, clock.now())
+            self.silence.note_timeout(instance, clock.now())
             extra = {"request": request}
             log.info("home {} of {} is silent", instance, account, extra=extra)
         return None, self.decide_alone(question, clock.now())
@@ -145,7 +145,7 @@
         self, instance: ids.InstanceId, question: messages.AskCharge, now: ids.Instant
     ) -> bool:
         """Send a question; False: it was silent lately, or can't be reached."""
-        if self.silence.is_silent(instance, now):
+        if self.silence.is_unresponsive(instance, now):
             return False
         peer = self.members.endpoint_of(instance)
         return peer is not None and self.transport.send(peer, question)
@@ -231,7 +231,7 @@
 
     def take_answer(self, sender: ids.InstanceId, answer: messages.Charged) -> None:
         """Take a home's answer in."""
-        self.silence.end(sender)
+        self.silence.note_response(sender)
         waiting = self.asked.get(answer.number)
         if waiting is not None and not waiting.done():
             waiting.set_result(answer)
--- a/src/tealcove/membership/heart.py
+++ b/src/tealcove/membership/heartbeats.py
@@ -42,7 +42,7 @@
 FIRST_PAUSE = 0.02
 
 
-class Heart:
+class HeartbeatService:
     """One task for each peer that beats, and one that looks for new peers."""
 
     def __init__(
--- a/src/tealcove/membership/force.py
+++ b/src/tealcove/membership/revision_status.py
@@ -7,7 +7,7 @@
 from tealcove.resources import status
 
 # Revisions whose time is remembered; older ones answer with the oldest kept.
-MOST_REACHED = 1000
+MAX_REACHED = 1000
 
 
 class HeartbeatStatus(status.StatusSource):
@@ -27,7 +27,7 @@
         if lowest > self.lowest:
             self.lowest = lowest
             self.reached.append((lowest, now))
-            del self.reached[:-MOST_REACHED]
+            del self.reached[:-MAX_REACHED]
 
     def in_force(self, revision: ids.Revision, now: ids.Instant) -> status.InForce:
         """See StatusSource."""
--- a/src/tealcove/membership/tests/test_heart.py
+++ b/src/tealcove/membership/tests/test_heartbeats.py
@@ -10,7 +10,7 @@
 import pytest
 
 from tealcove import clock, ids
-from tealcove.membership import heart, members, messages, ranking, relay
+from tealcove.membership import heartbeats, members, messages, ranking, relay
 from tealcove.peers import endpoint
 from tealcove.storage import instances
 from tealcove.tests import virtual
@@ -19,7 +19,7 @@
 LARGE = members.FULL_MESH_PEERS + 5
 PATIENCE = 30.0
 INTERVAL = 0.25
-LOOKS = heart.ListIntervals(first=0.1, longest=60.0)
+LOOKS = heartbeats.ListIntervals(first=0.1, longest=60.0)
 
 
 class Network:
@@ -111,7 +111,7 @@
         )
         self.members = members.Members(own, suspect_after=1.0, forget_after=10.0)
         self.list = ShortList()
-        self.heart = heart.Heart(
+        self.heart = heartbeats.HeartbeatService(
             self.mesh, self.members, self.list, seeds, INTERVAL, LOOKS
         )
 
--- a/src/tealcove/membership/tests/test_members.py
+++ b/src/tealcove/membership/tests/test_members.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from tealcove import ids
-from tealcove.membership import force, messages, ranking
+from tealcove.membership import messages, ranking, revision_status
 from tealcove.membership.tests import builders
 
 INSTANCES = 5
@@ -92,7 +92,7 @@
 def test_status_counts_serving_instances_and_knows_since_when() -> None:
     found = builders.known()
     found.update_own(revision=ids.Revision(7))
-    status = force.HeartbeatStatus(found)
+    status = revision_status.HeartbeatStatus(found)
     found.hear(builders.heartbeat(1, revision=6), ids.Instant(0.0))
     at_seven = status.in_force(ids.Revision(7), ids.Instant(0.0))
     assert (at_seven.instances, at_seven.of, at_seven.since) == (1, 2, None)
--- a/src/tealcove/membership/silence.py
+++ b/src/tealcove/membership/unresponsive.py
@@ -5,7 +5,7 @@
 from tealcove import ids
 
 
-class Silence:
+class UnresponsivePeers:
     """Remembers who was silent, until they say something or some time has passed."""
 
     def __init__(self, seconds: float) -> None:
@@ -13,24 +13,24 @@
         self.seconds = seconds
         self.since: dict[ids.InstanceId, ids.Instant] = {}
 
-    def note(self, instance: ids.InstanceId, now: ids.Instant) -> None:
+    def note_timeout(self, instance: ids.InstanceId, now: ids.Instant) -> None:
         """Note that an instance left a question unanswered."""
         self.since = {
             name: since
             for name, since in self.since.items()
-            if self.is_fresh(since, now)
+            if self.is_recent(since, now)
         }
         self.since[instance] = now
 
-    def end(self, instance: ids.InstanceId) -> None:
+    def note_response(self, instance: ids.InstanceId) -> None:
         """Note a word of an instance."""
         self.since.pop(instance, None)
 
-    def is_silent(self, instance: ids.InstanceId, now: ids.Instant) -> bool:
+    def is_unresponsive(self, instance: ids.InstanceId, now: ids.Instant) -> bool:
         """Tell whether an instance left a question unanswered a moment ago."""
         since = self.since.get(instance)
-        return since is not None and self.is_fresh(since, now)
+        return since is not None and self.is_recent(since, now)
 
-    def is_fresh(self, since: ids.Instant, now: ids.Instant) -> bool:
+    def is_recent(self, since: ids.Instant, now: ids.Instant) -> bool:
         """Tell whether an unanswered question still counts."""
         return now - since < self.seconds
--- a/src/tealcove/quarantine/role.py
+++ b/src/tealcove/quarantine/role.py
@@ -8,7 +8,7 @@
 
 from tealcove import clock, ids, tasks
 from tealcove.dispatch import messages, suspicion
-from tealcove.membership import heart, members
+from tealcove.membership import heartbeats, members
 from tealcove.peers import mesh
 from tealcove.quarantine import keeping, marks, sharing
 from tealcove.storage import table
@@ -23,7 +23,7 @@
         self,
         transport: mesh.Mesh,
         known: members.Members,
-        beating: heart.Heart,
+        beating: heartbeats.HeartbeatService,
         rows: table.TableService | None,
         quarantine_seconds: float,
         crashes_to_quarantine: int = marks.CRASHES_TO_QUARANTINE,
--- a/src/tealcove/quarantine/sharing.py
+++ b/src/tealcove/quarantine/sharing.py
@@ -5,7 +5,7 @@
 import asyncio
 
 from tealcove import clock, ids
-from tealcove.membership import heart, members
+from tealcove.membership import heartbeats, members
 from tealcove.membership import messages as membership_messages
 from tealcove.peers import mesh
 from tealcove.quarantine import marks, messages
@@ -27,7 +27,7 @@
         self,
         transport: mesh.Mesh,
         known: members.Members,
-        beating: heart.Heart,
+        beating: heartbeats.HeartbeatService,
         held: marks.Marks,
     ) -> None:
         self.transport = transport
--- a/src/tealcove/readiness.py
+++ b/src/tealcove/readiness.py
@@ -7,7 +7,7 @@
 import logbook
 
 from tealcove import clock, ids
-from tealcove.membership import heart, members, messages
+from tealcove.membership import heartbeats, members, messages
 from tealcove.resources import role as configuration
 
 LOG = logbook.Logger("readiness")
@@ -22,7 +22,7 @@
     def __init__(
         self,
         known: members.Members,
-        beats: heart.Heart,
+        beats: heartbeats.HeartbeatService,
         configured: configuration.ConfigurationRole,
     ) -> None:
         self.members = known
--- a/src/tealcove/resources/role.py
+++ b/src/tealcove/resources/role.py
@@ -7,7 +7,7 @@
 from aiohttp import web
 
 from tealcove import clock, ids, settings, tasks
-from tealcove.membership import force, heart, members
+from tealcove.membership import heartbeats, members, revision_status
 from tealcove.membership import messages as membership_messages
 from tealcove.peers import mesh
 from tealcove.resources import (
@@ -42,7 +42,7 @@
         self.members = known
         self.copy = copy.ConfigurationCopy()
         self.source = peers.MeshPeerSource(transport, known, self.copy)
-        self.status = force.HeartbeatStatus(known)
+        self.status = revision_status.HeartbeatStatus(known)
         self.changes = log.ConfigurationLog(rows, store_of_objects)
         self.reader = reader.ConfigurationReader(
             self.changes,
@@ -66,7 +66,7 @@
         """Return the handlers of the resource API."""
         return self.api.routes()
 
-    def start(self, beats: heart.Heart) -> None:
+    def start(self, beats: heartbeats.HeartbeatService) -> None:
         """Begin to follow the log and to learn from heartbeats."""
         self.source.start()
         self.copy.subscribe(self.compact_now_and_then)
