--- a/bench/slopes/members.py
+++ b/bench/slopes/members.py
@@ -45,7 +45,7 @@
     for number in range(1, count):
         beat = heartbeat(number)
         found.peers[beat.instance] = members.Member(beat, NOW)
-    found.tell_changes(NOW)
+    found.notify_if_changed(NOW)
     return found
 
 
@@ -101,7 +101,7 @@
     one = engine.Server(ids.BackendServerId("engine-0"), "10.9.0.0", 8001)
     near = ids.DataCentreId("dc-3")
     return {
-        "take in a heartbeat": lambda: known.hear(beat, NOW),
+        "take in a heartbeat": lambda: known.record_heartbeat(beat, NOW),
         "note where a revision is in force": lambda: status.note(NOW),
         "rank the dispatchers of a ticket": lambda: known.rank("m/3", NOW, near),
         "rank bare names": lambda: ranking.rank("m/3", known.peers),
--- a/src/tealcove/catalog/following.py
+++ b/src/tealcove/catalog/following.py
@@ -119,7 +119,8 @@
         own = self.members.own.data_centre
         near = [beat for beat in self.members.serving(now) if beat.data_centre == own]
         rooms = {
-            beat.instance: beat.room if beat.reaches_store else -1 for beat in near
+            beat.instance: beat.link_class if beat.reaches_store else -1
+            for beat in near
         }
         return ranking.rank_by_strength(f"followers of {own}", rooms)[:FOLLOWERS]
 
--- a/src/tealcove/catalog/sharing.py
+++ b/src/tealcove/catalog/sharing.py
@@ -88,7 +88,7 @@
         if self.members.own.revision != revision:
             self.tell_data_centre(messages.Topic.CONFIGURATION, clock.now())
             self.members.update_own(revision=revision)
-            self.heart.tell_all()
+            self.heart.broadcast()
 
     def note_servers(self) -> None:
         """Tell who counts on it, and let the next heartbeats say it to all.
--- a/src/tealcove/catalog/tests/builders.py
+++ b/src/tealcove/catalog/tests/builders.py
@@ -232,7 +232,7 @@
     def __init__(self) -> None:
         self.listeners: list[Callable[[messages.Heartbeat], None]] = []
 
-    def tell_all(self) -> None:
+    def broadcast(self) -> None:
         """Heartbeats are sent anyway."""
 
 
@@ -243,7 +243,7 @@
         beat = membership_builders.heartbeat(
             number, data_centre=f"dc-{number % group.data_centres}", revision=0
         )
-        own = msgspec.structs.replace(beat, room=int(width))
+        own = msgspec.structs.replace(beat, link_class=int(width))
         self.members = members.Members(own, 1.0, 10.0)
         self.heart = Beating()
         self.transport = Transport(group, number)
@@ -346,7 +346,7 @@
         for sender, heartbeat in enumerate(told):
             if sender == receiver or self.network.parts(sender, receiver):
                 continue
-            part.members.hear(heartbeat, clock.now())
+            part.members.record_heartbeat(heartbeat, clock.now())
             for listener in part.heart.listeners:
                 listener(heartbeat)
 
--- a/src/tealcove/claims/tests/builders.py
+++ b/src/tealcove/claims/tests/builders.py
@@ -177,7 +177,7 @@
         alive = [i for n, i in bus.instances.items() if n not in bus.cut]
         for one in alive:
             for other in alive:
-                one.members.hear(other.heartbeat, clock.now())
+                one.members.record_heartbeat(other.heartbeat, clock.now())
         await asyncio.sleep(min(BEAT, until - clock.now()))
 
 
--- a/src/tealcove/daemon.py
+++ b/src/tealcove/daemon.py
@@ -261,7 +261,7 @@
         """Put a new revision in force in all roles, and tell the peers."""
         self.dispatcher.reconfigure()
         self.members.update_own(revision=current.revision)
-        self.heart.tell_all()
+        self.heart.broadcast()
 
     async def leave(self) -> None:
         """Leave gracefully: no request in progress is cut off.
@@ -270,7 +270,7 @@
         still accepts until the last answer that names it has run out.
         """
         self.members.update_own(lifecycle=messages.Lifecycle.LEAVING)
-        self.heart.tell_all()
+        self.heart.broadcast()
         LOG.info("leaving")
         shutdown = self.settings.shutdown
         await asyncio.sleep(shutdown.entry_points_ttl)
--- a/src/tealcove/dispatch/tests/test_requester.py
+++ b/src/tealcove/dispatch/tests/test_requester.py
@@ -31,7 +31,7 @@
             2000.0,
         )
         for number in (1, 2):
-            self.members.hear(builders.heartbeat(number), clock.now())
+            self.members.record_heartbeat(builders.heartbeat(number), clock.now())
         self.requester = requester.Requester(
             self.mesh,
             self.members,
@@ -196,7 +196,7 @@
     asking.queue_at(asking.first)
     number = int(asking.first.removeprefix("i-"))
     late = ids.Instant(clock.now() + 1500.0)
-    asking.members.hear(builders.heartbeat(number, "second"), late)
+    asking.members.record_heartbeat(builders.heartbeat(number, "second"), late)
     await asking.asked(asking.first, 2)
     asking.queue_at(asking.first)
     asking.grant_from(asking.first)
--- a/src/tealcove/dispatch/tests/test_role.py
+++ b/src/tealcove/dispatch/tests/test_role.py
@@ -66,7 +66,7 @@
             membership_builders.heartbeat(0), suspect_after=1000.0, forget_after=2000.0
         )
         self.peer = membership_builders.heartbeat(1)
-        self.members.hear(self.peer, clock.now())
+        self.members.record_heartbeat(self.peer, clock.now())
         self.spec = SERVER
         self.listed: tuple[instances.ListedInstance, ...] = ()
         self.role = role.Dispatcher(
--- a/src/tealcove/front/instance.py
+++ b/src/tealcove/front/instance.py
@@ -236,7 +236,7 @@
         if is_joining and self.configuration.current is not None:
             log.info("ready at configuration {}", self.configuration.revision)
             self.members.update_own(lifecycle=messages.Lifecycle.SERVING)
-            self.heart.tell_all()
+            self.heart.broadcast()
 
     def take_servers(self) -> None:
         """Put a new list of backend servers in force."""
@@ -253,11 +253,11 @@
         self.settings = found
         self.heart.seeds = tuple(endpoint.parse(seed) for seed in found.seeds)
         for seed in self.heart.seeds:
-            self.heart.beat_to(seed)
+            self.heart.add_peer(seed)
         self.ingress.services.budget.allowance = parts.allowance_of(found)
         self.limits.slack = found.account_limits.slack
         self.members.update_own(
-            strength=parts.strength_of(found), room=parts.room_of(found)
+            strength=parts.strength_of(found), link_class=parts.room_of(found)
         )
         self.directory.ttl_seconds = found.leaving.directory_ttl_seconds
         log.info("settings read again: {}", "changed" if before != found else "alike")
@@ -290,7 +290,7 @@
         began = clock.now()
         log.info("leaves: {} requests in progress", len(self.ingress.in_progress))
         self.members.update_own(lifecycle=messages.Lifecycle.LEAVING)
-        self.heart.tell_all()
+        self.heart.broadcast()
         self.ingress.is_leaving = True
         leaving = self.settings.leaving
         await asyncio.sleep(LONGEST_KEPT * leaving.directory_ttl_seconds)
--- a/src/tealcove/front/parts.py
+++ b/src/tealcove/front/parts.py
@@ -80,7 +80,7 @@
         peer_port=transport.listen.port,
         revision=ids.Revision(0),
         strength=strength_of(found),
-        room=room_of(found),
+        link_class=room_of(found),
     )
 
 
--- a/src/tealcove/limits/tests/builders.py
+++ b/src/tealcove/limits/tests/builders.py
@@ -113,7 +113,7 @@
         for number, known in enumerate(self.members):
             for other, peer in enumerate(self.members):
                 if other != number and self.reaches(number, other):
-                    known.hear(peer.own, self.now)
+                    known.record_heartbeat(peer.own, self.now)
             known.sweep(self.now)
 
     def deliver(self) -> None:
--- a/src/tealcove/limits/tests/test_asking.py
+++ b/src/tealcove/limits/tests/test_asking.py
@@ -170,7 +170,7 @@
     unsettled = asking.UNSETTLED_PART * LIMIT.burst
     assert sum(passing(limits) for limits in began) <= unsettled + count * tokens
     for other in known[1:]:
-        known[0].hear(other.own, cluster.now)
+        known[0].record_heartbeat(other.own, cluster.now)
     home = began[0]
     home.presence.follow(cluster.now)
     home.presence.homes[builders.ACCOUNT] = (known[0].own.instance,)
--- a/src/tealcove/membership/heartbeats.py
+++ b/src/tealcove/membership/heartbeats.py
@@ -38,12 +38,12 @@
 # The first heartbeat to a peer is lost while the connection is being made. For so many
 # seconds it's tried again after so many. A dispatcher that hasn't heard an entry yet
 # has no address for its answers: they're lost, and their slots kept until given up.
-FIRST_SECONDS = 0.5
-FIRST_PAUSE = 0.02
+CONNECT_RETRY_SECONDS = 0.5
+CONNECT_RETRY_PAUSE = 0.02
 
 
 class HeartbeatService:
-    """One task for each peer that beats, and one that looks for new peers."""
+    """Sends heartbeats to peers, one task each, and discovers new peers."""
 
     def __init__(
         self,
@@ -63,8 +63,8 @@
         # Where instances are or may be, and since when that is known.
         self.known: dict[endpoint.Endpoint, ids.Instant] = {}
         # The tasks that send heartbeats, by whom they send to.
-        self.beats: dict[endpoint.Endpoint, asyncio.Task[None]] = {}
-        self.relaying = relaying.Relaying(transport, known, self.take)
+        self.senders: dict[endpoint.Endpoint, asyncio.Task[None]] = {}
+        self.relaying = relaying.Relaying(transport, known, self.record_heartbeat)
         self.tasks: list[asyncio.Task[None]] = []
         # Addresses of the peers heard lately, made once for all heartbeats of a round.
         self.addresses: frozenset[str] | None = None
@@ -76,59 +76,63 @@
 
     def start(self) -> None:
         """Begin to beat; `transport` must already handle messages."""
-        self.transport.handle(messages.Heartbeat, self.hear)
+        self.transport.handle(messages.Heartbeat, self.handle_heartbeat)
         for seed in self.seeds:
-            self.beat_to(seed)
+            self.add_peer(seed)
         self.relaying.start()
         self.tasks.append(tasks.start(self.sweep(), "membership sweep"))
-        self.tasks.append(tasks.start(self.read_list(), "instance list"))
+        self.tasks.append(tasks.start(self.poll_list(), "instance list"))
 
     async def stop(self) -> None:
         """Tell all peers that this instance is gone, and end the tasks."""
         self.members.update_own(lifecycle=messages.Lifecycle.GONE)
-        self.tell_all()
+        self.broadcast()
         await self.relaying.stop()
-        await tasks.stop([*self.tasks, *self.beats.values()])
+        await tasks.stop([*self.tasks, *self.senders.values()])
 
-    def hear(self, sender: ids.InstanceId, heartbeat: messages.Heartbeat) -> None:
-        """Take in a heartbeat from its sender, and whatever peers it names."""
+    def handle_heartbeat(
+        self, sender: ids.InstanceId, heartbeat: messages.Heartbeat
+    ) -> None:
+        """Record a heartbeat from its sender, and whatever peers it names."""
         now = clock.now()
-        self.relaying.hear(heartbeat, now)
+        self.relaying.note_heartbeat(heartbeat, now)
         before = self.members.find(heartbeat.instance)
         is_new = before is None or before.incarnation != heartbeat.incarnation
         if is_new and self.members.is_large():
-            self.greet(heartbeat.endpoint, now)
-        self.take(heartbeat)
+            self.send_known_peers(heartbeat.endpoint, now)
+        self.record_heartbeat(heartbeat)
         for address in heartbeat.known:
-            self.beat_to(endpoint.parse(address))
+            self.add_peer(endpoint.parse(address))
 
-    def greet(self, peer: endpoint.Endpoint, now: ids.Instant) -> None:
+    def send_known_peers(self, peer: endpoint.Endpoint, now: ids.Instant) -> None:
         """Tell a newcomer to a large group of all, since it may know nobody else."""
         known = tuple(self.known_addresses(now))
         own = msgspec.structs.replace(self.members.own, known=known)
         self.transport.send(peer, own)
 
-    def take(self, heartbeat: messages.Heartbeat) -> None:
-        """Take in a heartbeat, passed on or not."""
-        self.members.hear(heartbeat, clock.now())
-        self.beat_to(heartbeat.endpoint)
+    def record_heartbeat(self, heartbeat: messages.Heartbeat) -> None:
+        """Record a heartbeat, passed on or not."""
+        self.members.record_heartbeat(heartbeat, clock.now())
+        self.add_peer(heartbeat.endpoint)
         for listener in self.listeners:
             listener(heartbeat)
 
-    def beat_to(self, peer: endpoint.Endpoint) -> None:
+    def add_peer(self, peer: endpoint.Endpoint) -> None:
         """Send heartbeats to a peer from now on, or to those who pass them on to it."""
         if peer == self.transport.listen or peer in self.known:
             return
         self.known[peer] = clock.now()
         if not self.members.is_large():
-            self.begin(peer)
+            self.start_sending(peer)
 
-    def begin(self, peer: endpoint.Endpoint) -> None:
+    def start_sending(self, peer: endpoint.Endpoint) -> None:
         """Start the heartbeats to a peer."""
-        if peer not in self.beats:
-            self.beats[peer] = tasks.start(self.beat(peer), f"heartbeats to {peer}")
+        if peer not in self.senders:
+            self.senders[peer] = tasks.start(
+                self.send_heartbeats(peer), f"heartbeats to {peer}"
+            )
 
-    def aim(self, now: ids.Instant) -> None:
+    def update_recipients(self, now: ids.Instant) -> None:
         """Begin and end heartbeats, so that they go to whom they should.
 
         In a large group that is the relays, and addresses where nobody is known to
@@ -138,31 +142,31 @@
         self.transport.waits = self.members.is_large()
         if self.members.is_large():
             relays = self.relaying.choose(now)
-            if not self.relaying.is_lost(now):
+            if not self.relaying.has_lost_all_relays(now):
                 wanted -= {member.endpoint for member in self.members.peers.values()}
                 wanted |= relays
-        for peer in wanted - self.beats.keys():
-            self.begin(peer)
-        for peer in self.beats.keys() - wanted:
-            self.beats.pop(peer).cancel()
+        for peer in wanted - self.senders.keys():
+            self.start_sending(peer)
+        for peer in self.senders.keys() - wanted:
+            self.senders.pop(peer).cancel()
 
-    async def beat(self, peer: endpoint.Endpoint) -> None:
+    async def send_heartbeats(self, peer: endpoint.Endpoint) -> None:
         """Tell one peer how this instance is, until the peer is forgotten."""
-        told: frozenset[str] = frozenset()
-        began = told_at = clock.now()
+        sent_known: frozenset[str] = frozenset()
+        began = sent_at = clock.now()
         while True:
             now = clock.now()
             known = self.known_addresses(now)
             heartbeat = self.members.own
-            with_known = known != told or now - told_at >= KNOWN_INTERVAL
+            with_known = known != sent_known or now - sent_at >= KNOWN_INTERVAL
             if with_known:
                 heartbeat = msgspec.structs.replace(heartbeat, known=tuple(known))
             is_sent = self.transport.send(peer, heartbeat)
             if is_sent and with_known:
-                told = known
-                told_at = now
-            is_new = now - began < FIRST_SECONDS
-            pause = FIRST_PAUSE if is_new and not is_sent else self.interval
+                sent_known = known
+                sent_at = now
+            is_new = now - began < CONNECT_RETRY_SECONDS
+            pause = CONNECT_RETRY_PAUSE if is_new and not is_sent else self.interval
             await asyncio.sleep(pause)
 
     def known_addresses(self, now: ids.Instant) -> frozenset[str]:
@@ -176,12 +180,12 @@
             )
         return self.addresses
 
-    def tell_all(self) -> None:
+    def broadcast(self) -> None:
         """Send a heartbeat to all peers now, since something has changed."""
-        self.members.tell_changes(clock.now())
-        for peer in self.beats:
+        self.members.notify_if_changed(clock.now())
+        for peer in self.senders:
             self.transport.send(peer, self.members.own)
-        self.relaying.pass_soon()
+        self.relaying.schedule_forward()
 
     async def sweep(self) -> None:
         """Forget peers that are long silent."""
@@ -191,7 +195,7 @@
             self.members.sweep(now)
             self.relaying.sweep(now)
             self.forget_silent(now)
-            self.aim(now)
+            self.update_recipients(now)
 
     def forget_silent(self, now: ids.Instant) -> None:
         """Forget addresses where nobody has answered for long.
@@ -217,28 +221,28 @@
             if listed.kind is instances.ListedKind.INSTANCE
         ]
 
-    async def read_list(self) -> None:
+    async def poll_list(self) -> None:
         """Learn of peers from the platform's list."""
         pause = self.list_intervals.first
         while True:
             try:
                 self.listed = await self.instance_list.listed()
-                self.greet_listed()
+                self.add_listed_peers()
             except errors.PlatformError as error:
                 log.debug("the list of instances can't be read: {}", error)
             await asyncio.sleep(pause)
             pause = min(self.list_intervals.longest, 2 * pause)
-            if self.hears_all_listed():
+            if self.has_heard_all_listed():
                 pause = self.list_intervals.longest
 
-    def hears_all_listed(self) -> bool:
+    def has_heard_all_listed(self) -> bool:
         """Tell whether the list has somebody else, and nobody that is unheard."""
         own = self.transport.listen
         listed = set(self.listed_endpoints()) - {own}
         heard = {heartbeat.endpoint for heartbeat in self.members.alive(clock.now())}
         return bool(listed) and listed <= heard
 
-    def greet_listed(self) -> None:
+    def add_listed_peers(self) -> None:
         """Send heartbeats to every instance on the list."""
         for peer in self.listed_endpoints():
-            self.beat_to(peer)
+            self.add_peer(peer)
--- a/src/tealcove/membership/members.py
+++ b/src/tealcove/membership/members.py
@@ -12,7 +12,7 @@
 
 # Rankings that are remembered; keys that come once only, such as those of claims,
 # push the others out now and then.
-MOST_RANKINGS = 2000
+MAX_CACHED_RANKINGS = 2000
 
 # With more peers than these, heartbeats go by relays, see relay.py: 63 instances that
 # told each other of themselves every 0.25 s took 0.1 of a core each.
@@ -20,7 +20,7 @@
 # How much longer a peer may be silent then: 3 s in place of 1 s. Others take the place
 # of three relays that died at once within 2.25 s, later where machines are busy: with
 # 2.5 s, nearly all counted as lost in a test beside twice the machine's load.
-RELAYED_SILENCE = 3.0
+RELAYED_SUSPECT_FACTOR = 3.0
 
 Ranked = tuple[str, ids.DataCentreId | None]
 
@@ -63,23 +63,23 @@
         self.own = msgspec.structs.replace(self.own, change=change, **changes)
         self.rankings.clear()
 
-    def hear(self, heartbeat: messages.Heartbeat, now: ids.Instant) -> None:
+    def record_heartbeat(self, heartbeat: messages.Heartbeat, now: ids.Instant) -> None:
         """Take in a heartbeat of a peer."""
         if heartbeat.instance == self.own.instance:
             return
         known = self.peers.get(heartbeat.instance)
         if known is not None and self.is_outdated(known, heartbeat, now):
             return
-        if known is None or self.is_news(known, heartbeat, now):
+        if known is None or self.affects_serving(known, heartbeat, now):
             self.peers[heartbeat.instance] = Member(heartbeat, now)
             self.rankings.clear()
-            self.tell_changes(now)
+            self.notify_if_changed(now)
             return
         # By far the most frequent case, which mustn't cost more with more peers.
         known.heartbeat = heartbeat
         known.heard = now
 
-    def is_news(
+    def affects_serving(
         self, known: Member, heartbeat: messages.Heartbeat, now: ids.Instant
     ) -> bool:
         """Tell whether a heartbeat may change who serves."""
@@ -107,7 +107,7 @@
             return False
         return not self.is_suspect(known, now)
 
-    def hear_again(
+    def record_contact(
         self, instance: ids.InstanceId, incarnation: ids.Incarnation, now: ids.Instant
     ) -> bool:
         """Take in that a known peer was heard; False: more must be known of it."""
@@ -120,7 +120,7 @@
             return not self.is_suspect(known, now)
         if self.is_suspect(known, now):
             known.heard = now
-            self.tell_changes(now)
+            self.notify_if_changed(now)
         known.heard = now
         return True
 
@@ -130,7 +130,7 @@
 
     def is_suspect(self, member: Member, now: ids.Instant) -> bool:
         """Tell whether a peer has been silent for too long."""
-        factor = RELAYED_SILENCE if self.is_large() else 1.0
+        factor = RELAYED_SUSPECT_FACTOR if self.is_large() else 1.0
         return now - member.heard > self.suspect_after * factor
 
     def sweep(self, now: ids.Instant) -> list[Member]:
@@ -143,10 +143,10 @@
         for member in forgotten:
             del self.peers[member.heartbeat.instance]
             self.rankings.clear()
-        self.tell_changes(now)
+        self.notify_if_changed(now)
         return forgotten
 
-    def tell_changes(self, now: ids.Instant) -> None:
+    def notify_if_changed(self, now: ids.Instant) -> None:
         """Call the listeners when the set of serving instances has changed."""
         serving = tuple(sorted((h.instance, h.incarnation) for h in self.serving(now)))
         if serving == self.last_serving:
@@ -211,7 +211,7 @@
         if near is not None:
             local = {h.instance for h in known if h.data_centre == near}
             ranked.sort(key=lambda instance: instance not in local)
-        if len(self.rankings) >= MOST_RANKINGS:
+        if len(self.rankings) >= MAX_CACHED_RANKINGS:
             self.rankings.clear()
         self.rankings[key, near] = ranked
         return ranked
--- a/src/tealcove/membership/messages.py
+++ b/src/tealcove/membership/messages.py
@@ -47,7 +47,7 @@
     # strongest do the work that isn't spread over all.
     strength: int = 0
     # What its link can carry, in classes of twice as much each.
-    room: int = 0
+    link_class: int = 0
     # Whether the store serves it, as far as it has tried lately.
     reaches_store: bool = True
 
--- a/src/tealcove/membership/relaying.py
+++ b/src/tealcove/membership/relaying.py
@@ -9,112 +9,119 @@
 from tealcove.membership import members, messages, relay
 from tealcove.peers import endpoint, mesh
 
-Take = Callable[[messages.Heartbeat], None]
+RecordHeartbeat = Callable[[messages.Heartbeat], None]
 
 
 class Relaying:
     """Chooses relays, listens to them, and is one where it's chosen itself."""
 
     def __init__(
-        self, transport: mesh.Mesh, known: members.Members, take: Take
+        self,
+        transport: mesh.Mesh,
+        known: members.Members,
+        record_heartbeat: RecordHeartbeat,
     ) -> None:
         self.transport = transport
         self.members = known
-        self.take = take
-        self.choice = relay.Choice()
-        self.passing = relay.Passing()
-        self.numbers = relay.Numbers()
+        self.record_heartbeat = record_heartbeat
+        self.selection = relay.RelaySelection()
+        self.forwarder = relay.Forwarder()
+        self.numbers = relay.NumberTable()
         self.is_relay = False
-        self.soon: asyncio.TimerHandle | None = None
+        self.forward_timer: asyncio.TimerHandle | None = None
         self.task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
         """Begin to listen to relays."""
-        self.transport.handle(messages.Digest, self.take_digest)
-        self.transport.handle(messages.AskDigest, self.take_ask)
+        self.transport.handle(messages.Digest, self.handle_digest)
+        self.transport.handle(messages.AskDigest, self.handle_ask_digest)
         self.task = tasks.start(self.run(), "passing heartbeats on")
 
     async def stop(self) -> None:
         """Pass on what is new, and end."""
         if self.is_relay:
-            self.pass_on(clock.now())
-        if self.soon is not None:
-            self.soon.cancel()
+            self.forward(clock.now())
+        if self.forward_timer is not None:
+            self.forward_timer.cancel()
         if self.task is not None:
             await tasks.stop([self.task])
 
     async def run(self) -> None:
         """Pass on again and again, until cancelled."""
         while True:
-            await asyncio.sleep(relay.PASS_SECONDS)
+            await asyncio.sleep(relay.FORWARD_INTERVAL)
             if self.is_relay:
-                self.pass_on(clock.now())
+                self.forward(clock.now())
 
-    def hear(self, heartbeat: messages.Heartbeat, now: ids.Instant) -> None:
+    def note_heartbeat(self, heartbeat: messages.Heartbeat, now: ids.Instant) -> None:
         """Note a heartbeat from its sender."""
-        self.choice.hear(heartbeat.endpoint, now)
-        if self.passing.hear(heartbeat, now):
-            self.pass_soon()
+        self.selection.note_contact(heartbeat.endpoint, now)
+        if self.forwarder.record(heartbeat, now):
+            self.schedule_forward()
 
     def choose(self, now: ids.Instant) -> set[endpoint.Endpoint]:
         """Return the relays that this instance tells of itself."""
         own = self.transport.listen
         alive = {beat.endpoint: beat.strength for beat in self.members.alive(now)}
-        chosen = self.choice.choose(own, alive, now)
+        chosen = self.selection.choose(own, alive, now)
         self.is_relay = own in chosen
         return chosen - {own}
 
-    def is_lost(self, now: ids.Instant) -> bool:
+    def has_lost_all_relays(self, now: ids.Instant) -> bool:
         """Tell whether nobody passes heartbeats on at present."""
-        return self.choice.is_lost(now)
+        return self.selection.has_lost_all_relays(now)
 
     def sweep(self, now: ids.Instant) -> None:
         """Forget what is long silent."""
         if not self.members.is_large():
             self.is_relay = False
-        self.passing.sweep(self.members.forget_after, now)
+        self.forwarder.sweep(self.members.forget_after, now)
         peers = self.members.peers.values()
         self.numbers.forget({peer.heartbeat.incarnation for peer in peers})
 
-    def pass_soon(self) -> None:
+    def schedule_forward(self) -> None:
         """Pass on news in a moment, together with what else is new by then."""
-        if self.is_relay and self.soon is None:
+        if self.is_relay and self.forward_timer is None:
             loop = asyncio.get_running_loop()
-            self.soon = loop.call_later(relay.NEWS_SECONDS, self.pass_news)
+            self.forward_timer = loop.call_later(
+                relay.FORWARD_DELAY, self.forward_changes
+            )
 
-    def pass_news(self) -> None:
+    def forward_changes(self) -> None:
         """Pass on news now."""
-        self.soon = None
+        self.forward_timer = None
         if self.is_relay:
-            self.pass_on(clock.now())
+            self.forward(clock.now())
 
-    def pass_on(self, now: ids.Instant) -> None:
+    def forward(self, now: ids.Instant) -> None:
         """Send all peers what this instance has heard."""
-        short, full = self.passing.digests(self.members.own, now)
+        short, full = self.forwarder.digests(self.members.own, now)
         for member in self.members.peers.values():
             peer = member.endpoint
-            if self.passing.is_told(peer):
+            if self.forwarder.has_full_digest(peer):
                 self.transport.send(peer, short)
             elif self.transport.send(peer, full):
-                self.passing.note_told(peer, now)
+                self.forwarder.note_full_digest(peer, now)
 
-    def take_digest(self, sender: ids.InstanceId, digest: messages.Digest) -> None:
-        """Take in what a relay has heard."""
+    def handle_digest(self, sender: ids.InstanceId, digest: messages.Digest) -> None:
+        """Record what a relay has heard."""
         now = clock.now()
-        self.choice.hear(digest.relay.endpoint, now)
+        self.selection.note_contact(digest.relay.endpoint, now)
         self.numbers.learn(digest)
-        self.take(digest.relay)
+        self.record_heartbeat(digest.relay)
         for one in digest.entries:
-            self.take(one.heartbeat)
+            self.record_heartbeat(one.heartbeat)
         found, is_complete = self.numbers.find(digest)
         for instance, incarnation in found:
-            if not self.members.hear_again(instance, incarnation, now):
+            if not self.members.record_contact(instance, incarnation, now):
                 is_complete = False
         if not is_complete:
             self.transport.send(digest.relay.endpoint, messages.AskDigest())
 
-    def take_ask(self, sender: ids.InstanceId, ask: messages.AskDigest) -> None:
+    def handle_ask_digest(
+        self, sender: ids.InstanceId, ask: messages.AskDigest
+    ) -> None:
         """Tell an instance of all at the next passing."""
         peer = self.members.endpoint_of(sender)
         if peer is not None:
-            self.passing.told.pop(peer, None)
+            self.forwarder.full_sent.pop(peer, None)
--- a/src/tealcove/membership/tests/test_heartbeats.py
+++ b/src/tealcove/membership/tests/test_heartbeats.py
@@ -178,7 +178,7 @@
 
 async def kill(one: One, found: list[One]) -> None:
     """End an instance without a farewell."""
-    one.heart.tell_all = lambda: None
+    one.heart.broadcast = lambda: None
     one.heart.relaying.is_relay = False
     await one.stop()
     found.remove(one)
@@ -288,7 +288,7 @@
         await asyncio.sleep(2.0)
         leaving = next(one for one in found if not one.heart.relaying.is_relay)
         leaving.members.update_own(lifecycle=messages.Lifecycle.LEAVING)
-        leaving.heart.tell_all()
+        leaving.heart.broadcast()
         began = clock.now()
         others = [one for one in found if one is not leaving]
 
@@ -312,7 +312,7 @@
 
 async def test_a_small_group_beats_from_each_to_each() -> None:
     async with group(3) as found:
-        assert all(len(one.heart.beats) == 2 for one in found)
+        assert all(len(one.heart.senders) == 2 for one in found)
         await kill(found[2], found)
         await until(lambda: agree(found))
 
--- a/src/tealcove/membership/tests/test_members.py
+++ b/src/tealcove/membership/tests/test_members.py
@@ -27,7 +27,7 @@
     now = ids.Instant(0.0)
     for number in range(1, 6):
         centre = "dc-2" if number < 3 else "dc-1"
-        found.hear(builders.heartbeat(number, data_centre=centre), now)
+        found.record_heartbeat(builders.heartbeat(number, data_centre=centre), now)
     ranked = found.rank("pool/0", now, ids.DataCentreId("dc-2"))
     assert set(ranked[:2]) == {"i-1", "i-2"}
     assert len(ranked) == 6
@@ -43,7 +43,7 @@
     found = builders.known()
     now = ids.Instant(0.0)
     for number in range(1, 9):
-        found.hear(builders.heartbeat(number, strength=number // 6), now)
+        found.record_heartbeat(builders.heartbeat(number, strength=number // 6), now)
     for key in range(20):
         ranked = found.rank(f"pool/{key}", now)
         assert set(ranked[:3]) == {"i-6", "i-7", "i-8"}
@@ -53,9 +53,9 @@
 def test_the_order_follows_a_strength_that_changes() -> None:
     found = builders.known()
     now = ids.Instant(0.0)
-    found.hear(builders.heartbeat(1), now)
+    found.record_heartbeat(builders.heartbeat(1), now)
     found.rank("pool/0", now)
-    found.hear(builders.heartbeat(1, strength=1), now)
+    found.record_heartbeat(builders.heartbeat(1, strength=1), now)
     assert found.rank("pool/0", now)[0] == "i-1"
     found.update_own(strength=2)
     assert found.rank("pool/0", now)[0] == "i-0"
@@ -69,11 +69,11 @@
     Cause: the heartbeat that arrives last isn't the newest.
     """
     found = builders.known()
-    found.hear(builders.heartbeat(1, "first"), ids.Instant(0.0))
+    found.record_heartbeat(builders.heartbeat(1, "first"), ids.Instant(0.0))
     gone = builders.heartbeat(1, "first", messages.Lifecycle.GONE)
-    found.hear(gone, ids.Instant(0.1))
-    found.hear(builders.heartbeat(1, "second"), ids.Instant(0.2))
-    found.hear(builders.heartbeat(1, "first"), ids.Instant(0.3))
+    found.record_heartbeat(gone, ids.Instant(0.1))
+    found.record_heartbeat(builders.heartbeat(1, "second"), ids.Instant(0.2))
+    found.record_heartbeat(builders.heartbeat(1, "first"), ids.Instant(0.3))
     assert found.find(ids.InstanceId("i-1")).incarnation == "second"
 
 
@@ -85,7 +85,7 @@
     Cause: the heartbeat named one host for both.
     """
     found = builders.known()
-    found.hear(builders.heartbeat(1), ids.Instant(0.0))
+    found.record_heartbeat(builders.heartbeat(1), ids.Instant(0.0))
     assert str(found.endpoint_of(ids.InstanceId("i-1"))) == "127.0.0.2:8001"
 
 
@@ -93,10 +93,10 @@
     found = builders.known()
     found.update_own(revision=ids.Revision(7))
     status = revision_status.HeartbeatStatus(found)
-    found.hear(builders.heartbeat(1, revision=6), ids.Instant(0.0))
+    found.record_heartbeat(builders.heartbeat(1, revision=6), ids.Instant(0.0))
     at_seven = status.in_force(ids.Revision(7), ids.Instant(0.0))
     assert (at_seven.instances, at_seven.of, at_seven.since) == (1, 2, None)
-    found.hear(builders.heartbeat(1, revision=7), ids.Instant(0.5))
+    found.record_heartbeat(builders.heartbeat(1, revision=7), ids.Instant(0.5))
     status.note(ids.Instant(0.5))
     at_seven = status.in_force(ids.Revision(7), ids.Instant(0.9))
     assert (at_seven.instances, at_seven.of) == (2, 2)
@@ -125,7 +125,7 @@
     def hear(self, number: int, lifecycle: messages.Lifecycle) -> None:
         """Take in a heartbeat."""
         beat = builders.heartbeat(number, lifecycle=lifecycle)
-        self.members.hear(beat, self.now)
+        self.members.record_heartbeat(beat, self.now)
         self.heard[beat.instance] = self.now
         self.lifecycles[beat.instance] = lifecycle
 
--- a/src/tealcove/membership/tests/test_relay.py
+++ b/src/tealcove/membership/tests/test_relay.py
@@ -15,5 +15,5 @@
     """
     alive = {endpoint.Endpoint("127.0.0.1", port): port // 8 for port in range(1, 11)}
     own = endpoint.Endpoint("127.0.0.1", 1)
-    chosen = relay.Choice().choose(own, alive, ids.Instant(0.0))
+    chosen = relay.RelaySelection().choose(own, alive, ids.Instant(0.0))
     assert {peer.port for peer in chosen} == {8, 9, 10}
--- a/src/tealcove/orders/tests/test_drains.py
+++ b/src/tealcove/orders/tests/test_drains.py
@@ -19,7 +19,7 @@
     """Return the holds of an instance with two peers, engine "a" held."""
     known = membership.known(0)
     for number in (1, 2):
-        known.hear(membership.heartbeat(number), NOW)
+        known.record_heartbeat(membership.heartbeat(number), NOW)
     mesh = transport.NotingMesh()
     found = drains.Drains(mesh, known)
     found.begin(test_plan.target(test_plan.A).servers[A], NOW)
@@ -65,7 +65,7 @@
     answer(found, mesh)
     later = ids.Instant(NOW + drains.HOLD_SECONDS + 1)
     for number in (1, 2):
-        found.members.hear(membership.heartbeat(number), later)
+        found.members.record_heartbeat(membership.heartbeat(number), later)
     assert found.told(found.found[A], later) == found.told(found.found[A], NOW)
     assert not found.is_granted_nothing(A, later)
     late = mesh.sent[-1].content
--- a/src/tealcove/readiness.py
+++ b/src/tealcove/readiness.py
@@ -46,7 +46,7 @@
         if wanted is not lifecycle:
             LOG.info("{}", wanted.value)
             self.members.update_own(lifecycle=wanted)
-            self.heart.tell_all()
+            self.heart.broadcast()
 
     def may_serve(self, lifecycle: messages.Lifecycle, now: ids.Instant) -> bool:
         """Tell whether to accept: fully up to date at first, not isolated later."""
--- a/src/tealcove/resources/tests/test_role.py
+++ b/src/tealcove/resources/tests/test_role.py
@@ -18,7 +18,7 @@
         # However slow the machine is, nobody counts as silent.
         known.suspect_after = known.forget_after = 3600.0
         for peer in range(count):
-            known.hear(membership_builders.heartbeat(peer), clock.now())
+            known.record_heartbeat(membership_builders.heartbeat(peer), clock.now())
         transport = mesh.Mesh(
             known.own.instance,
             known.own.incarnation,
--- a/src/tealcove/witness/tests/builders.py
+++ b/src/tealcove/witness/tests/builders.py
@@ -46,7 +46,7 @@
         self.witnesses = [self.new_witness(number) for number in range(count)]
         for one in self.witnesses:
             for other in self.witnesses:
-                one.members.hear(other.members.own, ids.Instant(0.0))
+                one.members.record_heartbeat(other.members.own, ids.Instant(0.0))
 
     def new_witness(self, number: int) -> role.Witness:
         own = membership_messages.Heartbeat(
--- a/src/tealcove/witness/tests/test_witness.py
+++ b/src/tealcove/witness/tests/test_witness.py
@@ -59,7 +59,7 @@
         cluster.witnesses[ENTRY].members.own,
         lifecycle=membership_messages.Lifecycle.GONE,
     )
-    cluster.witnesses[OTHER].members.hear(gone, ids.Instant(0.0))
+    cluster.witnesses[OTHER].members.record_heartbeat(gone, ids.Instant(0.0))
     found = await cluster.witnesses[OTHER].find_lost(builders.place(), "f")
     assert found == record
 
