--- a/src/tealcove/catalog/copies.py
+++ b/src/tealcove/catalog/copies.py
@@ -41,7 +41,7 @@
         """Return all that a peer is told."""
 
     @abc.abstractmethod
-    def take(self, told: messages.Told, now: ids.Instant) -> None:
+    def adopt(self, told: messages.Told, now: ids.Instant) -> None:
         """Take over a peer's copy if it's newer; raises PlatformError."""
 
     def encode(self, now: ids.Instant) -> bytes:
@@ -50,7 +50,7 @@
             self.packed = packing.pack(self.content(now))
         return self.packed
 
-    def tell(self) -> None:
+    def notify(self) -> None:
         """Call the listeners."""
         self.packed = None
         for listener in self.listeners:
@@ -105,13 +105,13 @@
             len(catalog.routes),
             len(catalog.accounts),
         )
-        self.tell()
+        self.notify()
 
     def content(self, now: ids.Instant) -> object:
         """See Copy."""
         return None if self.current is None else self.current.catalog
 
-    def take(self, told: messages.Told, now: ids.Instant) -> None:
+    def adopt(self, told: messages.Told, now: ids.Instant) -> None:
         """See Copy."""
         if told.revision <= self.revision:
             return
--- a/src/tealcove/catalog/telling.py
+++ b/src/tealcove/catalog/copysender.py
@@ -18,10 +18,10 @@
 # 54 kB), and all else waits behind it: tickets, grants and callers' answers.
 LINK_SHARE = 0.25
 # Seconds of sending that are made up for in one pause, since shorter ones aren't kept.
-LEAST_PAUSE = 0.005
+MIN_PAUSE = 0.005
 
 
-class Telling:
+class CopySender:
     """Tells peers one after the other, each of the newest that is known by then."""
 
     def __init__(
@@ -36,11 +36,11 @@
         self.copies = held
         self.bytes_per_second = bytes_per_second
         # Who is to be told of what, in order.
-        self.due: dict[tuple[ids.InstanceId, messages.Topic], None] = {}
-        self.has_due = asyncio.Event()
+        self.queue: dict[tuple[ids.InstanceId, messages.Topic], None] = {}
+        self.has_queued = asyncio.Event()
         self.task: asyncio.Task[None] | None = None
         # Seconds of the link's share that were used up and not yet waited for.
-        self.owed = 0.0
+        self.unpaused_seconds = 0.0
 
     def start(self) -> None:
         """Begin to send."""
@@ -53,23 +53,25 @@
 
     def add(self, instance: ids.InstanceId, topic: messages.Topic) -> None:
         """Let a peer be told when it's its turn."""
-        self.due[instance, topic] = None
-        self.has_due.set()
+        self.queue[instance, topic] = None
+        self.has_queued.set()
 
     async def run(self) -> None:
         """Tell whoever is due, until cancelled."""
         while True:
-            if not self.due:
-                self.has_due.clear()
-                await self.has_due.wait()
-            instance, topic = next(iter(self.due))
-            del self.due[instance, topic]
-            self.owed += self.tell(instance, topic) / self.bytes_per_second / LINK_SHARE
-            if self.owed >= LEAST_PAUSE:
-                pause, self.owed = self.owed, 0.0
+            if not self.queue:
+                self.has_queued.clear()
+                await self.has_queued.wait()
+            instance, topic = next(iter(self.queue))
+            del self.queue[instance, topic]
+            self.unpaused_seconds += (
+                self.send(instance, topic) / self.bytes_per_second / LINK_SHARE
+            )
+            if self.unpaused_seconds >= MIN_PAUSE:
+                pause, self.unpaused_seconds = self.unpaused_seconds, 0.0
                 await asyncio.sleep(pause)
 
-    def tell(self, instance: ids.InstanceId, topic: messages.Topic) -> int:
+    def send(self, instance: ids.InstanceId, topic: messages.Topic) -> int:
         """Tell one peer, unless it knows already; return the bytes sent."""
         copy = self.copies[topic]
         heard = self.members.find(instance)
--- a/src/tealcove/catalog/follower.py
+++ b/src/tealcove/catalog/follower.py
@@ -18,15 +18,15 @@
 # for a change to be in force well within the 2 s after an outage, and doubled so that
 # an outage of 5 s costs some ten calls for each instance. The next try doesn't wait for
 # longer because the one before it hung.
-FIRST_PAUSE = 0.2
-LONGEST_PAUSE = 0.8
+FIRST_RETRY_SECONDS = 0.2
+MAX_RETRY_SECONDS = 0.8
 # Seconds between a failure and the next try at the least.
-LEAST_PAUSE = 0.05
+MIN_PAUSE = 0.05
 # Seconds for which the store has to fail before others follow it in this instance's
 # place: two tries.
-CUT_SECONDS = 0.4
+STORE_LOST_SECONDS = 0.4
 # Seconds for which an answer may be on its way before it's no longer counted on.
-ARRIVING_SECONDS = 2.0
+RECEIVING_SECONDS = 2.0
 
 
 class Pace(msgspec.Struct, frozen=True):
@@ -57,15 +57,15 @@
         # The version to go on from; absent: the table must be read whole.
         self.version: int | None = None
         self.failing_since: ids.Instant | None = None
-        self.pause = FIRST_PAUSE
+        self.pause = FIRST_RETRY_SECONDS
         # Since when an answer has been coming in.
-        self.arriving_since: ids.Instant | None = None
+        self.receiving_since: ids.Instant | None = None
 
     async def run(self) -> None:
         """Follow until cancelled, from what the copy holds."""
         self.version = int(self.copy.revision) or None
         self.failing_since = None
-        self.pause = FIRST_PAUSE
+        self.pause = FIRST_RETRY_SECONDS
         while True:
             began = clock.now()
             try:
@@ -76,8 +76,8 @@
             except errors.PlatformError as error:
                 self.note_failure(error, clock.now())
                 taken = clock.now() - began
-                await asyncio.sleep(max(LEAST_PAUSE, self.pause - taken))
-                self.pause = min(LONGEST_PAUSE, 2 * self.pause)
+                await asyncio.sleep(max(MIN_PAUSE, self.pause - taken))
+                self.pause = min(MAX_RETRY_SECONDS, 2 * self.pause)
 
     async def step(self) -> None:
         """Read once; raises PlatformError."""
@@ -91,32 +91,32 @@
         wait = pace.wait if self.failing_since is None else 0.0
         try:
             page = await self.source.wait_for_changes(
-                self.table, self.version, wait, self.note_arriving
+                self.table, self.version, wait, self.note_receiving
             )
         finally:
             # Also of a refusal: were it still awaited in the pause after it, an
             # instance that the store turns away would ask no peer, and send requests
             # to servers that left 2 s ago.
-            self.arriving_since = None
+            self.receiving_since = None
         self.note_success(clock.now())
         self.copy.apply(page, clock.now())
         self.version = page.version
         if page.entries:
             await asyncio.sleep(pace.gather)
 
-    def note_arriving(self) -> None:
+    def note_receiving(self) -> None:
         """Remember that an answer is on its way."""
-        self.arriving_since = clock.now()
+        self.receiving_since = clock.now()
 
-    def is_arriving(self, now: ids.Instant) -> bool:
+    def is_receiving(self, now: ids.Instant) -> bool:
         """Tell whether an answer is on its way, and likely to come to its end."""
-        since = self.arriving_since
-        return since is not None and now - since < ARRIVING_SECONDS
+        since = self.receiving_since
+        return since is not None and now - since < RECEIVING_SECONDS
 
-    def is_cut(self, now: ids.Instant) -> bool:
+    def is_store_lost(self, now: ids.Instant) -> bool:
         """Tell whether the store has failed for so long that others should follow."""
         since = self.failing_since
-        return since is not None and now - since >= CUT_SECONDS
+        return since is not None and now - since >= STORE_LOST_SECONDS
 
     def note_failure(self, error: errors.PlatformError, now: ids.Instant) -> None:
         """Remember since when the store is out of reach."""
@@ -126,7 +126,7 @@
 
     def note_success(self, now: ids.Instant) -> None:
         """Note that the store answers, and after an outage tell the copy."""
-        self.pause = FIRST_PAUSE
+        self.pause = FIRST_RETRY_SECONDS
         if self.failing_since is None:
             return
         seconds = now - self.failing_since
--- a/src/tealcove/catalog/lookup.py
+++ b/src/tealcove/catalog/lookup.py
@@ -47,6 +47,6 @@
         return None if name is None else self.accounts.get(name)
 
     @property
-    def asks_for_keys(self) -> bool:
+    def requires_keys(self) -> bool:
         """Whether callers of routes that aren't public need a key."""
         return bool(self.catalog.accounts)
--- a/src/tealcove/catalog/serverlist.py
+++ b/src/tealcove/catalog/serverlist.py
@@ -17,9 +17,9 @@
 # anew within about this many seconds; until then they count as still there.
 LAPSE_SECONDS = 2.0
 # Dropped servers whose version is remembered, so that an old row can't bring one back.
-MOST_DROPPED = 4000
+MAX_DROPPED = 4000
 # Changes of servers that one line of the log tells of, the others are counted.
-MOST_SHOWN = 10
+MAX_LOGGED_CHANGES = 10
 
 
 class Known(msgspec.Struct, frozen=True):
@@ -37,7 +37,7 @@
     seconds: float
 
 
-class ToldServers(msgspec.Struct, frozen=True):
+class ServersSnapshot(msgspec.Struct, frozen=True):
     """All that a peer knows of the servers."""
 
     known: tuple[Known, ...]
@@ -63,7 +63,7 @@
         # What has changed since the last line of the log.
         self.changes: list[str] = []
 
-    def tell(self) -> None:
+    def notify(self) -> None:
         """See Copy; also log what has changed, in one line a revision.
 
         With a line for each server, lines of requests would be dropped among them in
@@ -71,8 +71,8 @@
         """
         changes, self.changes = self.changes, []
         if changes:
-            shown = "; ".join(changes[:MOST_SHOWN])
-            more = len(changes) - MOST_SHOWN
+            shown = "; ".join(changes[:MAX_LOGGED_CHANGES])
+            more = len(changes) - MAX_LOGGED_CHANGES
             log.info(
                 "backend servers at revision {}: {}{}; {} known",
                 self.revision,
@@ -80,7 +80,7 @@
                 f"; and {more} more changes" if more > 0 else "",
                 len(self.known),
             )
-        super().tell()
+        super().notify()
 
     def note_outage_ended(self, now: ids.Instant) -> None:
         """Remember that the store is in reach again."""
@@ -90,20 +90,20 @@
         """See Copy."""
         present = {ids.BackendServerId(entry.key) for entry in page.entries}
         self.drop_missing(present, page.version, now)
-        self.take_entries(page, now)
+        self.apply_entries(page, now)
         self.revision = ids.Revision(max(self.revision, page.version))
-        self.tell()
+        self.notify()
 
     def apply(self, page: feed.Page, now: ids.Instant) -> None:
         """See Copy."""
         if not page.entries:
             return
-        self.take_entries(page, now)
+        self.apply_entries(page, now)
         newest = max(entry.version for entry in page.entries)
         self.revision = ids.Revision(max(self.revision, newest))
-        self.tell()
+        self.notify()
 
-    def take_entries(self, page: feed.Page, now: ids.Instant) -> None:
+    def apply_entries(self, page: feed.Page, now: ids.Instant) -> None:
         """Take in rows, each unless a newer one of its key is known."""
         for entry in page.entries:
             name = ids.BackendServerId(entry.key)
@@ -166,7 +166,7 @@
         self.lapsed.pop(name, None)
         was_known = self.known.pop(name, None) is not None
         # Its writer may repeat it several times a second.
-        if name in self.unreadable or len(self.unreadable) >= MOST_DROPPED:
+        if name in self.unreadable or len(self.unreadable) >= MAX_DROPPED:
             return
         self.unreadable.add(name)
         log.error(
@@ -180,7 +180,7 @@
     def note_dropped(self, name: ids.BackendServerId, version: int) -> None:
         """Remember up to which version rows of a server are old."""
         self.dropped[name] = version
-        if len(self.dropped) > MOST_DROPPED:
+        if len(self.dropped) > MAX_DROPPED:
             del self.dropped[next(iter(self.dropped))]
 
     def drop(self, name: ids.BackendServerId, version: int, now: ids.Instant) -> None:
@@ -205,7 +205,7 @@
         self.lapsed.pop(name, None)
         self.changes.append(f"{name} is gone")
 
-    def end_lapses(self, now: ids.Instant) -> None:
+    def expire_lapses(self, now: ids.Instant) -> None:
         """Let go of the lapsed servers that haven't come back in time."""
         due = [name for name, until in self.lapsed.items() if until <= now]
         for name in due:
@@ -215,7 +215,7 @@
             del self.known[name]
             self.changes.append(f"{name} is gone: its entry didn't come back")
         if due:
-            self.tell()
+            self.notify()
 
     def encode(self, now: ids.Instant) -> bytes:
         """See Copy; what is left of a lapse is less each time."""
@@ -228,24 +228,24 @@
         lapsed = tuple(
             Lapse(name, max(0.0, until - now)) for name, until in self.lapsed.items()
         )
-        return ToldServers(tuple(self.known.values()), lapsed)
+        return ServersSnapshot(tuple(self.known.values()), lapsed)
 
-    def take(self, told: messages.Told, now: ids.Instant) -> None:
+    def adopt(self, told: messages.Told, now: ids.Instant) -> None:
         """See Copy."""
         if told.revision <= self.revision:
             return
-        found = packing.unpack(told.content, ToldServers)
+        found = packing.unpack(told.content, ServersSnapshot)
         present = {known.server.name for known in found.known}
         self.drop_missing(present, told.revision, now)
         for known in found.known:
             if known.version > self.version_of(known.server.name):
                 self.put(known)
         for lapse in found.lapsed:
-            self.take_lapse(lapse, now)
+            self.adopt_lapse(lapse, now)
         self.revision = told.revision
-        self.tell()
+        self.notify()
 
-    def take_lapse(self, lapse: Lapse, now: ids.Instant) -> None:
+    def adopt_lapse(self, lapse: Lapse, now: ids.Instant) -> None:
         """Give a server what is left of the time that the peer gives it."""
         if lapse.name in self.known:
             self.lapsed.setdefault(lapse.name, ids.Instant(now + lapse.seconds))
--- a/src/tealcove/catalog/sharing.py
+++ b/src/tealcove/catalog/sharing.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from tealcove import clock, errors, ids
-from tealcove.catalog import copies, following, messages, serverlist, telling
+from tealcove.catalog import copies, copysender, following, messages, serverlist
 from tealcove.membership import heartbeats, members, ranking
 from tealcove.membership import messages as membership_messages
 from tealcove.peers import mesh
@@ -18,15 +18,15 @@
 # Seconds for which an instance waits for the store, or for who follows it, after it has
 # heard of a newer revision: the store's own answer takes some milliseconds, and so does
 # a peer's.
-PATIENCE = 0.15
+STORE_PATIENCE = 0.15
 # The same where others follow the store in its place: they tell one after the other,
 # 20 instances of 54 kB in .35 s on a link of 100 Mbit/s (worked out).
-TOLD_PATIENCE = 0.6
+PUSH_PATIENCE = 0.6
 # Seconds until a peer that was asked counts as silent, and another one is asked: it
 # sends copies to others first, within a share of its link.
 ANSWER_SECONDS = 0.5
 # Peers that are asked in vain before the store is asked instead.
-MOST_SILENT = 1
+MAX_UNANSWERED = 1
 
 
 class Missing(msgspec.Struct):
@@ -51,44 +51,46 @@
         self,
         transport: mesh.Mesh,
         known: members.Members,
-        beating: heartbeats.HeartbeatService,
+        heartbeat_service: heartbeats.HeartbeatService,
         held: tuple[copies.ConfigurationCopy, serverlist.ServersCopy],
         follows: following.Following,
         bytes_per_second: float,
     ) -> None:
         self.transport = transport
         self.members = known
-        self.heart = beating
+        self.heartbeats = heartbeat_service
         self.copies = {copy.topic: copy for copy in held}
         self.following = follows
-        self.telling = telling.Telling(transport, known, self.copies, bytes_per_second)
+        self.sender = copysender.CopySender(
+            transport, known, self.copies, bytes_per_second
+        )
         self.missing: dict[messages.Topic, Missing] = {}
 
     def start(self) -> None:
         """Begin to tell, to compare, to ask and to answer."""
-        self.transport.handle(messages.Ask, self.take_ask)
-        self.transport.handle(messages.Told, self.take_told)
-        self.heart.listeners.append(self.compare)
+        self.transport.handle(messages.Ask, self.handle_ask)
+        self.transport.handle(messages.Told, self.handle_told)
+        self.heartbeats.listeners.append(self.compare)
         self.copies[messages.Topic.CONFIGURATION].listeners.append(
             self.announce_configuration
         )
         self.copies[messages.Topic.SERVERS].listeners.append(self.note_servers)
-        self.telling.start()
+        self.sender.start()
 
     async def stop(self) -> None:
         """End all tasks."""
         for missing in self.missing.values():
             missing.timer.cancel()
-        await self.telling.stop()
+        await self.sender.stop()
 
     def announce_configuration(self) -> None:
         """Tell all peers at once: a key that was taken away counts everywhere soon."""
-        self.settle(messages.Topic.CONFIGURATION)
+        self.note_progress(messages.Topic.CONFIGURATION)
         revision = self.copies[messages.Topic.CONFIGURATION].revision
         if self.members.own.revision != revision:
-            self.tell_data_centre(messages.Topic.CONFIGURATION, clock.now())
+            self.send_to_data_centre(messages.Topic.CONFIGURATION, clock.now())
             self.members.update_own(revision=revision)
-            self.heart.broadcast()
+            self.heartbeats.broadcast()
 
     def note_servers(self) -> None:
         """Tell who counts on it, and let the next heartbeats say it to all.
@@ -96,13 +98,13 @@
         Told at once to all peers, 33 servers that started within 4 s among 63
         instances made 129,000 heartbeats.
         """
-        self.settle(messages.Topic.SERVERS)
+        self.note_progress(messages.Topic.SERVERS)
         revision = self.copies[messages.Topic.SERVERS].revision
         if self.members.own.servers_revision != revision:
-            self.tell_data_centre(messages.Topic.SERVERS, clock.now())
+            self.send_to_data_centre(messages.Topic.SERVERS, clock.now())
             self.members.update_own(servers_revision=revision)
 
-    def tell_data_centre(self, topic: messages.Topic, now: ids.Instant) -> None:
+    def send_to_data_centre(self, topic: messages.Topic, now: ids.Instant) -> None:
         """Tell this follower's part of its data centre."""
         if not self.members.is_large():
             return
@@ -117,7 +119,7 @@
         )
         place = chosen.index(own.instance)
         for instance in near[place :: len(chosen)]:
-            self.telling.add(instance, topic)
+            self.sender.add(instance, topic)
 
     def compare(self, heartbeat: membership_messages.Heartbeat) -> None:
         """Ask a peer soon, if one knows more and nobody has told it by then."""
@@ -129,10 +131,10 @@
             if missing is not None:
                 missing.revision = max(missing.revision, revision)
                 continue
-            patience = PATIENCE if self.following.tasks else TOLD_PATIENCE
-            self.missing[topic] = Missing(revision, self.later(topic, patience))
+            patience = STORE_PATIENCE if self.following.tasks else PUSH_PATIENCE
+            self.missing[topic] = Missing(revision, self.schedule(topic, patience))
 
-    def settle(self, topic: messages.Topic) -> None:
+    def note_progress(self, topic: messages.Topic) -> None:
         """Note that a copy has moved on: what is still missing is asked for anew.
 
         Were it left to the timer of the question before, an instance that the store
@@ -147,14 +149,14 @@
             del self.missing[topic]
             return
         missing.asked = ()
-        missing.timer = self.later(topic, PATIENCE)
+        missing.timer = self.schedule(topic, STORE_PATIENCE)
 
-    def later(self, topic: messages.Topic, seconds: float) -> asyncio.TimerHandle:
+    def schedule(self, topic: messages.Topic, seconds: float) -> asyncio.TimerHandle:
         """Look again at what is missing."""
         loop = asyncio.get_running_loop()
-        return loop.call_later(seconds, self.look, topic)
+        return loop.call_later(seconds, self.request_missing, topic)
 
-    def look(self, topic: messages.Topic) -> None:
+    def request_missing(self, topic: messages.Topic) -> None:
         """Ask a peer, unless the copy has caught up or is about to."""
         now = clock.now()
         copy = self.copies[topic]
@@ -162,13 +164,13 @@
         if copy.revision >= missing.revision:
             del self.missing[topic]
             return
-        if self.following.is_arriving(copy, now):
-            missing.timer = self.later(topic, PATIENCE)
+        if self.following.is_receiving(copy, now):
+            missing.timer = self.schedule(topic, STORE_PATIENCE)
             return
-        missing.timer = self.later(topic, ANSWER_SECONDS)
-        if len(missing.asked) >= MOST_SILENT:
+        missing.timer = self.schedule(topic, ANSWER_SECONDS)
+        if len(missing.asked) >= MAX_UNANSWERED:
             missing.asked = ()
-            self.following.follow_alone(now)
+            self.following.follow_directly(now)
         chosen = self.choose(topic, missing, now)
         if chosen is None:
             return
@@ -191,14 +193,14 @@
         ranked = ranking.rank_by_strength(f"{own.instance}|{topic.value}", knowing)
         return ranked[0] if ranked else None
 
-    def take_ask(self, sender: ids.InstanceId, ask: messages.Ask) -> None:
+    def handle_ask(self, sender: ids.InstanceId, ask: messages.Ask) -> None:
         """Send what is here when it's the sender's turn, if it's newer."""
         if self.copies[ask.topic].revision > ask.since:
-            self.telling.add(sender, ask.topic)
+            self.sender.add(sender, ask.topic)
 
-    def take_told(self, sender: ids.InstanceId, told: messages.Told) -> None:
+    def handle_told(self, sender: ids.InstanceId, told: messages.Told) -> None:
         """Take over a peer's copy."""
         try:
-            self.copies[told.topic].take(told, clock.now())
+            self.copies[told.topic].adopt(told, clock.now())
         except errors.PlatformError as error:
             log.error("from {}: {}", sender, error)
--- a/src/tealcove/catalog/tests/builders.py
+++ b/src/tealcove/catalog/tests/builders.py
@@ -226,7 +226,7 @@
         return True
 
 
-class Beating:
+class StubHeartbeats:
     """Heartbeats that reach all others within two beats."""
 
     def __init__(self) -> None:
@@ -245,7 +245,7 @@
         )
         own = msgspec.structs.replace(beat, link_class=int(width))
         self.members = members.Members(own, 1.0, 10.0)
-        self.heart = Beating()
+        self.heartbeats = StubHeartbeats()
         self.transport = Transport(group, number)
         self.configuration = copies.ConfigurationCopy(
             KEY, documents.decode_configuration
@@ -267,7 +267,7 @@
         self.sharing = sharing.Sharing(
             self.transport,
             self.members,
-            self.heart,
+            self.heartbeats,
             held,
             self.following,
             width * BYTES_IN_MBIT,
@@ -347,7 +347,7 @@
             if sender == receiver or self.network.parts(sender, receiver):
                 continue
             part.members.record_heartbeat(heartbeat, clock.now())
-            for listener in part.heart.listeners:
+            for listener in part.heartbeats.listeners:
                 listener(heartbeat)
 
     async def probe(self, seed: int, seconds: float, size: int = 2000) -> None:
--- a/src/tealcove/catalog/tests/test_copies.py
+++ b/src/tealcove/catalog/tests/test_copies.py
@@ -43,7 +43,7 @@
     told = messages.Told(
         topic=held.topic, revision=ids.Revision(6), content=held.encode(instant(0))
     )
-    held.take(told, instant(0))
+    held.adopt(told, instant(0))
     assert held.revision == 7
 
 
@@ -64,7 +64,7 @@
     held.apply(gone, instant(10.1))
     assert set(held.known) == {"a", "b"}
     held.apply(page(5, feed.Entry("a", server("a"), 5)), instant(11))
-    held.end_lapses(instant(10 + serverlist.LAPSE_SECONDS))
+    held.expire_lapses(instant(10 + serverlist.LAPSE_SECONDS))
     assert set(held.known) == {"a"}
     held.apply(page(6, feed.Entry("a", None, 6)), instant(20))
     assert set(held.known) == set()
@@ -86,7 +86,7 @@
         held.apply(page(version, feed.Entry("a", value, version)), instant(0))
     assert not held.known
     other = servers()
-    other.take(told_by(held), instant(0))
+    other.adopt(told_by(held), instant(0))
     assert other.known == held.known
 
 
@@ -199,18 +199,18 @@
     row = feed.Entry("a", server("a"), 1)
     first.apply(page(1, row), instant(0))
     for other in others:
-        other.take(told_by(first), instant(0))
+        other.adopt(told_by(first), instant(0))
     first.note_outage_ended(instant(10))
     first.apply(page(2, feed.Entry("a", None, 2)), instant(10))
     teller = first
     for number, other in enumerate(others):
         at = 10 + 0.9 * serverlist.LAPSE_SECONDS * (1 - 0.5**number)
-        other.take(told_by(teller, at), instant(at))
+        other.adopt(told_by(teller, at), instant(at))
         assert "a" in other.known
         teller = other
     end = instant(10 + serverlist.LAPSE_SECONDS)
     for held in (first, *others):
-        held.end_lapses(end)
+        held.expire_lapses(end)
         assert "a" not in held.known
 
 
@@ -220,10 +220,10 @@
         one.apply(page(1, feed.Entry("a", server("a"), 1)), instant(0))
     other.note_outage_ended(instant(10))
     other.apply(page(2, feed.Entry("a", None, 2)), instant(10))
-    held.take(told_by(other, 10), instant(10))
-    held.end_lapses(instant(10 + serverlist.LAPSE_SECONDS))
+    held.adopt(told_by(other, 10), instant(10))
+    held.expire_lapses(instant(10 + serverlist.LAPSE_SECONDS))
     other.apply(page(3, feed.Entry("b", server("b"), 3)), instant(11))
-    held.take(told_by(other, 11), instant(12.5))
+    held.adopt(told_by(other, 11), instant(12.5))
     assert set(held.known) == {"b"}
 
 
@@ -239,10 +239,10 @@
 def test_a_peer_that_knows_the_new_start_passes_it_on():
     held, other = servers(), servers()
     held.apply(page(1, feed.Entry("a", server("a", born=1000), 1)), instant(0))
-    other.take(told_by(held), instant(0))
+    other.adopt(told_by(held), instant(0))
     assert other.known["a"].server.start == 1000
     held.apply(page(2, feed.Entry("a", server("a", born=2000), 2)), instant(1))
-    other.take(told_by(held), instant(1))
+    other.adopt(told_by(held), instant(1))
     assert other.known["a"].server.start == 2000
 
 
--- a/src/tealcove/catalog/tests/test_follower.py
+++ b/src/tealcove/catalog/tests/test_follower.py
@@ -45,7 +45,7 @@
     def content(self, now: ids.Instant) -> object:
         """Not used here."""
 
-    def take(self, told: messages.Told, now: ids.Instant) -> None:
+    def adopt(self, told: messages.Told, now: ids.Instant) -> None:
         """Not used here."""
 
 
--- a/src/tealcove/daemon.py
+++ b/src/tealcove/daemon.py
@@ -79,7 +79,7 @@
         self.members.update_own(http_port=self.http_port)
         self.heart.start()
         self.configuration.start(self.heart)
-        self.mesh.take_in()
+        self.mesh.start_receiving()
         watched = readiness.Readiness(self.members, self.heart, self.configuration)
         self.tasks.append(tasks.start(watched.run(), "readiness"))
 
@@ -91,7 +91,7 @@
         curve = found.peer.curve
         secured = None if curve is None else security.Security(curve)
         self.mesh = mesh.Mesh(instance, self.incarnation, listen, secured)
-        self.mesh.listen_for_peers()
+        self.mesh.bind()
         own = messages.Heartbeat(
             instance=instance,
             incarnation=self.incarnation,
--- a/src/tealcove/front/instance.py
+++ b/src/tealcove/front/instance.py
@@ -75,7 +75,7 @@
         await self.start_directory()
         await self.start_metrics()
         self.heart.start()
-        self.mesh.take_in()
+        self.mesh.start_receiving()
         self.follow()
         log.info(
             "started: incarnation {}, callers at {}, peers at {}, store at {}",
@@ -226,7 +226,7 @@
         """Look at readiness and lapsed servers until cancelled."""
         while True:
             now = clock.now()
-            self.servers.end_lapses(now)
+            self.servers.expire_lapses(now)
             self.check_readiness()
             await asyncio.sleep(LOOK_INTERVAL)
 
--- a/src/tealcove/front/parts.py
+++ b/src/tealcove/front/parts.py
@@ -45,7 +45,7 @@
     """Return a mesh that listens for peers; raises OSError."""
     listen = endpoint.parse(found.listen.peers)
     made = mesh.Mesh(ids.InstanceId(found.instance), incarnation, listen)
-    made.listen_for_peers()
+    made.bind()
     return made
 
 
--- a/src/tealcove/ingress/acceptance.py
+++ b/src/tealcove/ingress/acceptance.py
@@ -38,7 +38,7 @@
             f"See host and path; routes of revision {current.revision}.",
         )
     account = current.find_account(received.key)
-    if account is None and current.asks_for_keys and not route.is_public:
+    if account is None and current.requires_keys and not route.is_public:
         raise problem.rejected(
             HTTP_UNAUTHORIZED,
             "The key is not known",
--- a/src/tealcove/membership/heartbeats.py
+++ b/src/tealcove/membership/heartbeats.py
@@ -139,7 +139,7 @@
         be: seeds and listed ones bring two halves together again after a cut.
         """
         wanted = set(self.known)
-        self.transport.waits = self.members.is_large()
+        self.transport.queues_first_messages = self.members.is_large()
         if self.members.is_large():
             relays = self.relaying.choose(now)
             if not self.relaying.has_lost_all_relays(now):
--- a/src/tealcove/membership/tests/test_heartbeats.py
+++ b/src/tealcove/membership/tests/test_heartbeats.py
@@ -40,7 +40,7 @@
         self.listen = endpoint.Endpoint(HOST, 1 + len(network.meshes))
         self.handlers: dict[type, Callable[[ids.InstanceId, object], None]] = {}
         self.sent = 0
-        self.waits = False
+        self.queues_first_messages = False
         # When each connection was begun.
         self.connecting: dict[endpoint.Endpoint, ids.Instant] = {}
         network.meshes[self.listen] = self
--- a/src/tealcove/peers/mesh.py
+++ b/src/tealcove/peers/mesh.py
@@ -26,16 +26,16 @@
 # group. The kernel watches this for nothing; ZeroMQ's own probes, sent by both ends of
 # each connection every 0.7 s, were four times as many as the heartbeats at 63
 # instances.
-UNACKNOWLEDGED_MS = 1500
+UNACKNOWLEDGED_TIMEOUT_MS = 1500
 # Where the mesh is told so, a message to a peer without a connection yet waits for it:
 # in a large group the first one to most peers is a caller's request. Seconds for which
 # it waits, as long as callers wait for an event; seconds between two looks; and how
 # many messages wait at the most.
-FRESH_SECONDS = 0.5
-FRESH_LOOK_SECONDS = 0.005
-MOST_FRESH = 100
+PENDING_SECONDS = 0.5
+PENDING_RETRY_SECONDS = 0.005
+MAX_PENDING = 100
 # Messages taken in one go before other tasks get their turn.
-BATCH = 200
+RECEIVE_BATCH = 200
 
 M = TypeVar("M", bound=message.Message)
 Handler = Callable[[ids.InstanceId, M], None]
@@ -59,9 +59,9 @@
         self.handlers: dict[type[message.Message], Handler] = {}
         self.links: dict[endpoint.Endpoint, zmq.Socket] = {}
         # Whether the first messages to a peer wait for its connection.
-        self.waits = False
+        self.queues_first_messages = False
         # What waits for the first connection of each link that has none yet.
-        self.fresh: dict[endpoint.Endpoint, list[bytes]] = {}
+        self.pending: dict[endpoint.Endpoint, list[bytes]] = {}
         self.context = zmq.asyncio.Context()
         self.plain_context = zmq.Context.shadow(self.context.underlying)
         self.router: zmq.Socket | None = None
@@ -77,14 +77,14 @@
 
     async def start(self) -> None:
         """Listen, and hand over what arrives from now on."""
-        self.listen_for_peers()
-        self.take_in()
+        self.bind()
+        self.start_receiving()
 
-    def listen_for_peers(self) -> None:
+    def bind(self) -> None:
         """Listen; `listen.port` becomes the real port when it was 0.
 
-        What arrives waits until `take_in`, when all handlers are named. An instance
-        that starts among others would else find their first messages unreadable.
+        Arriving messages wait until `start_receiving`, when all handlers are known. An
+        instance that starts among others could not decode their first ones otherwise.
         """
         self.router = self.plain_context.socket(zmq.ROUTER)
         self.router.linger = 0
@@ -102,7 +102,7 @@
         else:
             self.router.bind(self.listen.url())
 
-    def take_in(self) -> None:
+    def start_receiving(self) -> None:
         """Hand over what has arrived and what arrives from now on."""
         # Watched directly: pyzmq's own way to wait makes several futures and turns
         # of the event loop for each arrival, which cost more than the messages.
@@ -117,7 +117,7 @@
         for socket in self.links.values():
             socket.close(0)
         self.links.clear()
-        self.fresh.clear()
+        self.pending.clear()
         if self.router is not None:
             self.router.close(0)
             self.router = None
@@ -135,19 +135,19 @@
             self.deliver(self.instance, content)
             return True
         socket = self.link(peer)
-        waiting = self.fresh.get(peer)
+        waiting = self.pending.get(peer)
         if waiting is not None:
-            if len(waiting) < MOST_FRESH:
+            if len(waiting) < MAX_PENDING:
                 waiting.append(content)
                 if len(waiting) == 1:
-                    self.send_fresh(peer)
+                    self.send_pending(peer)
                 return True
-        elif self.put(socket, content):
+        elif self.try_send(socket, content):
             return True
         self.dropped += 1
         return False
 
-    def put(self, socket: zmq.Socket, content: bytes) -> bool:
+    def try_send(self, socket: zmq.Socket, content: bytes) -> bool:
         """Hand a message to a socket; False: it has no connection, or no room."""
         try:
             socket.send(content, zmq.NOBLOCK)
@@ -157,21 +157,21 @@
         self.sent_bytes += len(content)
         return True
 
-    def send_fresh(self, peer: endpoint.Endpoint) -> None:
+    def send_pending(self, peer: endpoint.Endpoint) -> None:
         """Send what waits for a link's first connection, in its order."""
-        waiting = self.fresh.get(peer)
+        waiting = self.pending.get(peer)
         if not waiting:
             return
-        while waiting and self.put(self.links[peer], waiting[0]):
+        while waiting and self.try_send(self.links[peer], waiting[0]):
             del waiting[0]
         if waiting:
-            self.loop.call_later(FRESH_LOOK_SECONDS, self.send_fresh, peer)
+            self.loop.call_later(PENDING_RETRY_SECONDS, self.send_pending, peer)
         else:
-            del self.fresh[peer]
+            del self.pending[peer]
 
-    def give_up_fresh(self, peer: endpoint.Endpoint) -> None:
+    def drop_pending(self, peer: endpoint.Endpoint) -> None:
         """Drop what still waits; from now on nothing does."""
-        self.dropped += len(self.fresh.pop(peer, ()))
+        self.dropped += len(self.pending.pop(peer, ()))
 
     def link(self, peer: endpoint.Endpoint) -> zmq.Socket:
         """Return the socket to a peer, made at the first use."""
@@ -188,19 +188,19 @@
         socket.immediate = True
         socket.reconnect_ivl = 50
         socket.reconnect_ivl_max = 1000
-        socket.tcp_maxrt = UNACKNOWLEDGED_MS
+        socket.tcp_maxrt = UNACKNOWLEDGED_TIMEOUT_MS
         if self.security is not None:
             self.security.secure_link(socket)
         socket.connect(peer.url())
         self.links[peer] = socket
-        if self.waits:
-            self.fresh[peer] = []
-            self.loop.call_later(FRESH_SECONDS, self.give_up_fresh, peer)
+        if self.queues_first_messages:
+            self.pending[peer] = []
+            self.loop.call_later(PENDING_SECONDS, self.drop_pending, peer)
         return socket
 
     def forget(self, peer: endpoint.Endpoint) -> None:
         """Close the socket to a peer that is gone."""
-        self.give_up_fresh(peer)
+        self.drop_pending(peer)
         socket = self.links.pop(peer, None)
         if socket is not None:
             socket.close(0)
@@ -213,7 +213,7 @@
         """
         if self.router is None:
             return
-        for _ in range(BATCH):
+        for _ in range(RECEIVE_BATCH):
             try:
                 frames = self.router.recv_multipart(zmq.NOBLOCK)
             except zmq.Again:
--- a/src/tealcove/peers/tests/test_mesh.py
+++ b/src/tealcove/peers/tests/test_mesh.py
@@ -27,7 +27,7 @@
 
 async def test_notes_arrive_in_order_with_their_sender() -> None:
     """Of many that arrive together, the last don't wait for another to come."""
-    count = 2 * mesh.BATCH + 50
+    count = 2 * mesh.RECEIVE_BATCH + 50
     received: list[str] = []
     one = await builders.start_mesh("one", [])
     two = await builders.start_mesh("two", received)
@@ -144,7 +144,7 @@
     received: list[str] = []
     one = await builders.start_mesh("one", [])
     two = await builders.start_mesh("two", received)
-    one.waits = True
+    one.queues_first_messages = True
     wanted = [str(number) for number in range(3)]
     for text in wanted:
         assert one.send(two.listen, builders.Note(text=text))
@@ -156,13 +156,13 @@
 
 async def test_what_waits_for_a_connection_is_given_up() -> None:
     one = await builders.start_mesh("one", [])
-    one.waits = True
+    one.queues_first_messages = True
     nobody = endpoint.parse("127.0.0.1:1")
-    for _ in range(mesh.MOST_FRESH):
+    for _ in range(mesh.MAX_PENDING):
         assert one.send(nobody, builders.Note(text="x"))
     assert not one.send(nobody, builders.Note(text="beyond the bound"))
-    await until(lambda: nobody not in one.fresh)
-    assert one.dropped == mesh.MOST_FRESH + 1
+    await until(lambda: nobody not in one.pending)
+    assert one.dropped == mesh.MAX_PENDING + 1
     await one.stop()
 
 
@@ -207,12 +207,12 @@
     two = mesh.Mesh(
         ids.InstanceId("two"), ids.new_incarnation(), endpoint.Endpoint("127.0.0.1", 0)
     )
-    two.listen_for_peers()
+    two.bind()
     await builders.connect(one, two)
     one.send(two.listen, builders.Note(text="early"))
     await asyncio.sleep(0.05)
     two.handle(builders.Note, lambda sender, note: received.append(note.text))
-    two.take_in()
+    two.start_receiving()
     await wait_for(received, "early")
     await one.stop()
     await two.stop()
