--- a/src/tealcove/membership/heartbeats.py
+++ b/src/tealcove/membership/heartbeats.py
@@ -1,4 +1,4 @@
-"""The tasks that send heartbeats and find peers."""
+"""Sending of heartbeats and discovery of peers."""
 
 from __future__ import annotations
 
@@ -15,29 +15,30 @@
 
 log = logbook.Logger("membership")
 
-# Seconds between two looks at the platform's list, which lags anyway.
+# Seconds between two reads of the platform's list, which lags anyway.
 LIST_INTERVAL = 2.0
 
 
 class ListIntervals(msgspec.Struct, frozen=True):
-    """Seconds between two looks at the list: at first, and at the longest.
+    """Seconds between two reads of the list: initial and maximum.
 
-    Doubled from look to look, where each look is paid for and heartbeats tell of
-    new peers; the longest at once when all that are listed are heard.
+    Doubled after each read, since each read is paid for and heartbeats announce new
+    peers. The maximum applies at once when heartbeats of all listed peers arrive.
     """
 
     first: float = LIST_INTERVAL
     longest: float = LIST_INTERVAL
 
 
-# A heartbeat names the peers that the sender knows when they have changed, and
-# otherwise after so many seconds, in case the one that did was lost.
+# A heartbeat lists the known peers when they have changed, and otherwise every so many
+# seconds, in case the message that listed them was lost.
 KNOWN_INTERVAL = 10.0
 
 
-# The first heartbeat to a peer is lost while the connection is being made. For so many
-# seconds it's tried again after so many. A dispatcher that hasn't heard an entry yet
-# has no address for its answers: they're lost, and their slots kept until given up.
+# The first heartbeat to a peer is lost while the connection is being established. It
+# is retried at the pause below for so many seconds. A dispatcher without a heartbeat
+# of an entry has no address for its answers: they are lost, and their slots stay
+# reserved until the timeout.
 CONNECT_RETRY_SECONDS = 0.5
 CONNECT_RETRY_PAUSE = 0.02
 
@@ -60,22 +61,22 @@
         self.seeds = seeds
         self.interval = interval
         self.list_intervals = list_intervals or ListIntervals()
-        # Where instances are or may be, and since when that is known.
+        # Known or possible peer addresses, with the time each was added.
         self.known: dict[endpoint.Endpoint, ids.Instant] = {}
-        # The tasks that send heartbeats, by whom they send to.
+        # Sending tasks by recipient.
         self.senders: dict[endpoint.Endpoint, asyncio.Task[None]] = {}
         self.relaying = relaying.Relaying(transport, known, self.record_heartbeat)
         self.tasks: list[asyncio.Task[None]] = []
-        # Addresses of the peers heard lately, made once for all heartbeats of a round.
+        # Addresses of live peers, computed once for all heartbeats of an interval.
         self.addresses: frozenset[str] | None = None
         self.addresses_at = ids.Instant(0.0)
         self.listed: tuple[instances.ListedInstance, ...] = ()
-        # Functions that see each heartbeat taken in, such as the configuration
-        # reader that learns of higher revisions.
+        # Called with each received heartbeat, such as the configuration reader that
+        # learns of higher revisions.
         self.listeners: list[Callable[[messages.Heartbeat], None]] = []
 
     def start(self) -> None:
-        """Begin to beat; `transport` must already handle messages."""
+        """Start sending; `transport` must already handle messages."""
         self.transport.handle(messages.Heartbeat, self.handle_heartbeat)
         for seed in self.seeds:
             self.add_peer(seed)
@@ -84,7 +85,7 @@
         self.tasks.append(tasks.start(self.poll_list(), "instance list"))
 
     async def stop(self) -> None:
-        """Tell all peers that this instance is gone, and end the tasks."""
+        """Announce to all peers that this instance is gone, and stop the tasks."""
         self.members.update_own(lifecycle=messages.Lifecycle.GONE)
         self.broadcast()
         await self.relaying.stop()
@@ -93,7 +94,7 @@
     def handle_heartbeat(
         self, sender: ids.InstanceId, heartbeat: messages.Heartbeat
     ) -> None:
-        """Record a heartbeat from its sender, and whatever peers it names."""
+        """Record a heartbeat received from its sender, and the peers it lists."""
         now = clock.now()
         self.relaying.note_heartbeat(heartbeat, now)
         before = self.members.find(heartbeat.instance)
@@ -105,20 +106,20 @@
             self.add_peer(endpoint.parse(address))
 
     def send_known_peers(self, peer: endpoint.Endpoint, now: ids.Instant) -> None:
-        """Tell a newcomer to a large group of all, since it may know nobody else."""
+        """Send all known addresses to a new member, which may know no other peer."""
         known = tuple(self.known_addresses(now))
         own = msgspec.structs.replace(self.members.own, known=known)
         self.transport.send(peer, own)
 
     def record_heartbeat(self, heartbeat: messages.Heartbeat) -> None:
-        """Record a heartbeat, passed on or not."""
+        """Record a heartbeat, received directly or from a relay."""
         self.members.record_heartbeat(heartbeat, clock.now())
         self.add_peer(heartbeat.endpoint)
         for listener in self.listeners:
             listener(heartbeat)
 
     def add_peer(self, peer: endpoint.Endpoint) -> None:
-        """Send heartbeats to a peer from now on, or to those who pass them on to it."""
+        """Add an address; in a small group, start sending heartbeats to it."""
         if peer == self.transport.listen or peer in self.known:
             return
         self.known[peer] = clock.now()
@@ -126,17 +127,17 @@
             self.start_sending(peer)
 
     def start_sending(self, peer: endpoint.Endpoint) -> None:
-        """Start the heartbeats to a peer."""
+        """Start the task that sends heartbeats to a peer."""
         if peer not in self.senders:
             self.senders[peer] = tasks.start(
                 self.send_heartbeats(peer), f"heartbeats to {peer}"
             )
 
     def update_recipients(self, now: ids.Instant) -> None:
-        """Begin and end heartbeats, so that they go to whom they should.
+        """Start and stop sending tasks to match the wanted recipients.
 
-        In a large group that is the relays, and addresses where nobody is known to
-        be: seeds and listed ones bring two halves together again after a cut.
+        In a large group these are the relays and the addresses without a known member:
+        seeds and listed addresses rejoin two halves after a network partition.
         """
         wanted = set(self.known)
         self.transport.queues_first_messages = self.members.is_large()
@@ -151,7 +152,7 @@
             self.senders.pop(peer).cancel()
 
     async def send_heartbeats(self, peer: endpoint.Endpoint) -> None:
-        """Tell one peer how this instance is, until the peer is forgotten."""
+        """Send heartbeats to one peer until cancelled."""
         sent_known: frozenset[str] = frozenset()
         began = sent_at = clock.now()
         while True:
@@ -170,7 +171,7 @@
             await asyncio.sleep(pause)
 
     def known_addresses(self, now: ids.Instant) -> frozenset[str]:
-        """Return the addresses of the peers that were heard lately."""
+        """Return the addresses of the peers that are not suspect."""
         if self.addresses is None or now - self.addresses_at >= self.interval:
             self.addresses_at = now
             self.addresses = frozenset(
@@ -181,14 +182,14 @@
         return self.addresses
 
     def broadcast(self) -> None:
-        """Send a heartbeat to all peers now, since something has changed."""
+        """Send a heartbeat to all recipients now, after a change."""
         self.members.notify_if_changed(clock.now())
         for peer in self.senders:
             self.transport.send(peer, self.members.own)
         self.relaying.schedule_forward()
 
     async def sweep(self) -> None:
-        """Forget peers that are long silent."""
+        """Periodically remove silent peers and update the recipients."""
         while True:
             await asyncio.sleep(self.interval)
             now = clock.now()
@@ -198,12 +199,12 @@
             self.update_recipients(now)
 
     def forget_silent(self, now: ids.Instant) -> None:
-        """Forget addresses where nobody has answered for long.
+        """Remove addresses without a known member after `forget_after`.
 
-        Seeds and listed instances are kept: after a cut between data centres that
-        outlasts the time to forget, they bring the two halves together again.
-        All others end, or a deployment that replaces hundreds of instances a day
-        would go on sending to every address it ever had.
+        Seeds and listed instances are kept: they rejoin two halves after a partition
+        between data centres that lasts longer than that. All others are removed, or a
+        deployment that replaces hundreds of instances a day would go on sending to
+        every address it ever had.
         """
         kept = {*self.seeds, *self.listed_endpoints()}
         kept.update(member.endpoint for member in self.members.peers.values())
@@ -214,7 +215,7 @@
             self.transport.forget(peer)
 
     def listed_endpoints(self) -> list[endpoint.Endpoint]:
-        """Return where the platform's list says that instances are."""
+        """Return the peer addresses of the instances on the platform's list."""
         return [
             endpoint.Endpoint(listed.host, listed.peer_port)
             for listed in self.listed
@@ -222,27 +223,27 @@
         ]
 
     async def poll_list(self) -> None:
-        """Learn of peers from the platform's list."""
+        """Periodically add the peers on the platform's list."""
         pause = self.list_intervals.first
         while True:
             try:
                 self.listed = await self.instance_list.listed()
                 self.add_listed_peers()
             except errors.PlatformError as error:
-                log.debug("the list of instances can't be read: {}", error)
+                log.debug("cannot read the list of instances: {}", error)
             await asyncio.sleep(pause)
             pause = min(self.list_intervals.longest, 2 * pause)
             if self.has_heard_all_listed():
                 pause = self.list_intervals.longest
 
     def has_heard_all_listed(self) -> bool:
-        """Tell whether the list has somebody else, and nobody that is unheard."""
+        """Return whether the list names other instances, all of them alive."""
         own = self.transport.listen
         listed = set(self.listed_endpoints()) - {own}
         heard = {heartbeat.endpoint for heartbeat in self.members.alive(clock.now())}
         return bool(listed) and listed <= heard
 
     def add_listed_peers(self) -> None:
-        """Send heartbeats to every instance on the list."""
+        """Add every instance on the list as a peer."""
         for peer in self.listed_endpoints():
             self.add_peer(peer)
--- a/src/tealcove/membership/members.py
+++ b/src/tealcove/membership/members.py
@@ -1,4 +1,4 @@
-"""What an instance knows of its peers, learnt from their heartbeats."""
+"""The membership table of an instance, built from its peers' heartbeats."""
 
 from __future__ import annotations
 
@@ -10,30 +10,31 @@
 from tealcove.membership import messages, ranking
 from tealcove.peers import endpoint
 
-# Rankings that are remembered; keys that come once only, such as those of claims,
-# push the others out now and then.
+# Cached rankings. Keys that are used only once, such as those of claims, fill the
+# cache, which is then cleared.
 MAX_CACHED_RANKINGS = 2000
 
-# With more peers than these, heartbeats go by relays, see relay.py: 63 instances that
-# told each other of themselves every 0.25 s took 0.1 of a core each.
+# With more peers than these, heartbeats go by relays, see relay.py: with 63 instances
+# in a full mesh, heartbeats every 0.25 s took 0.1 of a core on each.
 FULL_MESH_PEERS = 20
-# How much longer a peer may be silent then: 3 s in place of 1 s. Others take the place
-# of three relays that died at once within 2.25 s, later where machines are busy: with
-# 2.5 s, nearly all counted as lost in a test beside twice the machine's load.
+# Factor on the silence after which a peer is suspect when relays are in use: 3 s in
+# place of 1 s. Three relays that fail at once are replaced within 2.25 s, later on busy
+# machines: with 2.5 s, nearly all peers became suspect in a test at twice the
+# machine's load.
 RELAYED_SUSPECT_FACTOR = 3.0
 
 Ranked = tuple[str, ids.DataCentreId | None]
 
 
 class Member(msgspec.Struct):
-    """A peer, as its last heartbeat described it."""
+    """A peer with its last heartbeat and the time of the last contact."""
 
     heartbeat: messages.Heartbeat
     heard: ids.Instant
 
     @property
     def endpoint(self) -> endpoint.Endpoint:
-        """Where the peer listens for messages."""
+        """The address at which the peer listens for messages."""
         return self.heartbeat.endpoint
 
 
@@ -49,22 +50,23 @@
         self.peers: dict[ids.InstanceId, Member] = {}
         self.listeners: list[Callable[[], None]] = []
         self.last_serving: tuple[tuple[ids.InstanceId, ids.Incarnation], ...] = ()
-        # All known instances in order of rank, by key and data centre, until one
-        # comes, goes or changes: hashing them for each ticket took 1.8 ms at 580.
+        # Cached rankings of all known instances by key and data centre, cleared when an
+        # instance joins, leaves or changes: hashing for each ticket took 1.8 ms with
+        # 580 instances.
         self.rankings: dict[Ranked, list[ids.InstanceId]] = {}
 
     def listen(self, listener: Callable[[], None]) -> None:
-        """Name a function to call when the set of serving instances changes."""
+        """Register a function to call when the set of serving instances changes."""
         self.listeners.append(listener)
 
     def update_own(self, **changes: object) -> None:
-        """Change what this instance's own heartbeats say."""
+        """Change fields of this instance's own heartbeat."""
         change = self.own.change + 1
         self.own = msgspec.structs.replace(self.own, change=change, **changes)
         self.rankings.clear()
 
     def record_heartbeat(self, heartbeat: messages.Heartbeat, now: ids.Instant) -> None:
-        """Take in a heartbeat of a peer."""
+        """Record a heartbeat of a peer, unless it is outdated."""
         if heartbeat.instance == self.own.instance:
             return
         known = self.peers.get(heartbeat.instance)
@@ -75,14 +77,14 @@
             self.rankings.clear()
             self.notify_if_changed(now)
             return
-        # By far the most frequent case, which mustn't cost more with more peers.
+        # By far the most frequent case; its cost must not grow with the peers.
         known.heartbeat = heartbeat
         known.heard = now
 
     def affects_serving(
         self, known: Member, heartbeat: messages.Heartbeat, now: ids.Instant
     ) -> bool:
-        """Tell whether a heartbeat may change who serves."""
+        """Return whether a heartbeat may change the serving set or the ranking."""
         before = known.heartbeat
         return (
             heartbeat.incarnation != before.incarnation
@@ -95,11 +97,11 @@
     def is_outdated(
         self, known: Member, heartbeat: messages.Heartbeat, now: ids.Instant
     ) -> bool:
-        """Tell whether a heartbeat is older than what is known.
+        """Return whether a heartbeat is older than the recorded one.
 
-        One of the same incarnation may have been passed on by a slower relay.
-        A replaced instance's last heartbeats may arrive after its successor's
-        first ones; taken in, they would turn members to and fro between the two.
+        One of the same incarnation may have come by a slower relay. The last
+        heartbeats of a replaced instance may arrive after its successor's first ones;
+        if recorded, the member would alternate between the two incarnations.
         """
         if heartbeat.incarnation == known.heartbeat.incarnation:
             return heartbeat.change < known.heartbeat.change
@@ -110,7 +112,7 @@
     def record_contact(
         self, instance: ids.InstanceId, incarnation: ids.Incarnation, now: ids.Instant
     ) -> bool:
-        """Take in that a known peer was heard; False: more must be known of it."""
+        """Refresh a peer that a relay heard; False: its heartbeat is needed."""
         known = self.peers.get(instance)
         if instance == self.own.instance:
             return True
@@ -125,16 +127,16 @@
         return True
 
     def is_large(self) -> bool:
-        """Tell whether heartbeats go by relays."""
+        """Return whether heartbeats go by relays."""
         return len(self.peers) > FULL_MESH_PEERS
 
     def is_suspect(self, member: Member, now: ids.Instant) -> bool:
-        """Tell whether a peer has been silent for too long."""
+        """Return whether a peer has been silent for too long."""
         factor = RELAYED_SUSPECT_FACTOR if self.is_large() else 1.0
         return now - member.heard > self.suspect_after * factor
 
     def sweep(self, now: ids.Instant) -> list[Member]:
-        """Forget peers that are long silent and return them."""
+        """Remove peers silent for longer than `forget_after` and return them."""
         forgotten = [
             member
             for member in self.peers.values()
@@ -156,7 +158,7 @@
             listener()
 
     def alive(self, now: ids.Instant) -> list[messages.Heartbeat]:
-        """Return this instance and the peers that aren't suspect or gone."""
+        """Return this instance and the peers that are neither suspect nor gone."""
         alive = [
             member.heartbeat
             for member in self.peers.values()
@@ -166,7 +168,7 @@
         return [self.own, *alive]
 
     def serving(self, now: ids.Instant) -> list[messages.Heartbeat]:
-        """Return the instances that take new work."""
+        """Return the instances that accept new work."""
         return [
             heartbeat
             for heartbeat in self.alive(now)
@@ -181,13 +183,13 @@
         return None if member is None else member.heartbeat
 
     def silence_of(self, instance: ids.InstanceId, now: ids.Instant) -> float:
-        """Return the seconds since a known instance was heard; 0 for this one."""
+        """Return the seconds since the last contact; 0 for this instance."""
         if instance == self.own.instance:
             return 0.0
         return now - self.peers[instance].heard
 
     def endpoint_of(self, instance: ids.InstanceId) -> endpoint.Endpoint | None:
-        """Return where an instance listens for messages, if it's known."""
+        """Return the peer address of an instance, or None if it is unknown."""
         heartbeat = self.find(instance)
         return None if heartbeat is None else heartbeat.endpoint
 
@@ -204,7 +206,7 @@
         return [instance for instance in ranked if self.is_serving(instance, now)]
 
     def rank_all(self, key: str, near: ids.DataCentreId | None) -> list[ids.InstanceId]:
-        """Rank all known instances, serving or not, and remember the order."""
+        """Rank all known instances, serving or not, and cache the order."""
         known = [self.own, *(member.heartbeat for member in self.peers.values())]
         strengths = {heartbeat.instance: heartbeat.strength for heartbeat in known}
         ranked = ranking.rank_by_strength(key, strengths)
@@ -217,7 +219,7 @@
         return ranked
 
     def is_serving(self, instance: ids.InstanceId, now: ids.Instant) -> bool:
-        """Tell whether an instance takes new work."""
+        """Return whether an instance accepts new work."""
         if instance == self.own.instance:
             return self.own.lifecycle is messages.Lifecycle.SERVING
         member = self.peers[instance]
--- a/src/tealcove/membership/messages.py
+++ b/src/tealcove/membership/messages.py
@@ -11,7 +11,7 @@
 
 
 class Lifecycle(enum.Enum):
-    """How far an instance has come in its life."""
+    """The lifecycle state of an instance."""
 
     JOINING = "joining"
     SERVING = "serving"
@@ -20,60 +20,60 @@
 
 
 class Heartbeat(message.Message):
-    """What an instance tells each peer several times a second."""
+    """The state that an instance sends to its peers several times a second."""
 
     instance: ids.InstanceId
     incarnation: ids.Incarnation
     lifecycle: Lifecycle
     data_centre: ids.DataCentreId
-    # Where callers reach it, and where its peers do.
+    # Addresses for callers and for peers.
     host: str
     http_port: int
     peer_host: str
     peer_port: int
     # The revision of the configuration that is in force on the instance.
     revision: ids.Revision
-    # Addresses "ip:port" of the peers that the sender heard lately.
+    # Addresses "ip:port" of the peers that the sender considers alive.
     known: tuple[str, ...] = ()
-    # Checksum of the marks against crashing requests that the sender knows. The
-    # marks themselves go by messages of their own, so that heartbeats stay small.
+    # Checksum of the sender's marks against crashing requests. The marks themselves
+    # have messages of their own, so that heartbeats stay small.
     marks: int = 0
-    # The revision of the list of backend servers, where that is followed apart.
+    # The revision of the list of backend servers, where it is followed separately.
     servers_revision: ids.Revision = ids.Revision(0)
-    # Grows with each change of the other fields but `known`: heartbeats that are passed
-    # on by several instances may arrive in another order than they were sent in.
+    # Incremented with each change of the other fields but `known`: heartbeats that
+    # several relays forward may arrive out of order.
     change: int = 0
-    # What the instance's processor can do, in classes of twice as much each. The
-    # strongest do the work that isn't spread over all.
+    # Processor capacity in classes, each twice the one before. The strongest instances
+    # do the work that is not spread over all.
     strength: int = 0
-    # What its link can carry, in classes of twice as much each.
+    # Network bandwidth in classes, each twice the one before.
     link_class: int = 0
-    # Whether the store serves it, as far as it has tried lately.
+    # Whether the store answered this instance's recent calls.
     reaches_store: bool = True
 
     @property
     def endpoint(self) -> endpoint.Endpoint:
-        """Where the instance listens for messages."""
+        """The address at which the instance listens for messages."""
         return endpoint.Endpoint(self.peer_host, self.peer_port)
 
 
 class DigestEntry(msgspec.Struct, frozen=True, array_like=True):
-    """One instance's heartbeat, and the number by which the relay means it."""
+    """One instance's heartbeat and the number that the relay assigned to it."""
 
     number: int
     heartbeat: Heartbeat
 
 
 class Digest(message.Message):
-    """What a relay passes on of the heartbeats that it has got itself."""
+    """The heartbeats that a relay received directly and forwards."""
 
     # The relay's own heartbeat.
     relay: Heartbeat
-    # Those that are new to whoever gets this, or all of them.
+    # Heartbeats that are new to the recipient, or all of them.
     entries: tuple[DigestEntry, ...]
-    # The numbers of all that were heard lately.
+    # Numbers of all instances with a recent heartbeat.
     heard: tuple[int, ...]
 
 
 class AskDigest(message.Message):
-    """Asks a relay for all entries, since a number isn't known."""
+    """Requests all entries from a relay, after an unknown number."""
--- a/src/tealcove/membership/ranking.py
+++ b/src/tealcove/membership/ranking.py
@@ -11,16 +11,16 @@
 
 
 def weight(key: str, instance: ids.InstanceId) -> int:
-    """Return the weight of an instance for a key, alike on every instance."""
+    """Return the weight of an instance for a key, equal on every instance."""
     text = f"{key}|{instance}".encode()
     return int.from_bytes(hashlib.blake2b(text, digest_size=WEIGHT_BYTES).digest())
 
 
 def rank(key: str, instances: Iterable[ids.InstanceId]) -> list[ids.InstanceId]:
-    """Return the instances, first choice first.
+    """Return the instances by descending weight.
 
-    When an instance goes, only the keys that it was first for move; all others
-    keep their order (rendezvous hashing, Thaler and Ravishankar 1998).
+    When an instance leaves, only the keys that ranked it first move; all others keep
+    their order (rendezvous hashing, Thaler and Ravishankar 1998).
     """
     return sorted(instances, key=lambda instance: weight(key, instance), reverse=True)
 
@@ -28,10 +28,10 @@
 def rank_by_strength(
     key: str, strengths: Mapping[ids.InstanceId, int]
 ) -> list[ids.InstanceId]:
-    """Return the instances, the strongest first, and among equals as `rank` does.
+    """Return the instances by descending strength, and among equals as `rank` does.
 
-    What isn't spread over all instances, such as the waiting line of thirty backend
-    servers, keeps one with half a core busy while others with two have little to do.
+    Work that is not spread over all instances, such as the queue of thirty backend
+    servers, would overload one with half a core while others with two are idle.
     """
     ranked = rank(key, strengths)
     ranked.sort(key=lambda instance: strengths[instance], reverse=True)
--- a/src/tealcove/membership/relay.py
+++ b/src/tealcove/membership/relay.py
@@ -1,7 +1,7 @@
-"""Heartbeats in large groups: sent to a few instances, which pass them on to all.
+"""Heartbeats in large groups: sent to a few relays, which forward them to all.
 
-Were each of dozens of instances to tell each of the others, heartbeats would cost them
-more than all requests together, and each start a connection to every other.
+In a full mesh of dozens of instances, heartbeats would cost more than all requests
+together, and each instance would open a connection to every other.
 """
 
 from __future__ import annotations
@@ -14,41 +14,41 @@
 from tealcove.membership import messages, ranking
 from tealcove.peers import endpoint
 
-# Instances that pass heartbeats on. Any two may fail at the same moment without a gap;
-# when all three do, others take their place before anyone counts as lost.
+# Number of relays. Any two may fail at the same moment without a gap; when all three
+# do, others replace them before any instance becomes suspect.
 RELAYS = 3
-# Seconds without a word from a relay after which another one is chosen: two passings
-# and a beat. And for how long the silent one isn't chosen again.
+# Seconds of silence after which a relay is replaced: two forward intervals and a
+# heartbeat interval. And for how long the silent one is not selected again.
 SILENT_SECONDS = 1.25
 EXCLUDED_SECONDS = 5.0
-# For so many seconds after all relays fell silent, each tells each of itself: where
+# For so many seconds after all relays fell silent, heartbeats go to all peers: where
 # more than half of the group died, the next relays in rank may be dead as well, and
-# everyone would count as lost before living ones are found.
+# every instance would become suspect before live relays are found.
 ALL_LOST_SECONDS = 2.0
-# Seconds between two passings, and the least between two when there is news.
+# Seconds between two digests, and the delay that groups urgent changes in one.
 FORWARD_INTERVAL = 0.5
 FORWARD_DELAY = 0.02
-# Seconds after which an instance is told of all others again, in case it missed some.
+# Seconds after which a peer gets a full digest again, in case it missed entries.
 FULL_DIGEST_SECONDS = 10.0
 
 
 class RelaySelection:
-    """Which addresses this instance takes for relays."""
+    """Selects the relays that this instance uses."""
 
     def __init__(self) -> None:
-        # When each relay was chosen or last heard from, and when it fell silent.
+        # When each relay was selected or last heard, and when each was excluded.
         self.heard: dict[endpoint.Endpoint, ids.Instant] = {}
         self.excluded: dict[endpoint.Endpoint, ids.Instant] = {}
-        # When any relay was last heard, or the first ones were chosen.
+        # When any relay was last heard, or the first ones were selected.
         self.last_heard_at = ids.Instant(0.0)
         self.all_lost_until = ids.Instant(0.0)
 
     def has_lost_all_relays(self, now: ids.Instant) -> bool:
-        """Tell whether all relays fell silent a moment ago."""
+        """Return whether all relays fell silent recently."""
         return now < self.all_lost_until
 
     def note_contact(self, peer: endpoint.Endpoint, now: ids.Instant) -> None:
-        """Note a word of a peer itself."""
+        """Record a message received directly from a peer."""
         self.excluded.pop(peer, None)
         if peer in self.heard:
             self.heard[peer] = now
@@ -60,17 +60,17 @@
         alive: Mapping[endpoint.Endpoint, int],
         now: ids.Instant,
     ) -> set[endpoint.Endpoint]:
-        """Return the relays among those that are alive, this instance included.
+        """Return the relays among the live instances, this one included.
 
-        `alive` says how strong each is. The order is by that and by hash, so that all
-        who know the same instances choose alike.
+        `alive` maps each address to its strength. The order is by strength and hash, so
+        that instances with the same view select the same relays.
         """
         if not self.heard:
             self.last_heard_at = now
         elif now - self.last_heard_at > SILENT_SECONDS:
-            # Whoever took a silent relay's place has said nothing either. To wait until
-            # all are found silent at one look would be in vain: dead ones take their
-            # places one by one, each with a time to be silent of its own.
+            # The replacements of silent relays are silent, too. Checking whether all are
+            # silent at the same time would never succeed: dead instances replace dead
+            # ones one by one, each with a silence timeout of its own.
             self.all_lost_until = ids.Instant(now + ALL_LOST_SECONDS)
         for peer, since in list(self.heard.items()):
             if now - since > SILENT_SECONDS:
@@ -89,7 +89,7 @@
 
 
 class NumberedHeartbeat(msgspec.Struct):
-    """What a relay knows of one instance."""
+    """A received heartbeat with the number that stands for it in digests."""
 
     number: int
     heartbeat: messages.Heartbeat
@@ -97,19 +97,19 @@
 
 
 class Forwarder:
-    """What a relay passes on: whom it has heard itself, and what is new of them."""
+    """The heartbeats that a relay received directly, and which of them changed."""
 
     def __init__(self) -> None:
         self.next_number = 1
         self.received: dict[ids.InstanceId, NumberedHeartbeat] = {}
-        # When each address was last told of all; what is new since the last passing.
+        # When each address last got a full digest; changes since the last digest.
         self.full_sent: dict[endpoint.Endpoint, ids.Instant] = {}
         self.changed: set[ids.InstanceId] = set()
 
     def record(self, heartbeat: messages.Heartbeat, now: ids.Instant) -> bool:
-        """Record a heartbeat from its sender; tell whether it's news that can't wait.
+        """Record a heartbeat from its sender; return whether it is urgent.
 
-        That is who comes, goes, or serves; revisions go with the next passing.
+        Urgent are new incarnations and lifecycles; revisions go with the next digest.
         """
         plain = msgspec.structs.replace(heartbeat, known=())
         before = self.received.get(heartbeat.instance)
@@ -129,7 +129,7 @@
         return not same or before.heartbeat.lifecycle is not heartbeat.lifecycle
 
     def sweep(self, forget_after: float, now: ids.Instant) -> None:
-        """Forget who was not heard for long."""
+        """Remove instances that were silent for long, and outdated full digests."""
         for instance, found in list(self.received.items()):
             if now - found.heard > forget_after:
                 del self.received[instance]
@@ -141,7 +141,7 @@
     def digests(
         self, own: messages.Heartbeat, now: ids.Instant
     ) -> tuple[messages.Digest, messages.Digest]:
-        """Return what to send to who was told of all lately, and to others."""
+        """Return the digest of changes and the full digest."""
         recent = [
             d for d in self.received.values() if now - d.heard <= 2 * FORWARD_INTERVAL
         ]
@@ -156,21 +156,21 @@
         )
 
     def has_full_digest(self, peer: endpoint.Endpoint) -> bool:
-        """Tell whether an address knows the numbers."""
+        """Return whether an address got a full digest recently."""
         return peer in self.full_sent
 
     def note_full_digest(self, peer: endpoint.Endpoint, now: ids.Instant) -> None:
-        """Note that an address was told of all."""
+        """Record that an address got a full digest."""
         self.full_sent[peer] = now
 
 
 def entry(found: NumberedHeartbeat) -> messages.DigestEntry:
-    """Return an instance as a digest tells of it."""
+    """Return the digest entry of an instance."""
     return messages.DigestEntry(found.number, found.heartbeat)
 
 
 class NumberTable:
-    """Whom the numbers in the digests of each relay mean."""
+    """Maps the numbers in the digests of each relay to instances."""
 
     def __init__(self) -> None:
         self.by_relay: dict[
@@ -178,7 +178,7 @@
         ] = {}
 
     def learn(self, digest: messages.Digest) -> None:
-        """Record the numbers that a digest explains."""
+        """Record the numbers in the entries of a digest."""
         known = self.by_relay.setdefault(digest.relay.incarnation, {})
         for one in digest.entries:
             beat = one.heartbeat
@@ -187,12 +187,12 @@
     def find(
         self, digest: messages.Digest
     ) -> tuple[list[tuple[ids.InstanceId, ids.Incarnation]], bool]:
-        """Return who was heard, and whether every number was known."""
+        """Return the instances heard, and whether every number was known."""
         known = self.by_relay.get(digest.relay.incarnation, {})
         found = [known[number] for number in digest.heard if number in known]
         return found, len(found) == len(digest.heard)
 
     def forget(self, kept: set[ids.Incarnation]) -> None:
-        """Forget relays that are gone."""
+        """Remove all relays but those in `kept`."""
         for incarnation in set(self.by_relay) - kept:
             del self.by_relay[incarnation]
--- a/src/tealcove/membership/relaying.py
+++ b/src/tealcove/membership/relaying.py
@@ -1,4 +1,4 @@
-"""This instance's part in passing heartbeats on, in a large group."""
+"""Relaying of heartbeats in a large group."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Relaying:
-    """Chooses relays, listens to them, and is one where it's chosen itself."""
+    """Selects relays, receives their digests, and acts as a relay if selected."""
 
     def __init__(
         self,
@@ -32,13 +32,13 @@
         self.task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Begin to listen to relays."""
+        """Start receiving digests and, if selected, forwarding."""
         self.transport.handle(messages.Digest, self.handle_digest)
         self.transport.handle(messages.AskDigest, self.handle_ask_digest)
         self.task = tasks.start(self.run(), "passing heartbeats on")
 
     async def stop(self) -> None:
-        """Pass on what is new, and end."""
+        """Forward the last changes, and stop."""
         if self.is_relay:
             self.forward(clock.now())
         if self.forward_timer is not None:
@@ -47,20 +47,20 @@
             await tasks.stop([self.task])
 
     async def run(self) -> None:
-        """Pass on again and again, until cancelled."""
+        """Forward periodically until cancelled."""
         while True:
             await asyncio.sleep(relay.FORWARD_INTERVAL)
             if self.is_relay:
                 self.forward(clock.now())
 
     def note_heartbeat(self, heartbeat: messages.Heartbeat, now: ids.Instant) -> None:
-        """Note a heartbeat from its sender."""
+        """Record a heartbeat received from its sender."""
         self.selection.note_contact(heartbeat.endpoint, now)
         if self.forwarder.record(heartbeat, now):
             self.schedule_forward()
 
     def choose(self, now: ids.Instant) -> set[endpoint.Endpoint]:
-        """Return the relays that this instance tells of itself."""
+        """Return the relays that this instance sends heartbeats to."""
         own = self.transport.listen
         alive = {beat.endpoint: beat.strength for beat in self.members.alive(now)}
         chosen = self.selection.choose(own, alive, now)
@@ -68,11 +68,11 @@
         return chosen - {own}
 
     def has_lost_all_relays(self, now: ids.Instant) -> bool:
-        """Tell whether nobody passes heartbeats on at present."""
+        """Return whether all relays fell silent recently."""
         return self.selection.has_lost_all_relays(now)
 
     def sweep(self, now: ids.Instant) -> None:
-        """Forget what is long silent."""
+        """Remove state of instances that are gone or long silent."""
         if not self.members.is_large():
             self.is_relay = False
         self.forwarder.sweep(self.members.forget_after, now)
@@ -80,7 +80,7 @@
         self.numbers.forget({peer.heartbeat.incarnation for peer in peers})
 
     def schedule_forward(self) -> None:
-        """Pass on news in a moment, together with what else is new by then."""
+        """Schedule a digest after a short delay, which groups changes."""
         if self.is_relay and self.forward_timer is None:
             loop = asyncio.get_running_loop()
             self.forward_timer = loop.call_later(
@@ -88,13 +88,13 @@
             )
 
     def forward_changes(self) -> None:
-        """Pass on news now."""
+        """Forward the changes now."""
         self.forward_timer = None
         if self.is_relay:
             self.forward(clock.now())
 
     def forward(self, now: ids.Instant) -> None:
-        """Send all peers what this instance has heard."""
+        """Send a digest to each peer."""
         short, full = self.forwarder.digests(self.members.own, now)
         for member in self.members.peers.values():
             peer = member.endpoint
@@ -104,7 +104,7 @@
                 self.forwarder.note_full_digest(peer, now)
 
     def handle_digest(self, sender: ids.InstanceId, digest: messages.Digest) -> None:
-        """Record what a relay has heard."""
+        """Record the heartbeats of a relay's digest."""
         now = clock.now()
         self.selection.note_contact(digest.relay.endpoint, now)
         self.numbers.learn(digest)
@@ -121,7 +121,7 @@
     def handle_ask_digest(
         self, sender: ids.InstanceId, ask: messages.AskDigest
     ) -> None:
-        """Tell an instance of all at the next passing."""
+        """Let the next digest for the sender be a full one."""
         peer = self.members.endpoint_of(sender)
         if peer is not None:
             self.forwarder.full_sent.pop(peer, None)
--- a/src/tealcove/membership/revision_status.py
+++ b/src/tealcove/membership/revision_status.py
@@ -1,4 +1,4 @@
-"""Where a revision of the configuration is in force, by the heartbeats."""
+"""On which instances a configuration revision is in force, by heartbeats."""
 
 from __future__ import annotations
 
@@ -6,21 +6,21 @@
 from tealcove.membership import members
 from tealcove.resources import status
 
-# Revisions whose time is remembered; older ones answer with the oldest kept.
+# Revisions whose time is kept; older ones report the oldest kept time.
 MAX_REACHED = 1000
 
 
 class HeartbeatStatus(status.StatusSource):
-    """Counts the serving instances that are at a revision or beyond."""
+    """Counts the serving instances that are at a revision or a later one."""
 
     def __init__(self, known: members.Members) -> None:
         self.members = known
-        # The lowest revision among serving instances, and since when it is that.
+        # The lowest revision among serving instances, and when each was reached.
         self.lowest = ids.Revision(0)
         self.reached: list[tuple[ids.Revision, ids.Instant]] = []
 
     def note(self, now: ids.Instant) -> None:
-        """Remember when each revision came into force on all instances."""
+        """Record when each revision came into force on all instances."""
         lowest = min(
             (h.revision for h in self.members.serving(now)), default=ids.Revision(0)
         )
@@ -40,7 +40,7 @@
         return status.InForce(instances=count, of=len(serving), since=since)
 
     def since(self, revision: ids.Revision, now: ids.Instant) -> float:
-        """Return for how long a revision is in force; older ones answer the same."""
+        """Return for how many seconds a revision is in force on all instances."""
         for reached, instant in self.reached:
             if reached >= revision:
                 return now - instant
--- a/src/tealcove/membership/tests/builders.py
+++ b/src/tealcove/membership/tests/builders.py
@@ -33,7 +33,7 @@
 
 
 def known(number: int = 0) -> members.Members:
-    """Return what a serving instance knows at its start."""
+    """Return the membership table of a new serving instance."""
     return members.Members(heartbeat(number), SUSPECT_AFTER, FORGET_AFTER)
 
 
--- a/src/tealcove/membership/tests/test_heartbeats.py
+++ b/src/tealcove/membership/tests/test_heartbeats.py
@@ -19,7 +19,7 @@
 LARGE = members.FULL_MESH_PEERS + 5
 PATIENCE = 30.0
 INTERVAL = 0.25
-LOOKS = heartbeats.ListIntervals(first=0.1, longest=60.0)
+LIST_INTERVALS = heartbeats.ListIntervals(first=0.1, longest=60.0)
 
 
 class Network:
@@ -27,12 +27,12 @@
 
     def __init__(self) -> None:
         self.meshes: dict[endpoint.Endpoint, LocalMesh] = {}
-        # How long a first message has to wait; what is sent before is lost.
+        # Seconds until a connection is established; earlier messages are lost.
         self.connect_seconds = 0.0
 
 
 class LocalMesh:
-    """Stands in for a mesh: 25 real ones would have 600 connections to make."""
+    """Stub of a mesh: 25 real ones would open 600 connections."""
 
     def __init__(self, name: ids.InstanceId, network: Network) -> None:
         self.name = name
@@ -41,7 +41,7 @@
         self.handlers: dict[type, Callable[[ids.InstanceId, object], None]] = {}
         self.sent = 0
         self.queues_first_messages = False
-        # When each connection was begun.
+        # When each connection attempt started.
         self.connecting: dict[endpoint.Endpoint, ids.Instant] = {}
         network.meshes[self.listen] = self
 
@@ -50,7 +50,7 @@
         self.handlers[kind] = handler
 
     def send(self, peer: endpoint.Endpoint, sent: object) -> bool:
-        """See mesh.Mesh; what is sent arrives in the loop's next turn."""
+        """See mesh.Mesh; messages arrive in the next turn of the event loop."""
         if peer not in self.network.meshes:
             return False
         if self.network.connect_seconds > 0.0:
@@ -63,7 +63,7 @@
         return True
 
     def deliver(self, peer: endpoint.Endpoint, sent: object) -> None:
-        """Hand a message over, if its receiver still lives."""
+        """Deliver a message, if its receiver is still running."""
         found = self.network.meshes.get(peer)
         if found is not None:
             found.handlers[type(sent)](self.name, sent)
@@ -72,25 +72,25 @@
         """See mesh.Mesh."""
 
     def stop(self) -> None:
-        """Send and take nothing from now on."""
+        """Stop sending and receiving."""
         self.network.meshes.pop(self.listen, None)
 
 
 class ShortList(instances.InstanceList):
-    """A list that counts how often it's looked at."""
+    """A list that counts how often it is read."""
 
     def __init__(self, *listed: instances.ListedInstance) -> None:
         self.found = listed
-        self.looks = 0
+        self.reads = 0
 
     async def listed(self) -> tuple[instances.ListedInstance, ...]:
-        """Return who is listed."""
-        self.looks += 1
+        """Return the listed instances."""
+        self.reads += 1
         return self.found
 
 
 class One:
-    """One instance, as far as membership goes."""
+    """The membership part of one instance."""
 
     def __init__(
         self, name: str, network: Network, seeds: tuple[endpoint.Endpoint, ...]
@@ -112,26 +112,26 @@
         self.members = members.Members(own, suspect_after=1.0, forget_after=10.0)
         self.list = ShortList()
         self.heart = heartbeats.HeartbeatService(
-            self.mesh, self.members, self.list, seeds, INTERVAL, LOOKS
+            self.mesh, self.members, self.list, seeds, INTERVAL, LIST_INTERVALS
         )
 
     async def start(self) -> None:
-        """Begin to beat."""
+        """Start sending heartbeats."""
         self.heart.start()
 
     async def stop(self) -> None:
-        """Leave."""
+        """Stop, and announce it to the peers."""
         await self.heart.stop()
         self.mesh.stop()
 
     def names(self) -> set[str]:
-        """Return who is alive, as far as this one knows."""
+        """Return the instances that this one considers alive."""
         return {heartbeat.instance for heartbeat in self.members.alive(clock.now())}
 
 
 @contextlib.asynccontextmanager
 async def group(count: int, is_listed: bool = False) -> AsyncIterator[list[One]]:
-    """Start instances that all know the first one only, and a list if there's one."""
+    """Start instances that know only the first one, and the list if wanted."""
     network = Network()
     first = One("i-0", network, ())
     seeds = (first.mesh.listen,)
@@ -150,13 +150,13 @@
 
 
 def agree(found: list[One]) -> bool:
-    """Tell whether all know just each other."""
+    """Return whether all instances know exactly each other."""
     wanted = {one.name for one in found}
     return all(one.names() == wanted for one in found)
 
 
 async def until(check: Callable[[], bool]) -> None:
-    """Wait until a check holds; far beyond any healthy wait."""
+    """Wait until a check holds, for at most PATIENCE seconds."""
     async with asyncio.timeout(PATIENCE):
         while True:
             if check():
@@ -165,7 +165,7 @@
 
 
 async def watch(found: list[One], seconds: float) -> set[str]:
-    """Return who counted as lost by anyone meanwhile."""
+    """Return the instances that any other considered lost during some seconds."""
     end = clock.now() + seconds
     lost: set[str] = set()
     while clock.now() < end:
@@ -177,7 +177,7 @@
 
 
 async def kill(one: One, found: list[One]) -> None:
-    """End an instance without a farewell."""
+    """Stop an instance without an announcement."""
     one.heart.broadcast = lambda: None
     one.heart.relaying.is_relay = False
     await one.stop()
@@ -185,7 +185,7 @@
 
 
 async def kill_first_ranked(found: list[One]) -> None:
-    """End the relays and twice as many of those next in rank."""
+    """Kill the relays and twice as many of those next in rank."""
     ranked = ranking.rank("relay", [str(one.mesh.listen) for one in found])
     dead = ranked[: 3 * relay.RELAYS]
     for one in [one for one in found if str(one.mesh.listen) in dead]:
@@ -193,13 +193,12 @@
 
 
 async def test_large_groups_send_few_heartbeats() -> None:
-    """The more instances there are, the less work each of them gets done.
+    """Heartbeats use a tenth of a core on each of 63 instances.
 
-    Symptom: at 63 instances a tenth of a core each goes into heartbeats. Sequence:
-    none; it's so all the time. Cause: each tells each of the others of itself.
+    Cause: each instance sends its own to each of the others.
     """
     async with group(LARGE) as found:
-        # What the start sets off is over by then.
+        # The traffic of the start is over by then.
         await asyncio.sleep(2.0)
         before = sum(one.mesh.sent for one in found)
         assert await watch(found, 2.0) == set()
@@ -209,11 +208,11 @@
 
 
 async def test_a_lost_relay_takes_nobody_with_it() -> None:
-    """All instances count as lost when those that pass heartbeats on are.
+    """All instances become suspect when the relays are lost.
 
-    Symptom: every instance believes that it's alone, and leads everything. Sequence:
-    the relays die at the same moment. Cause: nobody else passes heartbeats on in
-    time.
+    Symptom: every instance considers itself the only one, and leads everything.
+    Sequence: the relays die at the same moment. Cause: no other instance forwards
+    heartbeats in time.
     """
     async with group(LARGE) as found:
         await asyncio.sleep(2.0)
@@ -226,11 +225,11 @@
 
 
 async def test_relays_that_die_with_those_after_them_take_nobody_with_them() -> None:
-    """Every instance believes for 7 s that it's alone, after most have died.
+    """Every instance considers itself the only one for 7 s after a mass failure.
 
-    Symptom: as when all relays die, but until the dead are forgotten. Sequence: the
-    relays die together with the next ones in rank. Cause: the next ones are chosen
-    while nobody suspects them; when they are found silent, all others have become so.
+    Symptom: as when all relays die, but until the dead are removed. Sequence: the
+    relays die together with the next ones in rank. Cause: the next ones are selected
+    before they are suspect; by the time they are, all others have become suspect, too.
     """
     async with group(LARGE) as found:
         await asyncio.sleep(2.0)
@@ -239,10 +238,10 @@
 
 
 async def watch_the_others(seed: int, stall: float) -> set[str]:
-    """Let instances that began one by one lose their relays and those after them.
+    """Kill the relays and the next in rank of instances that started one by one.
 
-    All stand still for some seconds in the middle of that. Returns who of the living
-    counted as lost by anyone.
+    All stall for some seconds meanwhile. Returns the live instances that any other
+    considered lost.
     """
     source = random.Random(seed)
     network = Network()
@@ -268,13 +267,12 @@
 def test_relays_that_die_one_after_the_other_take_nobody_with_them(
     seed: int, stall: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """All living instances count as lost after more than a third has died at once.
+    """All live instances become suspect after more than a third has died at once.
 
-    Symptom: as when all relays die, on some days only. Sequence: the relays die with
-    the next six in rank; each instance looks at its relays at moments of its own, and
-    finds one after the other silent. Cause: it tells everyone of itself only when it
-    finds all of them silent at one look. Until then dead ones take the places of dead
-    ones, with 1.25 s each.
+    Symptom: as when all relays die, but intermittent. Sequence: the relays die with the
+    next six in rank; each instance checks its relays at times of its own, and finds one
+    after the other silent. Cause: it sends heartbeats to all peers only when one check
+    finds all relays silent. Until then dead instances replace dead ones, at 1.25 s each.
     """
 
     async def main() -> None:
@@ -318,21 +316,21 @@
 
 
 async def test_the_list_is_left_alone_once_all_on_it_are_heard() -> None:
-    """Calls to the platform's list are paid for, and tell nothing new."""
+    """Reads of the platform's list are paid for, and add nothing then."""
     async with group(3, is_listed=True) as found:
         await asyncio.sleep(1.0)
-        before = [one.list.looks for one in found]
+        before = [one.list.reads for one in found]
         await asyncio.sleep(1.5)
-        assert [one.list.looks for one in found] == before
+        assert [one.list.reads for one in found] == before
 
 
 async def test_peers_know_each_other_as_soon_as_they_are_connected() -> None:
-    """Grants after a restart of everything go nowhere.
+    """Grants are lost after a restart of all instances.
 
-    Symptom: "no address" in a dispatcher's log, and slots that are given up as untold.
-    Sequence: an entry hears a dispatcher and sends it a ticket; its own heartbeat to
-    it was lost, since the connection was only being made. Cause: the next one came
-    0.25 s later.
+    Symptom: "no address" in a dispatcher's log, and slots released after a timeout.
+    Sequence: an entry receives a dispatcher's heartbeat and sends it a ticket; its own
+    heartbeat was lost while the connection was being established. Cause: the next one
+    followed 0.25 s later.
     """
     network = Network()
     network.connect_seconds = 0.03
@@ -348,7 +346,7 @@
 
 
 def listed(one: One) -> instances.ListedInstance:
-    """Return an instance as the list has it."""
+    """Return the list entry of an instance."""
     own = one.members.own
     return instances.ListedInstance(
         name=own.instance,
--- a/src/tealcove/membership/tests/test_members.py
+++ b/src/tealcove/membership/tests/test_members.py
@@ -1,4 +1,4 @@
-"""Who takes part, by the heartbeats."""
+"""The membership table, ranking and revision status."""
 
 from __future__ import annotations
 
@@ -34,11 +34,11 @@
 
 
 def test_strong_instances_rank_before_weak_ones() -> None:
-    """A dispatcher falls behind while stronger instances have little to do.
+    """A dispatcher is overloaded while stronger instances are idle.
 
-    Symptom: under twice the usual load grants come late, and slots are idle between
-    two requests. Sequence: the ranking names an instance with half a core for the
-    dispatcher of thirty servers. Cause: it knew nothing of what instances can do.
+    Symptom: under twice the usual load grants are late, and slots are idle between two
+    requests. Sequence: an instance with half a core ranks first as the dispatcher of
+    thirty servers. Cause: the ranking ignored the instances' capacity.
     """
     found = builders.known()
     now = ids.Instant(0.0)
@@ -62,11 +62,11 @@
 
 
 def test_a_late_heartbeat_of_a_replaced_incarnation_is_dropped() -> None:
-    """Members flap between the old and the new process of one name.
+    """A member alternates between the old and the new process of one name.
 
-    Symptom: tickets go to the address of a process that is gone.
-    Sequence: instance 1 is replaced; the old one's last heartbeat comes late.
-    Cause: the heartbeat that arrives last isn't the newest.
+    Symptom: tickets go to the address of a stopped process.
+    Sequence: instance 1 is replaced; the old one's last heartbeat arrives late.
+    Cause: the heartbeat that arrives last is not the newest.
     """
     found = builders.known()
     found.record_heartbeat(builders.heartbeat(1, "first"), ids.Instant(0.0))
@@ -78,11 +78,11 @@
 
 
 def test_peers_are_reached_at_their_own_address() -> None:
-    """Messages go to the address for callers when that is another one.
+    """Messages for peers go to the address for callers.
 
-    Symptom: instances with two networks never hear each other.
-    Sequence: an instance listens for callers and for peers at different hosts.
-    Cause: the heartbeat named one host for both.
+    Symptom: instances with two networks never receive each other's heartbeats.
+    Sequence: an instance listens for callers and for peers on different hosts.
+    Cause: the heartbeat had one host for both.
     """
     found = builders.known()
     found.record_heartbeat(builders.heartbeat(1), ids.Instant(0.0))
@@ -116,14 +116,14 @@
         self.members.listen(self.count)
 
     def count(self) -> None:
-        """Count the calls of a listener."""
+        """Count a notification."""
         self.changes += 1
 
     @stateful.rule(
         number=st.integers(1, INSTANCES), lifecycle=st.sampled_from(messages.Lifecycle)
     )
     def hear(self, number: int, lifecycle: messages.Lifecycle) -> None:
-        """Take in a heartbeat."""
+        """Record a heartbeat."""
         beat = builders.heartbeat(number, lifecycle=lifecycle)
         self.members.record_heartbeat(beat, self.now)
         self.heard[beat.instance] = self.now
@@ -131,13 +131,13 @@
 
     @stateful.rule(seconds=st.floats(0.0, 12.0))
     def pass_time(self, seconds: float) -> None:
-        """Let time pass in silence, with a sweep at its end."""
+        """Advance the time without heartbeats, then sweep."""
         self.now = ids.Instant(self.now + seconds)
         self.members.sweep(self.now)
 
     @stateful.invariant()
     def serving_are_those_heard_lately(self) -> None:
-        """Only an instance that said so lately takes new work, and this one."""
+        """Only this instance and those with a recent heartbeat accept new work."""
         wanted = {"i-0"}
         for name, instant in self.heard.items():
             fresh = self.now - instant <= builders.SUSPECT_AFTER
@@ -148,7 +148,7 @@
 
     @stateful.invariant()
     def long_silent_peers_are_forgotten(self) -> None:
-        """No peer stays for ever."""
+        """Silent peers are removed after FORGET_AFTER."""
         for name in self.members.peers:
             assert self.now - self.heard[name] <= builders.FORGET_AFTER
 
--- a/src/tealcove/membership/tests/test_relay.py
+++ b/src/tealcove/membership/tests/test_relay.py
@@ -1,4 +1,4 @@
-"""The choice of relays."""
+"""The selection of relays."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 from tealcove.peers import endpoint
 
 
-def test_the_strongest_pass_heartbeats_on() -> None:
-    """An instance with a small link and half a core passes on for 63.
+def test_the_strongest_instances_are_the_relays() -> None:
+    """An instance with a slow link and half a core is a relay for 63.
 
-    Symptom: its own callers wait. Sequence: the hash of its address comes first.
-    Cause: the choice knew nothing of what instances can do.
+    Symptom: its own callers wait. Sequence: its address has the highest hash.
+    Cause: the selection ignored the instances' capacity.
     """
     alive = {endpoint.Endpoint("127.0.0.1", port): port // 8 for port in range(1, 11)}
     own = endpoint.Endpoint("127.0.0.1", 1)
--- a/src/tealcove/membership/unresponsive.py
+++ b/src/tealcove/membership/unresponsive.py
@@ -1,4 +1,4 @@
-"""Which instances left a question unanswered a moment ago."""
+"""Instances that recently left a request unanswered."""
 
 from __future__ import annotations
 
@@ -6,15 +6,15 @@
 
 
 class UnresponsivePeers:
-    """Remembers who was silent, until they say something or some time has passed."""
+    """Keeps unresponsive instances until they respond or a time has passed."""
 
     def __init__(self, seconds: float) -> None:
-        # For how long an instance counts as silent after an unanswered question.
+        # For how long an instance counts as unresponsive after a timeout.
         self.seconds = seconds
         self.since: dict[ids.InstanceId, ids.Instant] = {}
 
     def note_timeout(self, instance: ids.InstanceId, now: ids.Instant) -> None:
-        """Note that an instance left a question unanswered."""
+        """Record that an instance left a request unanswered."""
         self.since = {
             name: since
             for name, since in self.since.items()
@@ -23,14 +23,14 @@
         self.since[instance] = now
 
     def note_response(self, instance: ids.InstanceId) -> None:
-        """Note a word of an instance."""
+        """Record a message from an instance."""
         self.since.pop(instance, None)
 
     def is_unresponsive(self, instance: ids.InstanceId, now: ids.Instant) -> bool:
-        """Tell whether an instance left a question unanswered a moment ago."""
+        """Return whether an instance recently left a request unanswered."""
         since = self.since.get(instance)
         return since is not None and self.is_recent(since, now)
 
     def is_recent(self, since: ids.Instant, now: ids.Instant) -> bool:
-        """Tell whether an unanswered question still counts."""
+        """Return whether a timeout still counts."""
         return now - since < self.seconds
--- a/src/tealcove/peers/endpoint.py
+++ b/src/tealcove/peers/endpoint.py
@@ -1,4 +1,4 @@
-"""Where an instance listens for its peers."""
+"""The address at which an instance listens for its peers."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Endpoint(msgspec.Struct, frozen=True, order=True):
-    """An IP number and a TCP port."""
+    """An IP address and a TCP port."""
 
     host: str
     port: int
@@ -23,9 +23,9 @@
 
 
 def parse(text: str) -> Endpoint:
-    """Read `host:port`; raises PeerError when the port is no number."""
+    """Parse `host:port`; raises PeerError if it is malformed."""
     host, _, number = text.rpartition(":")
     port = count.read(number)
     if not host or port is None:
-        raise errors.PeerError(f"{text!r} is no address of a peer", 'Write "ip:port".')
+        raise errors.PeerError(f"{text!r} is not a peer address", 'Write "ip:port".')
     return Endpoint(host=host, port=port)
--- a/src/tealcove/peers/mesh.py
+++ b/src/tealcove/peers/mesh.py
@@ -1,4 +1,4 @@
-"""The ZeroMQ sockets of an instance: one to listen, one to each peer."""
+"""The ZeroMQ sockets of an instance: one listener, and one to each peer."""
 
 from __future__ import annotations
 
@@ -15,26 +15,25 @@
 
 log = logbook.Logger("peers")
 
-# Messages that wait for one connected peer at the most. Beyond it they are dropped,
-# as a network would: every sender here repeats what matters, and a queue without a
-# bound would grow for as long as a peer is frozen.
+# Maximum number of queued messages for one connected peer. Further ones are dropped, as
+# by a network: senders repeat what matters, and an unbounded queue would grow for as
+# long as a peer is frozen.
 HIGH_WATER_MARK = 1000
-# A connection may fall silent without being closed, so that what is sent on it is
-# lost and no reconnection ever begins: heartbeats would stop for good in one
-# direction. Milliseconds that sent bytes may stay unacknowledged until the connection
-# is closed and made anew, twice the longest pause between heartbeats of a small
-# group. The kernel watches this for nothing; ZeroMQ's own probes, sent by both ends of
-# each connection every 0.7 s, were four times as many as the heartbeats at 63
-# instances.
+# A connection may stall without being closed, so that sent messages are lost and no
+# reconnection starts: heartbeats would stop for good in one direction. Milliseconds for
+# which sent bytes may stay unacknowledged before the connection is closed and
+# re-established, twice the longest pause between heartbeats of a small group. The
+# kernel checks this at no cost; ZeroMQ's own probes, sent by both ends of each
+# connection every 0.7 s, were four times as many as the heartbeats at 63 instances.
 UNACKNOWLEDGED_TIMEOUT_MS = 1500
-# Where the mesh is told so, a message to a peer without a connection yet waits for it:
+# With `queues_first_messages`, messages to a peer that is not connected yet are queued:
 # in a large group the first one to most peers is a caller's request. Seconds for which
-# it waits, as long as callers wait for an event; seconds between two looks; and how
-# many messages wait at the most.
+# they are queued, as long as callers wait for an event; seconds between two attempts to
+# send; and the maximum number of queued messages.
 PENDING_SECONDS = 0.5
 PENDING_RETRY_SECONDS = 0.005
 MAX_PENDING = 100
-# Messages taken in one go before other tasks get their turn.
+# Messages received in one turn of the event loop before other tasks run.
 RECEIVE_BATCH = 200
 
 M = TypeVar("M", bound=message.Message)
@@ -42,7 +41,7 @@
 
 
 class Mesh:
-    """Sends messages to peers and hands received ones to their handlers."""
+    """Sends messages to peers and dispatches received ones to their handlers."""
 
     def __init__(
         self,
@@ -58,9 +57,9 @@
         self.codec = message.Codec()
         self.handlers: dict[type[message.Message], Handler] = {}
         self.links: dict[endpoint.Endpoint, zmq.Socket] = {}
-        # Whether the first messages to a peer wait for its connection.
+        # Whether the first messages to a peer are queued until it is connected.
         self.queues_first_messages = False
-        # What waits for the first connection of each link that has none yet.
+        # Messages queued for links that have not been connected yet.
         self.pending: dict[endpoint.Endpoint, list[bytes]] = {}
         self.context = zmq.asyncio.Context()
         self.plain_context = zmq.Context.shadow(self.context.underlying)
@@ -71,26 +70,26 @@
         self.sent_bytes = 0
 
     def handle(self, message_type: type[M], handler: Handler[M]) -> None:
-        """Name the function that gets each received message of a type."""
+        """Register the handler of a message type."""
         self.codec.register(message_type)
         self.handlers[message_type] = handler
 
     async def start(self) -> None:
-        """Listen, and hand over what arrives from now on."""
+        """Listen, and dispatch messages from now on."""
         self.bind()
         self.start_receiving()
 
     def bind(self) -> None:
-        """Listen; `listen.port` becomes the real port when it was 0.
+        """Bind the listener; `listen.port` 0 is replaced by the actual port.
 
         Arriving messages wait until `start_receiving`, when all handlers are known. An
         instance that starts among others could not decode their first ones otherwise.
         """
         self.router = self.plain_context.socket(zmq.ROUTER)
         self.router.linger = 0
-        # A peer that reconnects after a cut still has its old connection here.
-        # Without handover the new one is refused until the old one times out,
-        # and the peer would seem dead for minutes.
+        # A peer that reconnects after a network failure still has its old connection
+        # here. Without handover the new one is refused until the old one times out, and
+        # the peer would seem dead for minutes.
         self.router.router_handover = True
         self.router.rcvhwm = HIGH_WATER_MARK
         if self.security is not None:
@@ -103,15 +102,15 @@
             self.router.bind(self.listen.url())
 
     def start_receiving(self) -> None:
-        """Hand over what has arrived and what arrives from now on."""
-        # Watched directly: pyzmq's own way to wait makes several futures and turns
-        # of the event loop for each arrival, which cost more than the messages.
+        """Dispatch the messages that have arrived and those that follow."""
+        # The descriptor is watched directly: pyzmq's own polling takes several futures
+        # and event loop turns for each arrival, which cost more than the messages.
         self.loop = asyncio.get_running_loop()
         self.loop.add_reader(self.router.FD, self.receive)
         self.loop.call_soon(self.receive)
 
     async def stop(self) -> None:
-        """Close all sockets; what wasn't sent is dropped."""
+        """Close all sockets; unsent messages are dropped."""
         if self.loop is not None:
             self.loop.remove_reader(self.router.FD)
         for socket in self.links.values():
@@ -126,9 +125,9 @@
         self.context.term()
 
     def send(self, peer: endpoint.Endpoint, sent: message.Message) -> bool:
-        """Send without waiting; False when it was dropped.
+        """Send without blocking; return False if the message was dropped.
 
-        That is so while the peer isn't connected, or its queue is full.
+        Messages are dropped while the peer is not connected or its queue is full.
         """
         content = self.codec.encode(sent)
         if peer == self.listen:
@@ -148,7 +147,7 @@
         return False
 
     def try_send(self, socket: zmq.Socket, content: bytes) -> bool:
-        """Hand a message to a socket; False: it has no connection, or no room."""
+        """Send without blocking; False: not connected, or the queue is full."""
         try:
             socket.send(content, zmq.NOBLOCK)
         except zmq.Again:
@@ -158,7 +157,7 @@
         return True
 
     def send_pending(self, peer: endpoint.Endpoint) -> None:
-        """Send what waits for a link's first connection, in its order."""
+        """Send the queued messages of a link in order, once it is connected."""
         waiting = self.pending.get(peer)
         if not waiting:
             return
@@ -170,11 +169,11 @@
             del self.pending[peer]
 
     def drop_pending(self, peer: endpoint.Endpoint) -> None:
-        """Drop what still waits; from now on nothing does."""
+        """Drop the queued messages of a link; later ones are not queued."""
         self.dropped += len(self.pending.pop(peer, ()))
 
     def link(self, peer: endpoint.Endpoint) -> zmq.Socket:
-        """Return the socket to a peer, made at the first use."""
+        """Return the socket to a peer, created on first use."""
         socket = self.links.get(peer)
         if socket is not None:
             return socket
@@ -182,9 +181,9 @@
         socket.linger = 0
         socket.identity = self.identity
         socket.sndhwm = HIGH_WATER_MARK
-        # Without a connection nothing is queued. Heartbeats to a region that is cut
-        # off for an hour would otherwise wait in memory, megabytes for each peer,
-        # and arrive all at once when they are long untrue.
+        # Nothing is queued without a connection. Heartbeats to a region that is
+        # unreachable for an hour would otherwise take megabytes of memory for each
+        # peer, and arrive all at once when they are outdated.
         socket.immediate = True
         socket.reconnect_ivl = 50
         socket.reconnect_ivl_max = 1000
@@ -199,17 +198,17 @@
         return socket
 
     def forget(self, peer: endpoint.Endpoint) -> None:
-        """Close the socket to a peer that is gone."""
+        """Close the socket to a removed peer."""
         self.drop_pending(peer)
         socket = self.links.pop(peer, None)
         if socket is not None:
             socket.close(0)
 
     def receive(self) -> None:
-        """Take in what has arrived, up to a bound; the rest has the next turn.
+        """Receive up to RECEIVE_BATCH messages; the rest follow in the next turn.
 
-        The descriptor shows only that something is new. What is left in the queue
-        would wait for the next message, if it weren't looked at again.
+        The descriptor signals only new arrivals: without the rescheduled call, messages
+        left in the queue would wait for the next one.
         """
         if self.router is None:
             return
@@ -231,6 +230,6 @@
         except errors.PeerError as error:
             log.warning("{} (from {})", error, sender)
         except Exception:
-            # One bad message must not end the task that takes in all others:
-            # the instance would look frozen to its peers from then on.
+            # One bad message must not stop the receipt of all others: the instance
+            # would seem frozen to its peers from then on.
             log.exception("the handler of a message from {} failed", sender)
--- a/src/tealcove/peers/message.py
+++ b/src/tealcove/peers/message.py
@@ -8,16 +8,15 @@
 
 
 class Message(msgspec.Struct, frozen=True, tag=True, kw_only=True, array_like=True):
-    """A message between two instances; each travels one way.
+    """A one-way message between two instances.
 
-    Fields go by position, which halves a heartbeat. A new field has to come last
-    and have a default, so that instances of neighbouring versions understand each
-    other.
+    Fields are encoded by position, which halves the size of a heartbeat. A new field
+    must come last and have a default, so that neighbouring versions stay compatible.
     """
 
 
 class Codec:
-    """Encodes and decodes the messages of the slices that registered."""
+    """Encodes and decodes the registered message types."""
 
     def __init__(self) -> None:
         self.types: list[type[Message]] = []
@@ -25,7 +24,7 @@
         self.decoder: msgspec.msgpack.Decoder | None = None
 
     def register(self, message_type: type[Message]) -> None:
-        """Make a type of message known; forgets a decoder made before."""
+        """Register a message type; the decoder is rebuilt on the next use."""
         self.types.append(message_type)
         self.decoder = None
 
@@ -34,7 +33,7 @@
         return self.encoder.encode(message)
 
     def decode(self, content: bytes) -> Message:
-        """Return the message; raises PeerError for bytes of no known one."""
+        """Return the message; raises PeerError if the bytes cannot be decoded."""
         if self.decoder is None:
             union = self.types[0]
             for message_type in self.types[1:]:
@@ -44,6 +43,6 @@
             return self.decoder.decode(content)
         except msgspec.MsgspecError as error:
             raise errors.PeerError(
-                f"A peer sent a message that can't be read: {error}",
+                f"Cannot decode a message from a peer: {error}",
                 "Run the same version on all instances, or one next to it.",
             ) from error
--- a/src/tealcove/peers/security.py
+++ b/src/tealcove/peers/security.py
@@ -1,4 +1,4 @@
-"""CURVE between instances: encryption, and only known peers are let in."""
+"""CURVE encryption and authentication between instances."""
 
 from __future__ import annotations
 
@@ -12,10 +12,9 @@
 class Security:
     """The keys of this instance, and the public keys of its peers.
 
-    All instances listen with the key pair of the deployment, so a link needs no
-    other key than the instance's own. A stranger who learnt the public key is
-    kept out all the same: a peer must prove that it holds the secret key of one
-    of the allowed public ones.
+    All instances listen with the key pair of the deployment, so a link needs no other
+    key than the instance's own. The public key alone gives no access: a peer must prove
+    that it holds the secret key of one of the allowed public keys.
     """
 
     def __init__(self, keys: settings.Curve) -> None:
@@ -25,28 +24,28 @@
         self.authenticator: zmq.auth.asyncio.AsyncioAuthenticator | None = None
 
     def start(self, context: zmq.asyncio.Context) -> None:
-        """Begin to decide on connections; before the listener is bound."""
+        """Start authenticating connections; call before the listener is bound."""
         self.authenticator = zmq.auth.asyncio.AsyncioAuthenticator(context)
         self.authenticator.start()
         self.authenticator.configure_curve_callback(credentials_provider=self)
 
     def stop(self) -> None:
-        """Stop deciding."""
+        """Stop authenticating."""
         if self.authenticator is not None:
             self.authenticator.stop()
 
     def callback(self, domain: str, key: bytes) -> bool:
-        """Tell whether a peer may connect; pyzmq calls it with a key in Z85."""
+        """Return whether a peer may connect; pyzmq passes its key in Z85."""
         return key in self.allowed
 
     def secure_listener(self, socket: zmq.Socket) -> None:
-        """Let the socket accept only authenticated, encrypted connections."""
+        """Make the socket accept only authenticated, encrypted connections."""
         socket.curve_publickey = self.public_key
         socket.curve_secretkey = self.secret_key
         socket.curve_server = True
 
     def secure_link(self, socket: zmq.Socket) -> None:
-        """Let the socket connect only to a listener with the deployment's key."""
+        """Make the socket connect only to listeners with the deployment's key."""
         socket.curve_publickey = self.public_key
         socket.curve_secretkey = self.secret_key
         socket.curve_serverkey = self.public_key
--- a/src/tealcove/peers/tests/builders.py
+++ b/src/tealcove/peers/tests/builders.py
@@ -9,7 +9,7 @@
 from tealcove import checked, ids, settings
 from tealcove.peers import endpoint, mesh, message, security
 
-# The note by which a connection is tried out; nobody notes it down.
+# The text of the note that probes a connection; it is not recorded.
 HELLO = "are you there"
 PATIENCE = 30.0
 
@@ -21,7 +21,7 @@
 
 
 def keys(allowed: tuple[str, ...] = ()) -> settings.Curve:
-    """Return a new key pair that lets itself and the given keys in."""
+    """Return a new key pair that allows itself and the given keys."""
     public, secret = (key.decode() for key in zmq.curve_keypair())
     return settings.Curve(
         checked.CurveKey(public),
@@ -42,11 +42,11 @@
         secured,
     )
 
-    def note_down(sender: ids.InstanceId, note: Note) -> None:
+    def record(sender: ids.InstanceId, note: Note) -> None:
         if note.text != HELLO:
             received.append(f"{sender}: {note.text}")
 
-    found.handle(Note, note_down)
+    found.handle(Note, record)
     await found.start()
     return found
 
--- a/src/tealcove/peers/tests/test_mesh.py
+++ b/src/tealcove/peers/tests/test_mesh.py
@@ -26,7 +26,7 @@
 
 
 async def test_notes_arrive_in_order_with_their_sender() -> None:
-    """Of many that arrive together, the last don't wait for another to come."""
+    """More notes than one batch arrive without another one to trigger them."""
     count = 2 * mesh.RECEIVE_BATCH + 50
     received: list[str] = []
     one = await builders.start_mesh("one", [])
@@ -49,12 +49,12 @@
 
 
 async def test_a_bad_message_does_not_end_the_receiver() -> None:
-    """An instance would look frozen to all its peers.
+    """An instance seems frozen to all its peers after a bad message.
 
-    Symptom: heartbeats of healthy peers are no longer taken in.
-    Sequence: a peer of another version sends bytes that can't be read, and a
+    Symptom: heartbeats of healthy peers are no longer received.
+    Sequence: a peer of another version sends bytes that cannot be decoded, and a
     handler fails on a message.
-    Cause: an exception that leaves the receiving task ends it.
+    Cause: an uncaught exception ends the receiving task.
     """
     received: list[str] = []
     one = await builders.start_mesh("one", [])
@@ -73,12 +73,12 @@
     await two.stop()
 
 
-async def test_only_known_keys_are_let_in() -> None:
-    """A stranger who knows the public key mustn't send grants.
+async def test_only_allowed_keys_can_connect() -> None:
+    """A process that knows only the public key can send grants.
 
-    Symptom: messages of a process that is none of the deployment's are obeyed.
-    Sequence: the stranger connects with the right server key and a key of its own.
-    Cause: CURVE without authentication lets in every client.
+    Symptom: messages of a process outside the deployment are handled.
+    Sequence: it connects with the right server key and a key pair of its own.
+    Cause: CURVE without authentication accepts every client.
     """
     received: list[str] = []
     curve = builders.keys()
@@ -102,18 +102,18 @@
 
 
 def pretend(socket: object, stranger: mesh.Mesh, one: mesh.Mesh) -> None:
-    """Connect with the deployment's public key, but the stranger's own pair."""
+    """Connect with the deployment's public key, but the stranger's key pair."""
     socket.curve_publickey = stranger.security.public_key
     socket.curve_secretkey = stranger.security.secret_key
     socket.curve_serverkey = one.security.public_key
 
 
-async def test_nothing_waits_for_a_peer_that_is_cut_off() -> None:
+async def test_nothing_is_queued_for_an_unreachable_peer() -> None:
     """Memory grows for as long as regions can't reach each other.
 
-    Symptom: an instance takes gigabytes after an hour's cut.
-    Sequence: a peer is gone for good; heartbeats to it go on.
-    Cause: ZeroMQ keeps messages for a peer that it isn't connected to.
+    Symptom: an instance uses gigabytes after an hour's network failure.
+    Sequence: a peer is gone for good; heartbeats to it continue.
+    Cause: ZeroMQ queues messages for a peer that is not connected.
     """
     received: list[str] = []
     one = await builders.start_mesh("one", [])
@@ -134,12 +134,12 @@
         endpoint.parse("10.0.0.1:²")
 
 
-async def test_a_first_message_waits_for_the_connection() -> None:
-    """A request to a dispatcher that was never talked to before is lost.
+async def test_first_messages_are_queued_until_connected() -> None:
+    """The first request to a dispatcher is lost.
 
     Symptom: in a large group, a caller waits until its request is sent again.
-    Sequence: an instance learns of another one by others, and sends it a request.
-    Cause: the first message to a peer came before the connection, and was dropped.
+    Sequence: an instance learns of another one from relays, and sends it a request.
+    Cause: the first message to a peer is dropped before the connection is established.
     """
     received: list[str] = []
     one = await builders.start_mesh("one", [])
@@ -154,7 +154,7 @@
     await two.stop()
 
 
-async def test_what_waits_for_a_connection_is_given_up() -> None:
+async def test_queued_messages_are_dropped_after_a_timeout() -> None:
     one = await builders.start_mesh("one", [])
     one.queues_first_messages = True
     nobody = endpoint.parse("127.0.0.1:1")
@@ -166,13 +166,13 @@
     await one.stop()
 
 
-async def test_a_connection_that_fell_silent_is_made_anew() -> None:
-    """One direction between two instances stays dead, though the network is well.
+async def test_a_stalled_connection_is_re_established() -> None:
+    """One direction between two instances stays dead on a healthy network.
 
-    Symptom: one of two instances counts the other as lost, for minutes.
-    Sequence: the connection from one to the other falls silent, with bytes on their
-    way; new connections work.
-    Cause: nothing ends the silent connection, so no other one is made.
+    Symptom: one of two instances considers the other lost, for minutes.
+    Sequence: the connection from one to the other stalls with unacknowledged bytes; new
+    connections work.
+    Cause: nothing closes the stalled connection, so none replaces it.
     """
     received: list[str] = []
     one = await builders.start_mesh("one", [])
@@ -182,7 +182,7 @@
     await until(lambda: one.send(way, builders.Note(text="before")))
     await wait_for(received, "one: before")
     between.trouble = proxy.Trouble.SILENT
-    # More than all buffers on the way hold, or the proxy acknowledges everything.
+    # More than all buffers hold, or the proxy would acknowledge everything.
     for _ in range(mesh.HIGH_WATER_MARK):
         one.send(way, builders.Note(text="x" * 20_000))
     silent = set(between.writers)
@@ -195,12 +195,12 @@
     await two.stop()
 
 
-async def test_what_comes_before_the_handlers_are_named_is_kept() -> None:
-    """A starting instance finds its peers' messages unreadable.
+async def test_messages_before_handlers_are_registered_are_kept() -> None:
+    """A starting instance cannot decode its peers' messages.
 
     Symptom: warnings at each start, and the first heartbeats are lost.
     Sequence: peers know the address already and send as soon as it listens.
-    Cause: messages are taken in before the roles have named their handlers.
+    Cause: messages are received before the roles have registered their handlers.
     """
     received: list[str] = []
     one = await builders.start_mesh("one", [])
