--- a/src/tealcove/catalog/__init__.py
+++ b/src/tealcove/catalog/__init__.py
@@ -1,1 +1,1 @@
-"""What the operator and the backend servers declare, as it is in force here."""
+"""The operator's configuration and the backend servers, as in force here."""
--- a/src/tealcove/catalog/copies.py
+++ b/src/tealcove/catalog/copies.py
@@ -1,4 +1,4 @@
-"""This instance's copies of what is declared; they only move to newer revisions."""
+"""This instance's copies of the catalog; they only move to newer revisions."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Copy(abc.ABC):
-    """What is known of one topic."""
+    """The local copy of one topic."""
 
     topic: messages.Topic
 
@@ -25,33 +25,33 @@
         self.revision = NOTHING
         # Called after each change.
         self.listeners: list[Callable[[], None]] = []
-        # The copy as peers get it, until the next change.
+        # The encoded copy for peers, until the next change.
         self.packed: bytes | None = None
 
     @abc.abstractmethod
     def replace(self, page: feed.Page, now: ids.Instant) -> None:
-        """Take over all rows as of one version of the store."""
+        """Replace the copy by all rows as of one version of the store."""
 
     @abc.abstractmethod
     def apply(self, page: feed.Page, now: ids.Instant) -> None:
-        """Take in what has changed."""
+        """Apply changed rows."""
 
     @abc.abstractmethod
     def content(self, now: ids.Instant) -> object:
-        """Return all that a peer is told."""
+        """Return the whole copy in the form that is sent to peers."""
 
     @abc.abstractmethod
     def adopt(self, told: messages.Told, now: ids.Instant) -> None:
-        """Take over a peer's copy if it's newer; raises PlatformError."""
+        """Replace the copy by a peer's if that is newer; raises PlatformError."""
 
     def encode(self, now: ids.Instant) -> bytes:
-        """Return the whole copy for a peer, packed once for all of them."""
+        """Return the encoded copy, packed once for all peers."""
         if self.packed is None:
             self.packed = packing.pack(self.content(now))
         return self.packed
 
     def notify(self) -> None:
-        """Call the listeners."""
+        """Call the listeners after a change."""
         self.packed = None
         for listener in self.listeners:
             listener()
@@ -66,7 +66,7 @@
         super().__init__()
         self.key = key
         self.decode = decode
-        # Absent until the first configuration is known.
+        # None until the first configuration is known.
         self.current: lookup.Lookup | None = None
 
     def replace(self, page: feed.Page, now: ids.Instant) -> None:
@@ -80,7 +80,7 @@
                 self.put(entry.value, ids.Revision(entry.version))
 
     def put(self, content: bytes, revision: ids.Revision) -> None:
-        """Put a configuration in force, unless a newer one is."""
+        """Put an encoded configuration in force, unless a newer one is."""
         if revision <= self.revision:
             return
         try:
--- a/src/tealcove/catalog/copysender.py
+++ b/src/tealcove/catalog/copysender.py
@@ -1,4 +1,4 @@
-"""Sends copies to peers, slowly enough that requests go before them."""
+"""Sends copies to peers at a limited rate, so that requests go before them."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 
 log = logbook.Logger("catalog")
 
-# The part of the link that copies may take. A whole configuration of 1,600 routes told
-# at once to the half of 29 instances takes 1.2 s of a link of 5 Mbit/s (worked out from
-# 54 kB), and all else waits behind it: tickets, grants and callers' answers.
+# The share of the link's bandwidth for copies. A configuration of 1,600 routes (54 kB)
+# sent at once to half of 29 instances takes 1.2 s of a link of 5 Mbit/s, and all else
+# waits behind it: tickets, grants and callers' answers.
 LINK_SHARE = 0.25
-# Seconds of sending that are made up for in one pause, since shorter ones aren't kept.
+# Minimum seconds of a pause, since timers aren't accurate for shorter ones.
 MIN_PAUSE = 0.005
 
 
 class CopySender:
-    """Tells peers one after the other, each of the newest that is known by then."""
+    """Sends copies to peers one by one, each at its newest revision by then."""
 
     def __init__(
         self,
@@ -35,29 +35,29 @@
         self.members = known
         self.copies = held
         self.bytes_per_second = bytes_per_second
-        # Who is to be told of what, in order.
+        # Recipients and topics in order of sending.
         self.queue: dict[tuple[ids.InstanceId, messages.Topic], None] = {}
         self.has_queued = asyncio.Event()
         self.task: asyncio.Task[None] | None = None
-        # Seconds of the link's share that were used up and not yet waited for.
+        # Seconds of the link's share that were used and not yet paused for.
         self.unpaused_seconds = 0.0
 
     def start(self) -> None:
-        """Begin to send."""
+        """Start sending."""
         self.task = tasks.start(self.run(), "telling peers of the catalog")
 
     async def stop(self) -> None:
-        """End the task."""
+        """Stop the task."""
         if self.task is not None:
             await tasks.stop([self.task])
 
     def add(self, instance: ids.InstanceId, topic: messages.Topic) -> None:
-        """Let a peer be told when it's its turn."""
+        """Queue a copy for a peer."""
         self.queue[instance, topic] = None
         self.has_queued.set()
 
     async def run(self) -> None:
-        """Tell whoever is due, until cancelled."""
+        """Send the queued copies until cancelled."""
         while True:
             if not self.queue:
                 self.has_queued.clear()
@@ -72,7 +72,7 @@
                 await asyncio.sleep(pause)
 
     def send(self, instance: ids.InstanceId, topic: messages.Topic) -> int:
-        """Tell one peer, unless it knows already; return the bytes sent."""
+        """Send to one peer, unless it is up to date; return the bytes sent."""
         copy = self.copies[topic]
         heard = self.members.find(instance)
         if heard is None or copy.revision <= messages.revision_in(heard, topic):
@@ -80,6 +80,6 @@
         content = copy.encode(clock.now())
         told = messages.Told(topic=topic, revision=copy.revision, content=content)
         if not self.transport.send(heard.endpoint, told):
-            log.debug("{} isn't told of the {}", instance, topic.value)
+            log.debug("{} is not sent the {}", instance, topic.value)
             return 0
         return len(content)
--- a/src/tealcove/catalog/declared.py
+++ b/src/tealcove/catalog/declared.py
@@ -1,4 +1,4 @@
-"""Routes, services, client accounts and backend servers, as they are declared."""
+"""Declared routes, services, client accounts and backend servers."""
 
 from __future__ import annotations
 
@@ -11,25 +11,25 @@
 
 
 class Repeat(enum.Enum):
-    """What may be done with a request that was sent and has no whole answer."""
+    """Whether a request may be retried after an incomplete answer."""
 
-    # It may run any number of times.
+    # Idempotent: it may run any number of times.
     SAFE = "safe"
-    # It may run once; after a lost answer nobody may send it again.
+    # It may run only once; it must not be sent again after a lost answer.
     ONCE = "once"
-    # A stream: a further run may go on after the last event that was passed on.
+    # A stream: another run may resume after the last forwarded event.
     RESUMABLE = "resumable"
 
 
 class Share(msgspec.Struct, frozen=True):
-    """A service that a route leads to, and its part of the route's requests."""
+    """A target service of a route, and its weight among the targets."""
 
     service: ids.PoolId
     weight: float
 
 
 class Route(msgspec.Struct, frozen=True):
-    """Where requests of one host and path prefix go, and on what terms."""
+    """The services and limits for requests of one host and path prefix."""
 
     name: str
     host: str
@@ -37,50 +37,50 @@
     shares: tuple[Share, ...]
     repeat: Repeat
     is_stream: bool
-    # Seconds after which the caller must have a final answer.
+    # Seconds within which the caller must get a final answer.
     timeout: float
-    # Seconds to the answer, or to a stream's first event, that callers hope for.
+    # Target in seconds for the answer, or for a stream's first event.
     goal: float
-    # 0 goes first; an account's own rank goes before it.
+    # Priority, 0 is the highest; an account's rank overrides it.
     rank: int
-    # Backend servers that one request may be sent to.
+    # Maximum number of backend servers that one request is sent to.
     attempts: int
     # Whether callers need no key.
     is_public: bool = False
-    # Seconds between two events of a stream that callers put up with.
+    # Target in seconds for the gap between two events of a stream.
     gap: float = 0.0
 
 
 class Service(msgspec.Struct, frozen=True):
-    """A pool of backend servers that answer alike."""
+    """A pool of interchangeable backend servers."""
 
     name: ids.PoolId
-    # Output tokens in one event of a stream; 0: no model engines.
+    # Output tokens per event of a stream; 0 if the servers aren't model engines.
     event_tokens: int = 0
 
 
 class Account(msgspec.Struct, frozen=True):
-    """A client account: who may call, and how much."""
+    """A client account with its priority and rate limit."""
 
     name: ids.AccountId
-    # Absent: the route's rank counts.
+    # None: the route's rank applies.
     rank: int | None
-    # Absent: no limit.
+    # None: no limit.
     limit: limit.Limit | None
     # Whether the limit counts tokens; otherwise each request counts as 1.
     counts_tokens: bool = True
-    # What a request costs in tokens that names none.
+    # Tokens charged for a request that declares none.
     plain_tokens: int = 1
 
     def cost(self, tokens: int) -> int:
-        """Return what a request is charged; 0 tokens: it names none."""
+        """Return the charge for a request; 0 tokens: it declares none."""
         if not self.counts_tokens:
             return 1
         return tokens or self.plain_tokens
 
 
 class Bounds(msgspec.Struct, frozen=True):
-    """What callers may send, and how slowly; sizes in bytes, times in seconds."""
+    """Size and time limits for callers' requests, in bytes and seconds."""
 
     header_bytes: int = 16 * 1024
     body_bytes: int = 4 * 1024 * 1024
@@ -89,7 +89,7 @@
 
 
 class Catalog(msgspec.Struct, frozen=True, dict=True):
-    """A whole configuration of the operator's."""
+    """The operator's whole configuration."""
 
     routes: tuple[Route, ...] = ()
     services: tuple[Service, ...] = ()
@@ -100,7 +100,7 @@
 
 
 class ServerState(enum.Enum):
-    """What a backend server says of itself."""
+    """The state that a backend server reports."""
 
     READY = "ready"
     LEAVING = "leaving"
@@ -114,9 +114,9 @@
     host: str
     port: int
     data_centre: ids.DataCentreId
-    # Requests that it works on at once.
+    # Maximum number of concurrent requests.
     slots: int
     state: ServerState
     start: ids.ServerStart = ids.NO_START
-    # Of its software.
+    # Software version.
     version: str = ""
--- a/src/tealcove/catalog/follower.py
+++ b/src/tealcove/catalog/follower.py
@@ -1,4 +1,4 @@
-"""The tasks that keep a copy up to date from the store."""
+"""Keeps a copy up to date with a table of the store."""
 
 from __future__ import annotations
 
@@ -14,34 +14,34 @@
 
 log = logbook.Logger("catalog")
 
-# Seconds from the beginning of one try to the next while the store fails: short enough
-# for a change to be in force well within the 2 s after an outage, and doubled so that
-# an outage of 5 s costs some ten calls for each instance. The next try doesn't wait for
-# longer because the one before it hung.
+# Seconds from the start of one attempt to the next while the store fails: short enough
+# for a change to be in force well within 2 s after an outage, and doubled so that an
+# outage of 5 s takes some ten calls per instance. A hanging attempt doesn't lengthen
+# the interval.
 FIRST_RETRY_SECONDS = 0.2
 MAX_RETRY_SECONDS = 0.8
-# Seconds between a failure and the next try at the least.
+# Minimum seconds between a failure and the next attempt.
 MIN_PAUSE = 0.05
-# Seconds for which the store has to fail before others follow it in this instance's
-# place: two tries.
+# Seconds of failures after which other instances follow the store in this one's place:
+# two attempts.
 STORE_LOST_SECONDS = 0.4
-# Seconds for which an answer may be on its way before it's no longer counted on.
+# Seconds after which an answer that is still being received is not waited for.
 RECEIVING_SECONDS = 2.0
 
 
 class Pace(msgspec.Struct, frozen=True):
-    """How often one table is asked for; in seconds."""
+    """How often one table is polled, in seconds."""
 
-    # For how long the store may hold a question. Each one is paid for; it's also how
-    # long a store stays unnoticed that takes questions and never answers.
+    # Long-poll timeout. Each call is paid for; it is also the time until a store that
+    # accepts calls and never answers is detected.
     wait: float
-    # After a change before the next question, for tables whose changes come in groups:
-    # what changes meanwhile is one answer.
+    # Pause after a change before the next poll, for tables whose changes come in
+    # groups: one answer holds all changes meanwhile.
     gather: float = 0.0
 
 
 class Follower:
-    """Reads one table whole, then follows its changes."""
+    """Reads a whole table, then follows its changes."""
 
     def __init__(
         self,
@@ -54,15 +54,15 @@
         self.table = table
         self.copy = copy
         self.pace = pace
-        # The version to go on from; absent: the table must be read whole.
+        # The version to continue from; None: the whole table must be read.
         self.version: int | None = None
         self.failing_since: ids.Instant | None = None
         self.pause = FIRST_RETRY_SECONDS
-        # Since when an answer has been coming in.
+        # Since when an answer is being received.
         self.receiving_since: ids.Instant | None = None
 
     async def run(self) -> None:
-        """Follow until cancelled, from what the copy holds."""
+        """Follow from the copy's revision until cancelled."""
         self.version = int(self.copy.revision) or None
         self.failing_since = None
         self.pause = FIRST_RETRY_SECONDS
@@ -94,9 +94,9 @@
                 self.table, self.version, wait, self.note_receiving
             )
         finally:
-            # Also of a refusal: were it still awaited in the pause after it, an
-            # instance that the store turns away would ask no peer, and send requests
-            # to servers that left 2 s ago.
+            # Also after a refusal: if it still counted as an answer in the pause, an
+            # instance that the store refuses would ask no peer, and send requests to
+            # servers that left 2 s ago.
             self.receiving_since = None
         self.note_success(clock.now())
         self.copy.apply(page, clock.now())
@@ -105,32 +105,34 @@
             await asyncio.sleep(pace.gather)
 
     def note_receiving(self) -> None:
-        """Remember that an answer is on its way."""
+        """Record that an answer is being received."""
         self.receiving_since = clock.now()
 
     def is_receiving(self, now: ids.Instant) -> bool:
-        """Tell whether an answer is on its way, and likely to come to its end."""
+        """Return whether an answer is being received and likely to complete."""
         since = self.receiving_since
         return since is not None and now - since < RECEIVING_SECONDS
 
     def is_store_lost(self, now: ids.Instant) -> bool:
-        """Tell whether the store has failed for so long that others should follow."""
+        """Return whether the store has failed long enough for others to follow."""
         since = self.failing_since
         return since is not None and now - since >= STORE_LOST_SECONDS
 
     def note_failure(self, error: errors.PlatformError, now: ids.Instant) -> None:
-        """Remember since when the store is out of reach."""
+        """Record the start of an outage of the store."""
         if self.failing_since is None:
             self.failing_since = now
-            log.warning("the store is lost for {}: {}", self.table, error)
+            log.warning("the store is unreachable for {}: {}", self.table, error)
 
     def note_success(self, now: ids.Instant) -> None:
-        """Note that the store answers, and after an outage tell the copy."""
+        """Record a successful call, and after an outage inform the copy."""
         self.pause = FIRST_RETRY_SECONDS
         if self.failing_since is None:
             return
         seconds = now - self.failing_since
-        log.info("the store is back for {} after {:.1f} s", self.table, seconds)
+        log.info(
+            "the store is reachable again for {} after {:.1f} s", self.table, seconds
+        )
         self.failing_since = None
         if isinstance(self.copy, serverlist.ServersCopy):
             self.copy.note_outage_ended(now)
--- a/src/tealcove/catalog/following.py
+++ b/src/tealcove/catalog/following.py
@@ -1,4 +1,4 @@
-"""Which instances follow the store, and when this one does."""
+"""Selection of the instances that follow the store."""
 
 from __future__ import annotations
 
@@ -12,30 +12,29 @@
 
 log = logbook.Logger("catalog")
 
-# Instances of each data centre that follow the store in a large group, and tell the
-# others. Where all follow, each change of a server is paid for once an instance, and a
-# whole configuration comes to each of them over its own link, six times as large as
-# packed for a peer.
-# Any one of them may fail at any moment without a gap.
+# Instances of each data centre that follow the store in a large group, and send copies
+# to the others. Where all follow, each change of a server is paid for once per
+# instance, and each of them reads a whole configuration over its own link, six times as
+# large as packed for a peer. One follower may fail at any moment without a gap.
 FOLLOWERS = 2
-# Seconds between two looks at who should follow.
+# Seconds between two reviews of whether this instance should follow.
 REVIEW_INTERVAL = 0.25
-# Seconds without a word from any follower of its data centre after which an instance
-# follows by itself. Relays tell of each other every .5 s. It mustn't wait until the
-# followers count as lost: with the time that peers are asked in vain that comes to more
-# than a change may take to be in force.
+# Seconds of silence of all followers of its data centre after which an instance follows
+# the store itself. Relays send digests every .5 s. Waiting until the followers are
+# suspect, plus the time for unanswered requests to peers, would exceed the time in
+# which a change must be in force.
 FOLLOWERS_SILENT_SECONDS = 1.0
-# Seconds for which an instance goes on following when it's no longer its turn, so that
-# whoever takes over has begun. While many instances start, all follow until they know
-# of each other, and each change of a server is a call of each.
+# Seconds for which an instance goes on following when it is no longer selected, so that
+# its successor has started. It is short: while many instances start, all follow until
+# they know each other, and each change of a server takes a call of each.
 HANDOVER_SECONDS = 0.5
-# Seconds for which an instance follows for itself when peers haven't answered, and for
-# which one whom the store has failed leaves it to others.
+# Seconds for which an instance follows the store itself when peers haven't answered,
+# and for which one that lost the store leaves following to others.
 DIRECT_SECONDS = 5.0
 
 
 class Following:
-    """Starts and ends this instance's followers."""
+    """Starts and stops this instance's followers."""
 
     def __init__(
         self, known: members.Members, followers: tuple[follower.Follower, ...]
@@ -45,31 +44,31 @@
         self.tasks: list[asyncio.Task[None]] = []
         self.review_task: asyncio.Task[None] | None = None
         self.wanted_at = ids.Instant(0.0)
-        # Until when this instance follows whatever its place is; and since when it has
-        # said that the store fails it.
+        # Until when this instance follows whatever its rank is; and when it last found
+        # the store unreachable.
         self.direct_until = ids.Instant(0.0)
         self.store_lost_at: ids.Instant | None = None
 
     def start(self) -> None:
-        """Begin to follow; the first look at the group comes later."""
+        """Start following; the first review of the group comes later."""
         self.start_followers(clock.now())
         self.review_task = tasks.start(
             self.review_periodically(), "who follows the store"
         )
 
     async def stop(self) -> None:
-        """End all tasks."""
+        """Stop all tasks."""
         if self.review_task is not None:
             await tasks.stop([self.review_task, *self.tasks])
 
     async def review_periodically(self) -> None:
-        """Look again and again at who should follow, until cancelled."""
+        """Review periodically whether to follow, until cancelled."""
         while True:
             await asyncio.sleep(REVIEW_INTERVAL)
             self.review(clock.now())
 
     def review(self, now: ids.Instant) -> None:
-        """Follow, or leave it to others."""
+        """Start or stop the followers, by the current membership."""
         self.update_reaches_store(now)
         if self.is_wanted(now):
             self.start_followers(now)
@@ -77,34 +76,36 @@
             self.stop_followers()
 
     def start_followers(self, now: ids.Instant) -> None:
-        """Follow from now on."""
+        """Start the followers, unless they are running."""
         self.wanted_at = now
         if self.tasks:
             return
         if self.review_task is not None:
-            log.info("follows the store for {}", self.members.own.data_centre)
+            log.info("following the store for {}", self.members.own.data_centre)
         self.tasks = [
             tasks.start(one.run(), f"follower of {one.table}") for one in self.followers
         ]
 
     def stop_followers(self) -> None:
-        """Leave it to others; an open question to the store is given up."""
-        log.info("leaves the store to {}", ", ".join(self.chosen(clock.now())))
+        """Stop the followers; an open call to the store is cancelled."""
+        log.info(
+            "leaving following the store to {}", ", ".join(self.chosen(clock.now()))
+        )
         for task in self.tasks:
             task.cancel()
         self.tasks = []
 
     def is_wanted(self, now: ids.Instant) -> bool:
-        """Tell whether this instance should follow the store.
+        """Return whether this instance should follow the store.
 
-        Nothing else bounds the age of what it knows: relays, followers and the peers
-        that it would ask may fail together.
+        Nothing else bounds the age of its copies: relays, followers and the peers that
+        it would ask may fail together.
         """
         own = self.members.own
         if not self.members.is_large() or now < self.direct_until:
             return True
         if own.lifecycle is not messages.Lifecycle.SERVING:
-            # It knows nothing yet, or nobody counts on it any more.
+            # It has no copy yet, or no longer serves.
             return own.lifecycle is messages.Lifecycle.JOINING
         chosen = self.chosen(now)
         return own.instance in chosen or not any(
@@ -113,10 +114,10 @@
         )
 
     def chosen(self, now: ids.Instant) -> list[ids.InstanceId]:
-        """Return who follows for this data centre, by what is known here.
+        """Return the followers of this data centre, by the local membership.
 
-        First those whom the store doesn't fail, then those with the fastest links: a
-        whole configuration goes from each of them to half of its data centre.
+        Instances that reach the store go first, then those with the fastest links: each
+        follower sends a whole configuration to half of its data centre.
         """
         own = self.members.own.data_centre
         near = [beat for beat in self.members.serving(now) if beat.data_centre == own]
@@ -127,15 +128,15 @@
         return ranking.rank_by_strength(f"followers of {own}", link_classes)[:FOLLOWERS]
 
     def follow_directly(self, now: ids.Instant) -> None:
-        """Follow for a while, since no peer has told what others know."""
+        """Follow the store for a while, after peers have not answered."""
         self.direct_until = ids.Instant(now + DIRECT_SECONDS)
         self.start_followers(now)
 
     def update_reaches_store(self, now: ids.Instant) -> None:
-        """Let heartbeats say whether the store fails this instance.
+        """Update the heartbeat's flag for whether this instance reaches the store.
 
-        It says so until it hasn't followed for a while: nobody follows for long whom
-        the store turns away, and nobody is left out for ever.
+        It stays cleared until the instance has not followed for a while: an instance
+        that the store refuses does not follow for long, and none is excluded for ever.
         """
         is_store_lost = bool(self.tasks) and any(
             one.is_store_lost(now) for one in self.followers
@@ -151,7 +152,7 @@
             self.members.update_own(reaches_store=reaches)
 
     def is_receiving(self, wanted: copies.Copy, now: ids.Instant) -> bool:
-        """Tell whether the store's answer about a copy is on its way."""
+        """Return whether the store's answer for a copy is being received."""
         return bool(self.tasks) and any(
             one.copy is wanted and one.is_receiving(now) for one in self.followers
         )
--- a/src/tealcove/catalog/lookup.py
+++ b/src/tealcove/catalog/lookup.py
@@ -9,7 +9,7 @@
 
 
 class Lookup:
-    """A catalog, arranged to be asked for each request."""
+    """A catalog indexed for lookups per request."""
 
     def __init__(self, catalog: declared.Catalog, revision: ids.Revision) -> None:
         self.catalog = catalog
@@ -17,8 +17,8 @@
         self.services = {service.name: service for service in catalog.services}
         self.accounts = {account.name: account for account in catalog.accounts}
         self.has_tiers = any(one.rank is not None for one in catalog.accounts)
-        # By host, then by prefix: a request asks for each prefix of its own path,
-        # so that the cost doesn't grow with the number of routes.
+        # By host, then by prefix: a lookup tries each prefix of the request's path, so
+        # its cost doesn't grow with the number of routes.
         self.routes: dict[str, dict[str, declared.Route]] = collections.defaultdict(
             dict
         )
@@ -28,7 +28,7 @@
     def find_route(self, host: str, path: str) -> declared.Route | None:
         """Return the route with the longest prefix of a path, or None.
 
-        `host` may carry a port, which doesn't count.
+        A port in `host` is ignored.
         """
         found = self.routes.get(host.partition(":")[0].lower())
         if not found:
--- a/src/tealcove/catalog/messages.py
+++ b/src/tealcove/catalog/messages.py
@@ -1,4 +1,4 @@
-"""Messages by which instances pass on what is declared."""
+"""Messages with which instances exchange the catalog."""
 
 from __future__ import annotations
 
@@ -10,21 +10,21 @@
 
 
 class Topic(enum.Enum):
-    """What is passed on."""
+    """The parts of the catalog that are exchanged."""
 
     CONFIGURATION = "configuration"
     SERVERS = "servers"
 
 
 class Ask(message.Message):
-    """Asks a peer for what it has, if that is newer than a revision."""
+    """Requests a peer's copy of a topic, if it is newer than a revision."""
 
     topic: Topic
     since: ids.Revision
 
 
 class Told(message.Message):
-    """All that a peer has of a topic, at its revision; see catalog.copies."""
+    """A peer's whole copy of a topic at its revision; see catalog.copies."""
 
     topic: Topic
     revision: ids.Revision
@@ -33,7 +33,7 @@
 
 
 def revision_in(heartbeat: membership_messages.Heartbeat, topic: Topic) -> ids.Revision:
-    """Return the revision of a topic that an instance says it has."""
+    """Return the revision of a topic that a heartbeat reports."""
     if topic is Topic.CONFIGURATION:
         return heartbeat.revision
     return heartbeat.servers_revision
--- a/src/tealcove/catalog/pools.py
+++ b/src/tealcove/catalog/pools.py
@@ -1,4 +1,4 @@
-"""The backend servers as pools, in the form that dispatching takes."""
+"""The backend servers grouped in pools, as the dispatcher uses them."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 
 class Pools:
-    """Pools by service; each is made anew only when its servers have changed."""
+    """Pools by service; each is rebuilt only when its servers have changed."""
 
     def __init__(self, servers: serverlist.ServersCopy) -> None:
         self.servers = servers
         self.found: dict[str, kinds.Resource] = {}
 
     def refresh(self) -> None:
-        """Take over the servers as they are now."""
+        """Rebuild the pools whose servers have changed."""
         by_service = self.servers.by_service()
         for service in set(self.found) | set(by_service):
             spec = spec_of(by_service.get(service, []))
@@ -27,26 +27,26 @@
 
     @property
     def current(self) -> Pools:
-        """The pools now; see dispatch.spread.PoolsOwner."""
+        """The current pools; see dispatch.spread.PoolsOwner."""
         return self
 
     def pool(self, name: str) -> kinds.Resource | None:
-        """Return a service's pool; None when it never had a server."""
+        """Return a service's pool, or None if it never had a server."""
         return self.found.get(name)
 
     def has_left(
         self, name: str, server: ids.BackendServerId, revision: ids.Revision
     ) -> bool:
-        """Tell whether a server is known to have left.
+        """Return whether a server is known to be leaving or gone.
 
-        Not by the revision: a dispatcher may keep a server that has lapsed for it, at
-        a newer one.
+        The revision is ignored: a dispatcher at a newer one may keep a server whose
+        entry has lapsed there.
         """
         return self.servers.has_left(server)
 
 
 def spec_of(found: list[declared.BackendServer]) -> kinds.ServicePoolSpec:
-    """Return the spec of a pool of some servers, in order of name."""
+    """Return the spec of a pool of servers, sorted by name."""
     servers = tuple(
         kinds.BackendServerSpec(
             name=server.name,
@@ -64,7 +64,7 @@
 
 
 def state_of(server: declared.BackendServer) -> kinds.ServerState:
-    """Return whether a server may get work."""
+    """Return the pool state of a server: leaving or serving."""
     if server.state is declared.ServerState.LEAVING:
         return kinds.ServerState.LEAVING
     return kinds.ServerState.SERVING
--- a/src/tealcove/catalog/serverlist.py
+++ b/src/tealcove/catalog/serverlist.py
@@ -13,39 +13,39 @@
 
 log = logbook.Logger("catalog")
 
-# After the store was out of reach, servers whose entries had lapsed write them
-# anew within about this many seconds; until then they count as still there.
+# After an outage of the store, servers whose entries have expired write them again
+# within about this many seconds; until then they are kept.
 LAPSE_SECONDS = 2.0
-# Dropped servers whose version is remembered, so that an old row can't bring one back.
+# Dropped servers whose version is kept, so that an old row can't restore one.
 MAX_DROPPED = 4000
-# Changes of servers that one line of the log tells of, the others are counted.
+# Changes of servers listed in one log line; further ones are only counted.
 MAX_LOGGED_CHANGES = 10
 
 
 class Known(msgspec.Struct, frozen=True):
-    """A server's entry and the version at which it became so."""
+    """A server's entry and the version of its row."""
 
     server: declared.BackendServer
     version: int
 
 
 class Lapse(msgspec.Struct, frozen=True, array_like=True):
-    """A server whose entry lapsed in an outage, and may come back."""
+    """A server whose entry expired in an outage, and may be written again."""
 
     name: ids.BackendServerId
-    # Seconds that are left for that.
+    # Seconds that remain for that.
     seconds: float
 
 
 class ServersSnapshot(msgspec.Struct, frozen=True):
-    """All that a peer knows of the servers."""
+    """The whole list of servers as sent to a peer."""
 
     known: tuple[Known, ...]
     lapsed: tuple[Lapse, ...]
 
 
 class ServersCopy(copies.Copy):
-    """The backend servers that have an entry, or had one a moment ago."""
+    """The backend servers with an entry or with a recently expired one."""
 
     topic = messages.Topic.SERVERS
 
@@ -54,19 +54,19 @@
         self.decode = decode
         self.known: dict[ids.BackendServerId, Known] = {}
         self.dropped: dict[ids.BackendServerId, int] = {}
-        # Keys of entries that can't be read, each logged once.
+        # Keys of entries that can't be decoded, each logged once.
         self.unreadable: set[ids.BackendServerId] = set()
-        # Servers whose entries lapsed while the store was out of reach, and until
-        # when they count as there all the same.
+        # Servers whose entries expired during an outage of the store, and until when
+        # they are kept.
         self.lapsed: dict[ids.BackendServerId, ids.Instant] = {}
         self.outage_ended = ids.Instant(float("-inf"))
-        # What has changed since the last line of the log.
+        # Changes since the last log line.
         self.changes: list[str] = []
 
     def notify(self) -> None:
-        """See Copy; also log what has changed, in one line a revision.
+        """See Copy; also log the changes, in one line per revision.
 
-        With a line for each server, lines of requests would be dropped among them in
+        With one line per server, the log's rate limit would drop lines of requests in
         the first seconds of a large group.
         """
         changes, self.changes = self.changes, []
@@ -83,7 +83,7 @@
         super().notify()
 
     def note_outage_ended(self, now: ids.Instant) -> None:
-        """Remember that the store is in reach again."""
+        """Record the end of an outage of the store."""
         self.outage_ended = now
 
     def replace(self, page: feed.Page, now: ids.Instant) -> None:
@@ -104,7 +104,7 @@
         self.notify()
 
     def apply_entries(self, page: feed.Page, now: ids.Instant) -> None:
-        """Take in rows, each unless a newer one of its key is known."""
+        """Apply each row, unless a newer one of its key is known."""
         for entry in page.entries:
             name = ids.BackendServerId(entry.key)
             if entry.version <= self.version_of(name):
@@ -123,26 +123,26 @@
     def drop_missing(
         self, present: set[ids.BackendServerId], version: int, now: ids.Instant
     ) -> None:
-        """Let go of the servers that a whole list of some version doesn't have."""
+        """Drop the servers that are missing in the whole list of a version."""
         for name in [name for name in self.known if name not in present]:
             if self.known[name].version <= version:
                 self.drop(name, version, now)
 
     def version_of(self, name: ids.BackendServerId) -> int:
-        """Return the version of the newest row that is known of a server."""
+        """Return the version of the newest known row of a server."""
         known = self.known.get(name)
         dropped = self.dropped.get(name, 0)
         return dropped if known is None else max(known.version, dropped)
 
     def has_left(self, name: ids.BackendServerId) -> bool:
-        """Tell whether a server leaves or is gone; False where none is known."""
+        """Return whether a server is leaving or gone; False if it is unknown."""
         known = self.known.get(name)
         if known is None:
             return name in self.dropped
         return known.server.state is declared.ServerState.LEAVING
 
     def put(self, known: Known) -> None:
-        """Take over an entry."""
+        """Store a server's entry."""
         server = known.server
         before = self.known.get(server.name)
         self.lapsed.pop(server.name, None)
@@ -156,21 +156,20 @@
     def forget(
         self, name: ids.BackendServerId, version: int, error: errors.PlatformError
     ) -> None:
-        """Let go at once of a server whose entry can't be read.
+        """Drop at once a server whose entry can't be decoded.
 
-        It names no server any more: requests would go to an address that was
-        overwritten, maybe because another server has it now. Nor does it lapse, since
-        somebody has written it.
+        Its last address was overwritten and may belong to another server now. There is
+        no time to come back either, since the entry was written and did not expire.
         """
         self.note_dropped(name, version)
         self.lapsed.pop(name, None)
         was_known = self.known.pop(name, None) is not None
-        # Its writer may repeat it several times a second.
+        # Its writer may repeat the write several times a second.
         if name in self.unreadable or len(self.unreadable) >= MAX_DROPPED:
             return
         self.unreadable.add(name)
         log.error(
-            "the entry of {} names no server, {} before, version {}: {}",
+            "cannot decode the entry of {}, {} before, version {}: {}",
             name,
             "one" if was_known else "none",
             version,
@@ -178,17 +177,17 @@
         )
 
     def note_dropped(self, name: ids.BackendServerId, version: int) -> None:
-        """Remember up to which version rows of a server are old."""
+        """Record the version up to which a server's rows are outdated."""
         self.dropped[name] = version
         if len(self.dropped) > MAX_DROPPED:
             del self.dropped[next(iter(self.dropped))]
 
     def drop(self, name: ids.BackendServerId, version: int, now: ids.Instant) -> None:
-        """Let go of a server, at once or when it has had time to come back.
+        """Drop a server, at once or after it had time to write its entry again.
 
-        While the store is out of reach, servers can't renew their entries. The
-        store drops these entries although their servers live: dropped here too,
-        a whole service would seem gone for the first seconds after an outage.
+        During an outage of the store, servers can't renew their entries, and the store
+        drops them although the servers are alive: if they were dropped here too, a
+        whole service would seem gone for the first seconds after an outage.
         """
         self.note_dropped(name, version)
         self.unreadable.discard(name)
@@ -206,11 +205,11 @@
         self.changes.append(f"{name} is gone")
 
     def expire_lapses(self, now: ids.Instant) -> None:
-        """Let go of the lapsed servers that haven't come back in time."""
+        """Drop the lapsed servers whose entries were not written again in time."""
         due = [name for name, until in self.lapsed.items() if until <= now]
         for name in due:
             del self.lapsed[name]
-            # A peer that gives it longer mustn't bring it back.
+            # A peer that keeps it for longer must not restore it.
             self.note_dropped(name, self.version_of(name))
             del self.known[name]
             self.changes.append(f"{name} is gone: its entry didn't come back")
@@ -218,7 +217,7 @@
             self.notify()
 
     def encode(self, now: ids.Instant) -> bytes:
-        """See Copy; what is left of a lapse is less each time."""
+        """See Copy; repacked while the remaining seconds of lapses change."""
         if self.lapsed:
             self.packed = None
         return super().encode(now)
@@ -246,12 +245,12 @@
         self.notify()
 
     def adopt_lapse(self, lapse: Lapse, now: ids.Instant) -> None:
-        """Give a server what is left of the time that the peer gives it."""
+        """Keep a lapsed server for the seconds that remain at the peer."""
         if lapse.name in self.known:
             self.lapsed.setdefault(lapse.name, ids.Instant(now + lapse.seconds))
 
     def by_service(self) -> dict[ids.PoolId, list[declared.BackendServer]]:
-        """Return all servers by the service that they are of."""
+        """Return all servers by service."""
         found: dict[ids.PoolId, list[declared.BackendServer]] = {}
         for known in self.known.values():
             found.setdefault(known.server.service, []).append(known.server)
--- a/src/tealcove/catalog/sharing.py
+++ b/src/tealcove/catalog/sharing.py
@@ -1,4 +1,4 @@
-"""Passes what is declared on to peers that don't have it from the store."""
+"""Exchange of catalog copies between instances."""
 
 from __future__ import annotations
 
@@ -15,36 +15,36 @@
 
 log = logbook.Logger("catalog")
 
-# Seconds for which an instance waits for the store, or for who follows it, after it has
-# heard of a newer revision: the store's own answer takes some milliseconds, and so does
-# a peer's.
+# Seconds for which an instance waits for the store, or for an instance that follows it,
+# after a heartbeat announced a newer revision: an answer of the store takes some
+# milliseconds, and so does a peer's.
 STORE_PATIENCE = 0.15
-# The same where others follow the store in its place: they tell one after the other,
-# 20 instances of 54 kB in .35 s on a link of 100 Mbit/s (worked out).
+# The same where other instances follow the store: they send copies one by one, 54 kB to
+# each of 20 instances in .35 s on a link of 100 Mbit/s.
 PUSH_PATIENCE = 0.6
-# Seconds until a peer that was asked counts as silent, and another one is asked: it
-# sends copies to others first, within a share of its link.
+# Seconds until a request to a peer times out and another peer is asked: the peer may
+# send copies to others first, within a share of its link.
 ANSWER_SECONDS = 0.5
-# Peers that are asked in vain before the store is asked instead.
+# Unanswered requests to peers before the store is asked instead.
 MAX_UNANSWERED = 1
 
 
 class Missing(msgspec.Struct):
-    """A revision that peers know and this instance doesn't."""
+    """A revision that peers have and this instance does not."""
 
     revision: ids.Revision
     timer: asyncio.TimerHandle
-    # Who was asked for it.
+    # Peers that were asked for it.
     asked: tuple[ids.InstanceId, ...] = ()
 
 
 class Sharing:
-    """Tells peers what the store has told, and asks one that knows more.
+    """Sends newer copies to peers, and requests them from peers that have them.
 
-    An instance that doesn't follow the store is told by one that does. What it misses
-    it finds by the heartbeats, which name their senders' revisions. Asking costs bytes
-    on links of 5 Mbit/s: nobody asks while an answer is on its way, and each asks one
-    peer at a time, near ones and by hash, so that those who miss the same ask all.
+    An instance that doesn't follow the store gets copies from one that does, and
+    detects missed ones by the revisions in heartbeats. Requests cost bytes on links of
+    5 Mbit/s: none is sent while an answer is being received, and each instance asks one
+    peer at a time, near ones first and by hash, which spreads the load over all peers.
     """
 
     def __init__(
@@ -67,7 +67,7 @@
         self.missing: dict[messages.Topic, Missing] = {}
 
     def start(self) -> None:
-        """Begin to tell, to compare, to ask and to answer."""
+        """Register the handlers and listeners, and start sending."""
         self.transport.handle(messages.Ask, self.handle_ask)
         self.transport.handle(messages.Told, self.handle_told)
         self.heartbeats.listeners.append(self.compare)
@@ -78,13 +78,13 @@
         self.sender.start()
 
     async def stop(self) -> None:
-        """End all tasks."""
+        """Stop all tasks."""
         for missing in self.missing.values():
             missing.timer.cancel()
         await self.sender.stop()
 
     def announce_configuration(self) -> None:
-        """Tell all peers at once: a key that was taken away counts everywhere soon."""
+        """Announce a revision to all peers at once, so that revoked keys stop soon."""
         self.note_progress(messages.Topic.CONFIGURATION)
         revision = self.copies[messages.Topic.CONFIGURATION].revision
         if self.members.own.revision != revision:
@@ -93,10 +93,10 @@
             self.heartbeats.broadcast()
 
     def note_servers(self) -> None:
-        """Tell who counts on it, and let the next heartbeats say it to all.
+        """Send the servers to the data centre; the next heartbeats announce them.
 
-        Told at once to all peers, 33 servers that started within 4 s among 63
-        instances made 129,000 heartbeats.
+        Immediate announcements to all peers took 129,000 heartbeats for 33 servers that
+        started within 4 s among 63 instances.
         """
         self.note_progress(messages.Topic.SERVERS)
         revision = self.copies[messages.Topic.SERVERS].revision
@@ -105,7 +105,7 @@
             self.members.update_own(servers_revision=revision)
 
     def send_to_data_centre(self, topic: messages.Topic, now: ids.Instant) -> None:
-        """Tell this follower's part of its data centre."""
+        """Queue a copy for this follower's share of its data centre."""
         if not self.members.is_large():
             return
         own = self.members.own
@@ -122,7 +122,7 @@
             self.sender.add(instance, topic)
 
     def compare(self, heartbeat: membership_messages.Heartbeat) -> None:
-        """Ask a peer soon, if one knows more and nobody has told it by then."""
+        """Schedule a request if a heartbeat announces a newer revision."""
         for topic, copy in self.copies.items():
             revision = messages.revision_in(heartbeat, topic)
             if revision <= copy.revision:
@@ -135,11 +135,11 @@
             self.missing[topic] = Missing(revision, self.schedule(topic, patience))
 
     def note_progress(self, topic: messages.Topic) -> None:
-        """Note that a copy has moved on: what is still missing is asked for anew.
+        """Reschedule the request for a missing revision after a copy has advanced.
 
-        Were it left to the timer of the question before, an instance that the store
-        turns away would lag by up to 1.00 s behind changes that come every .3 s, in
-        place of .64 s (virtual time), and send requests to servers that have left.
+        With the timer of the request before, an instance that the store refuses would
+        lag by up to 1.00 s behind changes that come every .3 s, in place of .64 s
+        (virtual time), and send requests to servers that have left.
         """
         missing = self.missing.get(topic)
         if missing is None:
@@ -152,12 +152,12 @@
         missing.timer = self.schedule(topic, STORE_PATIENCE)
 
     def schedule(self, topic: messages.Topic, seconds: float) -> asyncio.TimerHandle:
-        """Look again at what is missing."""
+        """Schedule a request for a missing revision."""
         loop = asyncio.get_running_loop()
         return loop.call_later(seconds, self.request_missing, topic)
 
     def request_missing(self, topic: messages.Topic) -> None:
-        """Ask a peer, unless the copy has caught up or is about to."""
+        """Ask a peer, unless the copy has caught up or is being received."""
         now = clock.now()
         copy = self.copies[topic]
         missing = self.missing[topic]
@@ -176,13 +176,15 @@
             return
         missing.asked = (*missing.asked, chosen)
         peer = self.members.endpoint_of(chosen)
-        log.info("ask {} for the {} after {}", chosen, topic.value, copy.revision)
+        log.info(
+            "asking {} for the {} after revision {}", chosen, topic.value, copy.revision
+        )
         self.transport.send(peer, messages.Ask(topic=topic, since=copy.revision))
 
     def choose(
         self, topic: messages.Topic, missing: Missing, now: ids.Instant
     ) -> ids.InstanceId | None:
-        """Return whom to ask: who knows it, the near ones first, spread by hash."""
+        """Return the peer to ask: one with the revision, near ones first, by hash."""
         own = self.members.own
         knowing = {
             beat.instance: int(beat.data_centre == own.data_centre)
@@ -194,13 +196,13 @@
         return ranked[0] if ranked else None
 
     def handle_ask(self, sender: ids.InstanceId, ask: messages.Ask) -> None:
-        """Send what is here when it's the sender's turn, if it's newer."""
+        """Queue the copy for the sender, if it is newer than the sender's."""
         if self.copies[ask.topic].revision > ask.since:
             self.sender.add(sender, ask.topic)
 
     def handle_told(self, sender: ids.InstanceId, told: messages.Told) -> None:
-        """Take over a peer's copy."""
+        """Adopt a peer's copy."""
         try:
             self.copies[told.topic].adopt(told, clock.now())
         except errors.PlatformError as error:
-            log.error("from {}: {}", sender, error)
+            log.error("cannot adopt a copy from {}: {}", sender, error)
--- a/src/tealcove/catalog/tests/builders.py
+++ b/src/tealcove/catalog/tests/builders.py
@@ -1,4 +1,4 @@
-"""A group of instances in virtual time, with a store and links of some width."""
+"""A group of instances in virtual time, with a store and links of some bandwidth."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 KEY = "config"
 CONFIGURATION_TABLE = "declared"
 SERVERS_TABLE = "servers"
-# The way between any two, in seconds.
+# The network delay between any two instances, in seconds.
 WAY = 0.002
-# Heartbeats reach all others within two beats by way of the relays.
+# The interval of heartbeats, which reach all others within two by way of the relays.
 BEAT = 0.25
 ANSWER_SECONDS = 0.005
-# Until the living hear each other again after all relays have died: the time for which
-# relays may be silent, a look, and a beat to everyone.
+# Seconds until live instances receive each other's heartbeats after all relays have
+# died: the silence timeout of relays, a check, and a heartbeat to every peer.
 RELAYS_REPLACED = 1.75
 LINKS = (5.0, 10.0, 20.0, 50.0, 100.0)
 BYTES_IN_MBIT = 1_000_000 / 8
@@ -37,7 +37,7 @@
 
 
 def big_configuration(routes: int, seed: int) -> bytes:
-    """Return a configuration with many routes, as an operator writes it."""
+    """Return an encoded configuration with many routes."""
     source = random.Random(seed)
 
     def word(length: int) -> str:
@@ -64,7 +64,7 @@
 
 
 class Network:
-    """Carries messages over the links of both ends, one after the other on each."""
+    """Carries messages over the links of both ends, one at a time on each."""
 
     def __init__(self, widths: list[float]) -> None:
         self.widths = [width * BYTES_IN_MBIT for width in widths]
@@ -73,22 +73,22 @@
             for number, way in itertools.product(range(len(widths)), ("up", "down"))
         }
         self.dead: set[int] = set()
-        # Instances that neither hear others nor are heard, but reach the store.
+        # Instances that are disconnected from all others, but reach the store.
         self.alone: set[int] = set()
 
     def carry(self, number: int, way: str, size: float, since: float) -> float:
-        """Return when bytes have passed a link that they reach at a time."""
+        """Return when bytes that enter a link at `since` have passed it."""
         begun = max(since, self.free[number, way])
         self.free[number, way] = begun + size / self.widths[number]
         return self.free[number, way]
 
     def arrival(self, sender: int, receiver: int, size: float) -> float:
-        """Return when bytes from one instance are at another."""
+        """Return when bytes from one instance arrive at another."""
         gone = self.carry(sender, "up", size, clock.now())
         return self.carry(receiver, "down", size, gone) + WAY
 
-    def parts(self, one: int, other: int) -> bool:
-        """Tell whether two instances don't reach each other."""
+    def separates(self, one: int, other: int) -> bool:
+        """Return whether two instances can't reach each other."""
         if one == other:
             return False
         return bool({one, other} & (self.dead | self.alone))
@@ -139,17 +139,17 @@
         return await self.answer(since, paid=True)
 
     async def admit(self) -> None:
-        """Take a call; raises PlatformUnavailableError."""
+        """Accept a call; raises PlatformUnavailableError."""
         await asyncio.sleep(ANSWER_SECONDS)
         self.check()
 
     def check(self) -> None:
-        """Break off a call that the store doesn't serve."""
+        """Raise PlatformUnavailableError if the store refuses calls or is down."""
         if self.refuses or self.table.is_down:
             raise unavailable()
 
     async def answer(self, since: int, paid: bool = False) -> feed.Page:
-        """Return rows when they have come over the link."""
+        """Return the rows when the link has carried them."""
         if not paid:
             self.table.calls += 1
             await self.admit()
@@ -167,7 +167,7 @@
 
 
 class Table:
-    """The rows that all instances see."""
+    """The rows of a table, shared by all instances."""
 
     def __init__(self) -> None:
         self.rows: dict[str, feed.Entry] = {}
@@ -184,18 +184,18 @@
         self.wake()
 
     def forget(self) -> None:
-        """Keep none of the changes so far."""
+        """Discard the history of changes."""
         self.kept_from = self.version + 1
         self.version += 1
         self.wake()
 
     def fail(self, is_down: bool) -> None:
-        """Be out of reach from now on, or back."""
+        """Start or end an outage."""
         self.is_down = is_down
         self.wake()
 
     def wake(self) -> None:
-        """Wake all who wait."""
+        """Wake all waiting calls."""
         waiting, self.waiting = self.waiting, []
         for future in waiting:
             if not future.done():
@@ -217,7 +217,7 @@
         self.handlers: dict[type, Callable[..., None]] = {}
 
     def handle(self, kind: type, handler: Callable[..., None]) -> None:
-        """Name the function for a type of message."""
+        """Register the handler of a message type."""
         self.handlers[kind] = handler
 
     def send(self, peer: endpoint.Endpoint, sent: message.Message) -> bool:
@@ -227,17 +227,17 @@
 
 
 class StubHeartbeats:
-    """Heartbeats that reach all others within two beats."""
+    """Stub of the heartbeat service; Group.beat delivers the heartbeats."""
 
     def __init__(self) -> None:
         self.listeners: list[Callable[[messages.Heartbeat], None]] = []
 
     def broadcast(self) -> None:
-        """Heartbeats are sent anyway."""
+        """Do nothing: heartbeats are sent periodically anyway."""
 
 
 class Part:
-    """What one instance has to do with what is declared."""
+    """The catalog parts of one instance."""
 
     def __init__(self, group: Group, number: int, width: float) -> None:
         beat = membership_builders.heartbeat(
@@ -275,7 +275,7 @@
         self.sharing.start()
 
     def follows(self) -> bool:
-        """Tell whether it follows the store."""
+        """Return whether it follows the store."""
         return bool(self.following.tasks)
 
 
@@ -293,21 +293,21 @@
         self.number_at = {
             part.members.own.endpoint: number for number, part in enumerate(self.parts)
         }
-        # Until when nobody passes heartbeats on.
+        # Until when no relay forwards heartbeats.
         self.silent_until = 0.0
-        # Seconds that messages of a request's size were on their way.
+        # Transfer times of messages of a request's size, in seconds.
         self.probed: list[float] = []
         self.tasks: list[asyncio.Task[None]] = []
 
     def start(self) -> None:
-        """Start all instances, the store's first configuration, and the beats."""
+        """Write the first configuration, and start all instances and heartbeats."""
         self.configurations.put(KEY, big_configuration(20, 1))
         for part in self.parts:
             part.following.start()
         self.tasks.append(asyncio.create_task(self.beat()))
 
     async def stop(self) -> None:
-        """End all tasks."""
+        """Stop all tasks."""
         for task in self.tasks:
             task.cancel()
         for part in self.parts:
@@ -315,43 +315,45 @@
             await part.sharing.stop()
 
     def send(self, sender: int, receiver: int, sent: message.Message) -> None:
-        """Let a message arrive when the links have carried it."""
-        if self.network.parts(sender, receiver):
+        """Schedule the delivery of a message over the links."""
+        if self.network.separates(sender, receiver):
             return
         size = len(msgspec.msgpack.encode(sent))
         at = self.network.arrival(sender, receiver, size)
         asyncio.get_running_loop().call_at(at, self.deliver, sender, receiver, sent)
 
     def deliver(self, sender: int, receiver: int, sent: message.Message) -> None:
-        """Hand a message over."""
+        """Deliver a message to its handler."""
         if receiver in self.network.dead:
             return
         name = self.parts[sender].members.own.instance
         self.parts[receiver].transport.handlers[type(sent)](name, sent)
 
     async def beat(self) -> None:
-        """Let all hear all others again and again."""
+        """Deliver all heartbeats to all instances periodically."""
         while True:
             told = [part.members.own for part in self.parts]
             await asyncio.sleep(BEAT)
             if clock.now() < self.silent_until:
                 continue
             for receiver, part in enumerate(self.parts):
-                self.hear(receiver, part, told)
+                self.deliver_heartbeats(receiver, part, told)
 
-    def hear(self, receiver: int, part: Part, told: list[messages.Heartbeat]) -> None:
-        """Let one instance hear all others that it reaches."""
+    def deliver_heartbeats(
+        self, receiver: int, part: Part, told: list[messages.Heartbeat]
+    ) -> None:
+        """Deliver the heartbeats of all reachable instances to one."""
         if receiver in self.network.dead:
             return
         for sender, heartbeat in enumerate(told):
-            if sender == receiver or self.network.parts(sender, receiver):
+            if sender == receiver or self.network.separates(sender, receiver):
                 continue
             part.members.record_heartbeat(heartbeat, clock.now())
             for listener in part.heartbeats.listeners:
                 listener(heartbeat)
 
     async def probe(self, seed: int, seconds: float, size: int = 2000) -> None:
-        """Send messages of a request's size between any two, for some time."""
+        """Measure transfers of a request's size between random instances."""
         source = random.Random(seed)
         end = clock.now() + seconds
         while clock.now() < end:
@@ -361,7 +363,7 @@
             await asyncio.sleep(0.01)
 
     def kill(self, count: int, seed: int) -> None:
-        """Kill instances, their relays among them: others take those' place later."""
+        """Kill instances, relays among them, which are replaced later."""
         source = random.Random(seed)
         self.network.dead.update(source.sample(range(len(self.parts)), count))
         self.silent_until = clock.now() + RELAYS_REPLACED
@@ -371,7 +373,7 @@
         return [p for n, p in enumerate(self.parts) if n not in self.network.dead]
 
     def chosen(self) -> list[int]:
-        """Return who follows the store."""
+        """Return the instances that follow the store."""
         return [number for number, part in enumerate(self.parts) if part.follows()]
 
     async def in_force(self) -> float:
@@ -385,14 +387,14 @@
 
 
 async def settled(group: Group) -> None:
-    """Wait until a group serves and a few follow the store for all."""
+    """Wait until a group serves and only the selected followers remain."""
     group.start()
     await group.in_force()
     await asyncio.sleep(5.0)
 
 
 async def caught_up(part: Part, version: int) -> float:
-    """Return the seconds until an instance knows the servers of a version."""
+    """Return the seconds until an instance has the servers of a version."""
     began = clock.now()
     while part.servers.revision < version:
         await asyncio.sleep(0.01)
--- a/src/tealcove/catalog/tests/test_copies.py
+++ b/src/tealcove/catalog/tests/test_copies.py
@@ -1,4 +1,4 @@
-"""Copies move to newer revisions only, and keep servers over an outage."""
+"""Copies only move to newer revisions, and keep servers over an outage."""
 
 from __future__ import annotations
 
@@ -50,9 +50,9 @@
 def test_servers_that_lapsed_in_an_outage_have_time_to_come_back():
     """Every request is refused for the first seconds after an outage.
 
-    Symptom: no backend server is known though all of them live. Sequence: the
-    store is away, the servers' entries lapse, and it tells so when it's back.
-    Cause: a lapsed entry taken for a server that's gone.
+    Symptom: no backend server is known though all are alive. Sequence: the store is
+    down, the servers' entries expire, and it reports that when it is up again. Cause:
+    an expired entry counts as a server that is gone.
     """
     held = servers()
     held.apply(
@@ -103,7 +103,7 @@
     assert found.find_account("wrong") is None
 
 
-def test_documents_are_decoded_into_the_products_terms():
+def test_documents_are_decoded_into_the_catalog():
     content = {
         "version": 3,
         "later": "ignored",
@@ -133,8 +133,8 @@
 NO_ENTRY = st.binary().filter(lambda content: not content.startswith(b"{"))
 NO_NUMBER = st.none() | st.text() | st.lists(st.none())
 NO_TEXT = st.none() | st.integers() | st.lists(st.none())
-# Text that is wrong in fields that hold one of few words, or an address.
-STRANGE = {
+# Invalid values of fields, among them text in fields of a few words or an address.
+INVALID = {
     "slots": NO_NUMBER | st.integers(max_value=0),
     "cold_left_ms": NO_NUMBER,
     "seq": NO_NUMBER,
@@ -144,25 +144,25 @@
 
 
 @st.composite
-def foreign_entries(draw: st.DrawFn) -> bytes:
-    """Draw an entry with a field that is missing or strange."""
+def invalid_entries(draw: st.DrawFn) -> bytes:
+    """Draw an entry with a field that is missing or invalid."""
     found = dict(platform_builders.WRITTEN)
     field = draw(st.sampled_from(sorted(found)))
     if draw(st.booleans()):
         del found[field]
     else:
-        found[field] = draw(STRANGE.get(field, NO_TEXT))
+        found[field] = draw(INVALID.get(field, NO_TEXT))
     return msgspec.json.encode(found)
 
 
-@given(foreign_entries() | NO_ENTRY)
-def test_an_entry_of_another_writer_names_no_server(content: bytes) -> None:
-    """Requests are sent to an address at which no server of the service is.
+@given(invalid_entries() | NO_ENTRY)
+def test_an_invalid_entry_declares_no_server(content: bytes) -> None:
+    """Requests are sent to an address without a server of the service.
 
-    Symptom: connections that nobody answers, or a foreign service that does.
-    Sequence: a row with a field missing, or of another type, stands among those of
-    the servers, maybe in place of one. Cause: what is missing is filled in by a guess,
-    and the last readable row counts on.
+    Symptom: connections that get no answer, or one of another service. Sequence: a row
+    with a field missing, or of another type, is among those of the servers, maybe in
+    place of one. Cause: missing fields get guessed values, or the last valid row stays
+    in use.
     """
     held = servers()
     first = (feed.Entry("a", server("a"), 1), feed.Entry("b", server("b"), 2))
@@ -180,7 +180,7 @@
     assert set(held.known) == {"a", "b"}
 
 
-def test_a_server_is_known_to_have_left_however_it_went():
+def test_a_server_has_left_when_draining_or_dropped():
     held = servers()
     held.apply(page(1, feed.Entry("a", server("a"), 1)), instant(0))
     assert not held.has_left("a")
@@ -193,8 +193,8 @@
     assert not held.has_left("unheard-of")
 
 
-def test_a_lapse_that_is_told_on_and_on_lasts_no_longer():
-    """A server that is gone stays known by way of one peer after the other."""
+def test_a_lapse_copied_from_peer_to_peer_lasts_no_longer():
+    """A server that is gone stays known as peers copy it from each other."""
     first, *others = (servers() for _ in range(4))
     row = feed.Entry("a", server("a"), 1)
     first.apply(page(1, row), instant(0))
@@ -214,7 +214,7 @@
         assert "a" not in held.known
 
 
-def test_a_server_whose_lapse_has_ended_is_not_brought_back_by_a_peer():
+def test_a_server_whose_lapse_has_ended_is_not_restored_by_a_peer():
     held, other = servers(), servers()
     for one in (held, other):
         one.apply(page(1, feed.Entry("a", server("a"), 1)), instant(0))
@@ -227,7 +227,7 @@
     assert set(held.known) == {"b"}
 
 
-def test_an_entry_that_cant_be_read_is_logged_once():
+def test_an_invalid_entry_is_logged_once():
     held = servers()
     with logbook.TestHandler() as handler:
         for version in range(1, 9):
--- a/src/tealcove/catalog/tests/test_follower.py
+++ b/src/tealcove/catalog/tests/test_follower.py
@@ -1,4 +1,4 @@
-"""How often the store is asked for changes."""
+"""How often the store is polled for changes."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 CHANGES = 30
 BETWEEN = 0.01
 GATHERED = 0.1
-# Seconds after the end of a cut from which an instance is expected to be up to date.
+# Seconds after the end of an outage within which an instance must be up to date.
 UP_TO_DATE_SECONDS = 3.0
 
 
-class Noted(copies.Copy):
-    """A copy that notes which keys it has seen."""
+class RecordingCopy(copies.Copy):
+    """A copy that records the keys it has seen."""
 
     topic = messages.Topic.SERVERS
 
@@ -33,12 +33,12 @@
         self.changed = asyncio.Event()
 
     def replace(self, page: feed.Page, now: ids.Instant) -> None:
-        """Start anew."""
+        """Record the keys of a whole table."""
         self.keys = []
         self.apply(page, now)
 
     def apply(self, page: feed.Page, now: ids.Instant) -> None:
-        """Note the keys."""
+        """Record the keys."""
         self.keys.extend(entry.key for entry in page.entries)
         self.changed.set()
 
@@ -49,8 +49,8 @@
         """Not used here."""
 
 
-class Changing(feed.Feed):
-    """A table to which rows are added, one behind the other."""
+class ChangingFeed(feed.Feed):
+    """A table to which rows are added one by one."""
 
     def __init__(self) -> None:
         self.version = 0
@@ -89,8 +89,8 @@
         return self.page(since)
 
 
-class Hanging(Changing):
-    """A store that leaves each question hanging for some time, until it's back."""
+class HangingFeed(ChangingFeed):
+    """A store whose calls hang for some time and fail, until it is back."""
 
     def __init__(self, hangs: float, back_at: float) -> None:
         super().__init__()
@@ -105,7 +105,7 @@
         seconds: float,
         arriving: Callable[[], None] | None = None,
     ) -> feed.Page:
-        """Fail after a while, whenever it was asked before its return."""
+        """Fail after `hangs` seconds if called before the store is back."""
         if clock.now() >= self.back_at:
             return await super().wait_for_changes(table, since, seconds, arriving)
         await asyncio.sleep(self.hangs)
@@ -116,10 +116,10 @@
 def test_a_lapse_ends_before_its_instance_counts_as_up_to_date(
     hangs: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Servers that left while one instance was cut off get requests from it."""
+    """Servers that left during one instance's outage get requests from it."""
 
     async def noticed_after(back_after: float) -> float:
-        source, copy = Hanging(hangs, clock.now() + back_after), Noted()
+        source, copy = HangingFeed(hangs, clock.now() + back_after), RecordingCopy()
         copy.revision = ids.Revision(1)
         source.version = 2
         one = follower.Follower(source, TABLE, copy, lambda: follower.Pace(25.0))
@@ -136,8 +136,8 @@
 
 
 async def followed(gathers: float) -> tuple[list[str], int]:
-    """Return the keys that a follower has seen, and how often it asked."""
-    source, copy = Changing(), Noted()
+    """Return the keys that a follower has seen, and the number of its calls."""
+    source, copy = ChangingFeed(), RecordingCopy()
     one = follower.Follower(source, TABLE, copy, lambda: follower.Pace(25.0, gathers))
     task = asyncio.create_task(one.run())
     await source.change()
@@ -146,12 +146,12 @@
     return copy.keys, source.calls
 
 
-async def test_changes_that_come_in_groups_are_asked_for_once() -> None:
-    """Each instance asks the store once for each backend server that starts.
+async def test_changes_in_groups_take_one_call() -> None:
+    """Each instance calls the store once for each backend server that starts.
 
     Symptom: calls to the store grow with instances times servers. Sequence: many
-    servers start one behind the other. Cause: the next question follows each
-    answer at once, so that each answer holds one change.
+    servers start one after the other. Cause: the next call follows each answer at once,
+    so that each answer holds one change.
     """
     wanted = [str(row) for row in range(1, CHANGES + 1)]
     keys, calls = await followed(0.0)
@@ -159,5 +159,5 @@
     assert calls > CHANGES / 2
     keys, calls = await followed(GATHERED)
     assert keys == wanted
-    # One at once, one each time that changes have gathered, and the open question.
+    # One at once, one for each group of changes, and the open call.
     assert calls <= 2 + CHANGES * BETWEEN / GATHERED + 2
--- a/src/tealcove/catalog/tests/test_sharing.py
+++ b/src/tealcove/catalog/tests/test_sharing.py
@@ -1,4 +1,4 @@
-"""What is declared reaches all instances of a large group by way of a few."""
+"""The catalog reaches all instances of a large group by way of a few."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 
 COUNT, DATA_CENTRES = 90, 3
 ROUTES = 1600
-# Seconds within which a configuration must be in force everywhere, by the operators'
-# bounds: 2 s in small groups, 3 s in ones of this size.
+# Seconds within which a configuration must be in force everywhere: operators require
+# 2 s in small groups, 3 s in groups of this size.
 BOUND = 3.0
-# Seconds of it that are left for what virtual time leaves out: work and busy links.
+# Part of it reserved for what virtual time leaves out: processing and busy links.
 MARGIN = 0.75
 
 
 @pytest.fixture
 def play(monkeypatch: pytest.MonkeyPatch):
-    """Return what runs a coroutine in virtual time."""
+    """Return a function that runs a coroutine in virtual time."""
 
     def run(main: Coroutine[None, None, None]) -> None:
         virtual.run(monkeypatch, main)
@@ -31,13 +31,13 @@
 
 
 def test_a_growing_configuration_delays_no_request(play) -> None:
-    """Next to nothing is served for seconds after a configuration has grown.
+    """Almost no request is served for seconds after a configuration has grown.
 
-    Symptom: requests time out everywhere, nothing was killed. Sequence: a
-    configuration of 1,600 routes comes in four revisions within 4 s. Cause: each
-    instance reads the whole of each from the store over its own link, .8 s at
-    5 Mbit/s, takes the wait for it for an outage and asks the same few peers, whose
-    links then carry whole documents; everything else waits behind them.
+    Symptom: requests time out everywhere without a failed instance. Sequence: a
+    configuration of 1,600 routes gets four revisions within 4 s. Cause: each instance
+    reads each whole revision from the store over its own link, .8 s at 5 Mbit/s, treats
+    the wait as an outage and asks the same few peers, whose links then carry whole
+    documents; everything else waits behind them.
     """
 
     async def run() -> None:
@@ -61,10 +61,10 @@
 
 
 def test_calls_to_the_store_do_not_grow_with_instances(play) -> None:
-    """Calls to the store cost more than anything else at 195 instances.
+    """Calls to the store are the largest cost at 195 instances.
 
-    Symptom: 9,373 calls on a day. Sequence: servers start, the history is lost, the
-    store is away for 6 s. Cause: each instance follows both tables by itself.
+    Symptom: 9,373 calls in a day. Sequence: servers start, the history is lost, the
+    store is down for 6 s. Cause: each instance follows both tables itself.
     """
 
     async def run() -> None:
@@ -102,11 +102,11 @@
 def test_a_change_reaches_all_when_a_data_centres_followers_fail(
     fault: str, play
 ) -> None:
-    """A data centre goes on with keys that were taken away.
+    """A data centre keeps accepting revoked keys.
 
-    Symptom: requests with an old key are served there. Sequence: all who follow the
-    store for that data centre die, are turned away by it, or get no more answers from
-    it; a key is taken away. Cause: the others count on them alone.
+    Symptom: requests with an old key are served there. Sequence: all followers of that
+    data centre die, are refused by the store, or get no more answers from it; a key is
+    revoked. Cause: the other instances depend on them alone.
     """
 
     async def run() -> None:
@@ -122,7 +122,7 @@
                 store.is_mute = fault == "mute"
         group.configurations.put(builders.KEY, builders.big_configuration(30, 2))
         assert await group.in_force() < BOUND
-        # And again, when others have taken their place.
+        # And again, when other followers have replaced them.
         await asyncio.sleep(10.0)
         group.configurations.put(builders.KEY, builders.big_configuration(40, 3))
         assert await group.in_force() < 1.0
@@ -131,11 +131,11 @@
     play(run())
 
 
-def test_an_instance_that_hears_nobody_follows_by_itself(play) -> None:
-    """An instance serves by an old configuration for as long as it hears no peer.
+def test_an_isolated_instance_follows_the_store_itself(play) -> None:
+    """An instance serves an old configuration for as long as it is isolated.
 
-    Symptom: it alone serves routes that were dropped. Sequence: it's cut off from all
-    other instances, and not from the store. Cause: it counts on the others.
+    Symptom: it alone serves routes that were removed. Sequence: it is disconnected from
+    all other instances, but not from the store. Cause: it depends on the others.
     """
 
     async def run() -> None:
@@ -143,7 +143,7 @@
         await builders.settled(group)
         lost = next(n for n in range(COUNT) if n not in group.chosen())
         group.network.alone.add(lost)
-        # In a large group, peers count as lost after 3 s.
+        # In a large group, peers are suspect after 3 s.
         await asyncio.sleep(4.0)
         group.configurations.put(builders.KEY, builders.big_configuration(30, 2))
         assert await group.in_force() < 1.0
@@ -152,10 +152,10 @@
     play(run())
 
 
-def test_an_isolated_instance_learns_of_a_change_before_it_counts_peers_as_lost(
+def test_an_isolated_instance_gets_a_change_before_its_peers_are_suspect(
     play,
 ) -> None:
-    """An instance that was just cut off from its peers serves by an old revision."""
+    """An instance that was just isolated from its peers serves an old revision."""
 
     async def run() -> None:
         group = builders.Group(COUNT, DATA_CENTRES)
@@ -172,7 +172,7 @@
 
 @pytest.mark.parametrize("seed", range(8))
 def test_survivors_of_a_mass_kill_learn_of_a_change_in_time(seed: int, play) -> None:
-    """Survivors serve by an old revision: relays, followers and peers died together."""
+    """Survivors serve an old revision: relays, followers and peers died together."""
 
     async def run() -> None:
         group = builders.Group(COUNT, 5, seed)
@@ -191,13 +191,13 @@
     play(run())
 
 
-def test_an_instance_that_is_turned_away_keeps_up_with_its_peers(play) -> None:
-    """A server gets a request 2.3 s after it has said that it leaves.
+def test_an_instance_refused_by_the_store_keeps_up_with_its_peers(play) -> None:
+    """A server gets a request 2.3 s after it has declared that it is leaving.
 
     Symptom: requests reach servers that left, from one instance only. Sequence: the
-    store turns that instance away; servers leave one after the other. Cause: while an
-    answer of a peer has come and its question's timer runs on, the next revision isn't
-    asked for.
+    store refuses that instance; servers leave one after the other. Cause: after a
+    peer's answer the timer of the request runs on, and the next revision isn't
+    requested until it fires.
     """
 
     async def run() -> None:
@@ -212,7 +212,7 @@
             group.servers.put(f"s-{number}", builders.server())
             lags.append(await builders.caught_up(late, group.servers.version))
             await asyncio.sleep(max(0.0, 0.3 - lags[-1]))
-        # A beat, the patience, and the ways between instances.
+        # A heartbeat interval, the patience, and the network delays.
         assert max(lags) < 0.75
         await group.stop()
 
--- a/src/tealcove/membership/relay.py
+++ b/src/tealcove/membership/relay.py
@@ -68,9 +68,9 @@
         if not self.heard:
             self.last_heard_at = now
         elif now - self.last_heard_at > SILENT_SECONDS:
-            # The replacements of silent relays are silent, too. Checking whether all are
-            # silent at the same time would never succeed: dead instances replace dead
-            # ones one by one, each with a silence timeout of its own.
+            # The replacements of silent relays are silent, too. A check whether all are
+            # silent at one time would never succeed: dead instances replace dead ones
+            # one by one, each with a silence timeout of its own.
             self.all_lost_until = ids.Instant(now + ALL_LOST_SECONDS)
         for peer, since in list(self.heard.items()):
             if now - since > SILENT_SECONDS:
--- a/src/tealcove/membership/tests/test_heartbeats.py
+++ b/src/tealcove/membership/tests/test_heartbeats.py
@@ -272,7 +272,7 @@
     Symptom: as when all relays die, but intermittent. Sequence: the relays die with the
     next six in rank; each instance checks its relays at times of its own, and finds one
     after the other silent. Cause: it sends heartbeats to all peers only when one check
-    finds all relays silent. Until then dead instances replace dead ones, at 1.25 s each.
+    finds all relays silent. Until then dead ones replace dead ones, at 1.25 s each.
     """
 
     async def main() -> None:
