--- a/src/tealcove/catalog/following.py
+++ b/src/tealcove/catalog/following.py
@@ -89,7 +89,8 @@
     def stop_followers(self) -> None:
         """Stop the followers; an open call to the store is cancelled."""
         log.info(
-            "leaving following the store to {}", ", ".join(self.chosen(clock.now()))
+            "stopped following the store in favour of {}",
+            ", ".join(self.chosen(clock.now())),
         )
         for task in self.tasks:
             task.cancel()
