--- a/src/tealcove/catalog/following.py
+++ b/src/tealcove/catalog/following.py
@@ -1,4 +1,4 @@
-"""Which instances follow the store, and when this one does."""
+"""Selection of the instances that follow the store."""
 
 from __future__ import annotations
 
@@ -12,30 +12,29 @@
 
 log = logbook.Logger("catalog")
 
-# Instances of each data centre that follow the store in a large group, and tell the
-# others. Where all follow, each change of a server is paid for once an instance, and a
-# whole configuration comes to each of them over its own link, six times as large as
-# packed for a peer.
-# Any one of them may fail at any moment without a gap.
+# Instances of each data centre that follow the store in a large group, and send copies
+# to the others. Where all follow, each change of a server is paid for once per
+# instance, and each of them reads a whole configuration over its own link, six times as
+# large as packed for a peer. One follower may fail at any moment without a gap.
 FOLLOWERS = 2
-# Seconds between two looks at who should follow.
-LOOK_INTERVAL = 0.25
-# Seconds without a word from any follower of its data centre after which an instance
-# follows by itself. Relays tell of each other every .5 s. It mustn't wait until the
-# followers count as lost: with the time that peers are asked in vain that comes to more
-# than a change may take to be in force.
-UNHEARD_SECONDS = 1.0
-# Seconds for which an instance goes on following when it's no longer its turn, so that
-# whoever takes over has begun. While many instances start, all follow until they know
-# of each other, and each change of a server is a call of each.
-LINGER_SECONDS = 0.5
-# Seconds for which an instance follows for itself when peers haven't answered, and for
-# which one whom the store has failed leaves it to others.
-ALONE_SECONDS = 5.0
+# Seconds between two reviews of whether this instance should follow.
+REVIEW_INTERVAL = 0.25
+# Seconds of silence of all followers of its data centre after which an instance follows
+# the store itself. Relays send digests every .5 s. Waiting until the followers are
+# suspect, plus the time for unanswered requests to peers, would exceed the time in
+# which a change must be in force.
+FOLLOWERS_SILENT_SECONDS = 1.0
+# Seconds for which an instance goes on following when it is no longer selected, so that
+# its successor has started. It is short: while many instances start, all follow until
+# they know each other, and each change of a server takes a call of each.
+HANDOVER_SECONDS = 0.5
+# Seconds for which an instance follows the store itself when peers haven't answered,
+# and for which one that lost the store leaves following to others.
+DIRECT_SECONDS = 5.0
 
 
 class Following:
-    """Starts and ends this instance's followers."""
+    """Starts and stops this instance's followers."""
 
     def __init__(
         self, known: members.Members, followers: tuple[follower.Follower, ...]
@@ -43,108 +42,118 @@
         self.members = known
         self.followers = followers
         self.tasks: list[asyncio.Task[None]] = []
-        self.looking: asyncio.Task[None] | None = None
+        self.review_task: asyncio.Task[None] | None = None
         self.wanted_at = ids.Instant(0.0)
-        # Until when this instance follows whatever its place is; and since when it has
-        # said that the store fails it.
-        self.alone_until = ids.Instant(0.0)
-        self.cut_at: ids.Instant | None = None
+        # Until when this instance follows whatever its rank is; and when it last found
+        # the store unreachable.
+        self.direct_until = ids.Instant(0.0)
+        self.store_lost_at: ids.Instant | None = None
 
     def start(self) -> None:
-        """Begin to follow; the first look at the group comes later."""
-        self.begin(clock.now())
-        self.looking = tasks.start(self.look(), "who follows the store")
+        """Start following; the first review of the group comes later."""
+        self.start_followers(clock.now())
+        self.review_task = tasks.start(
+            self.review_periodically(), "who follows the store"
+        )
 
     async def stop(self) -> None:
-        """End all tasks."""
-        if self.looking is not None:
-            await tasks.stop([self.looking, *self.tasks])
+        """Stop all tasks."""
+        if self.review_task is not None:
+            await tasks.stop([self.review_task, *self.tasks])
 
-    async def look(self) -> None:
-        """Look again and again at who should follow, until cancelled."""
+    async def review_periodically(self) -> None:
+        """Review periodically whether to follow, until cancelled."""
         while True:
-            await asyncio.sleep(LOOK_INTERVAL)
+            await asyncio.sleep(REVIEW_INTERVAL)
             self.review(clock.now())
 
     def review(self, now: ids.Instant) -> None:
-        """Follow, or leave it to others."""
-        self.say_reach(now)
+        """Start or stop the followers, by the current membership."""
+        self.update_reaches_store(now)
         if self.is_wanted(now):
-            self.begin(now)
-        elif self.tasks and now - self.wanted_at > LINGER_SECONDS:
-            self.end()
+            self.start_followers(now)
+        elif self.tasks and now - self.wanted_at > HANDOVER_SECONDS:
+            self.stop_followers()
 
-    def begin(self, now: ids.Instant) -> None:
-        """Follow from now on."""
+    def start_followers(self, now: ids.Instant) -> None:
+        """Start the followers, unless they are running."""
         self.wanted_at = now
         if self.tasks:
             return
-        if self.looking is not None:
-            log.info("follows the store for {}", self.members.own.data_centre)
+        if self.review_task is not None:
+            log.info("following the store for {}", self.members.own.data_centre)
         self.tasks = [
             tasks.start(one.run(), f"follower of {one.table}") for one in self.followers
         ]
 
-    def end(self) -> None:
-        """Leave it to others; an open question to the store is given up."""
-        log.info("leaves the store to {}", ", ".join(self.chosen(clock.now())))
+    def stop_followers(self) -> None:
+        """Stop the followers; an open call to the store is cancelled."""
+        log.info(
+            "stopped following the store in favour of {}",
+            ", ".join(self.chosen(clock.now())),
+        )
         for task in self.tasks:
             task.cancel()
         self.tasks = []
 
     def is_wanted(self, now: ids.Instant) -> bool:
-        """Tell whether this instance should follow the store.
+        """Return whether this instance should follow the store.
 
-        Nothing else bounds the age of what it knows: relays, followers and the peers
-        that it would ask may fail together.
+        Nothing else bounds the age of its copies: relays, followers and the peers that
+        it would ask may fail together.
         """
         own = self.members.own
-        if not self.members.is_large() or now < self.alone_until:
+        if not self.members.is_large() or now < self.direct_until:
             return True
         if own.lifecycle is not messages.Lifecycle.SERVING:
-            # It knows nothing yet, or nobody counts on it any more.
+            # It has no copy yet, or no longer serves.
             return own.lifecycle is messages.Lifecycle.JOINING
         chosen = self.chosen(now)
         return own.instance in chosen or not any(
-            self.members.silence_of(instance, now) <= UNHEARD_SECONDS
+            self.members.silence_of(instance, now) <= FOLLOWERS_SILENT_SECONDS
             for instance in chosen
         )
 
     def chosen(self, now: ids.Instant) -> list[ids.InstanceId]:
-        """Return who follows for this data centre, by what is known here.
+        """Return the followers of this data centre, by the local membership.
 
-        First those whom the store doesn't fail, then those with the fastest links: a
-        whole configuration goes from each of them to half of its data centre.
+        Instances that reach the store go first, then those with the fastest links: each
+        follower sends a whole configuration to half of its data centre.
         """
         own = self.members.own.data_centre
         near = [beat for beat in self.members.serving(now) if beat.data_centre == own]
-        rooms = {
-            beat.instance: beat.room if beat.reaches_store else -1 for beat in near
+        link_classes = {
+            beat.instance: beat.link_class if beat.reaches_store else -1
+            for beat in near
         }
-        return ranking.rank_by_strength(f"followers of {own}", rooms)[:FOLLOWERS]
+        return ranking.rank_by_strength(f"followers of {own}", link_classes)[:FOLLOWERS]
 
-    def follow_alone(self, now: ids.Instant) -> None:
-        """Follow for a while, since no peer has told what others know."""
-        self.alone_until = ids.Instant(now + ALONE_SECONDS)
-        self.begin(now)
+    def follow_directly(self, now: ids.Instant) -> None:
+        """Follow the store for a while, after peers have not answered."""
+        self.direct_until = ids.Instant(now + DIRECT_SECONDS)
+        self.start_followers(now)
 
-    def say_reach(self, now: ids.Instant) -> None:
-        """Let heartbeats say whether the store fails this instance.
+    def update_reaches_store(self, now: ids.Instant) -> None:
+        """Update the heartbeat's flag for whether this instance reaches the store.
 
-        It says so until it hasn't followed for a while: nobody follows for long whom
-        the store turns away, and nobody is left out for ever.
+        It stays cleared until the instance has not followed for a while: an instance
+        that the store refuses does not follow for long, and none is excluded for ever.
         """
-        is_cut = bool(self.tasks) and any(one.is_cut(now) for one in self.followers)
-        if is_cut:
-            self.cut_at = now
-        reaches = self.cut_at is None or now - self.cut_at > ALONE_SECONDS
-        if self.tasks and not is_cut:
+        is_store_lost = bool(self.tasks) and any(
+            one.is_store_lost(now) for one in self.followers
+        )
+        if is_store_lost:
+            self.store_lost_at = now
+        reaches = (
+            self.store_lost_at is None or now - self.store_lost_at > DIRECT_SECONDS
+        )
+        if self.tasks and not is_store_lost:
             reaches = True
         if reaches != self.members.own.reaches_store:
             self.members.update_own(reaches_store=reaches)
 
-    def is_arriving(self, wanted: copies.Copy, now: ids.Instant) -> bool:
-        """Tell whether the store's answer about a copy is on its way."""
+    def is_receiving(self, wanted: copies.Copy, now: ids.Instant) -> bool:
+        """Return whether the store's answer for a copy is being received."""
         return bool(self.tasks) and any(
-            one.copy is wanted and one.is_arriving(now) for one in self.followers
+            one.copy is wanted and one.is_receiving(now) for one in self.followers
         )
--- a/src/tealcove/daemon.py
+++ b/src/tealcove/daemon.py
@@ -29,7 +29,7 @@
 from tealcove.entry import gate, http
 from tealcove.limits import limit
 from tealcove.limits import role as limits_role
-from tealcove.membership import heart, members, messages
+from tealcove.membership import heartbeats, members, messages
 from tealcove.orders import drains, steward
 from tealcove.orders import role as orders_role
 from tealcove.peers import endpoint, mesh, security
@@ -79,7 +79,7 @@
         self.members.update_own(http_port=self.http_port)
         self.heart.start()
         self.configuration.start(self.heart)
-        self.mesh.take_in()
+        self.mesh.start_receiving()
         watched = readiness.Readiness(self.members, self.heart, self.configuration)
         self.tasks.append(tasks.start(watched.run(), "readiness"))
 
@@ -91,7 +91,7 @@
         curve = found.peer.curve
         secured = None if curve is None else security.Security(curve)
         self.mesh = mesh.Mesh(instance, self.incarnation, listen, secured)
-        self.mesh.listen_for_peers()
+        self.mesh.bind()
         own = messages.Heartbeat(
             instance=instance,
             incarnation=self.incarnation,
@@ -105,7 +105,7 @@
         )
         beat = found.heartbeat
         self.members = members.Members(own, beat.suspect_after, beat.forget_after)
-        self.heart = heart.Heart(
+        self.heart = heartbeats.HeartbeatService(
             self.mesh,
             self.members,
             rowlist.RowInstanceList(self.rows),
@@ -261,7 +261,7 @@
         """Put a new revision in force in all roles, and tell the peers."""
         self.dispatcher.reconfigure()
         self.members.update_own(revision=current.revision)
-        self.heart.tell_all()
+        self.heart.broadcast()
 
     async def leave(self) -> None:
         """Leave gracefully: no request in progress is cut off.
@@ -270,7 +270,7 @@
         still accepts until the last answer that names it has run out.
         """
         self.members.update_own(lifecycle=messages.Lifecycle.LEAVING)
-        self.heart.tell_all()
+        self.heart.broadcast()
         LOG.info("leaving")
         shutdown = self.settings.shutdown
         await asyncio.sleep(shutdown.entry_points_ttl)
--- a/src/tealcove/dispatch/requester.py
+++ b/src/tealcove/dispatch/requester.py
@@ -10,7 +10,7 @@
 
 from tealcove import clock, ids, tasks
 from tealcove.dispatch import messages, pending, spread
-from tealcove.membership import members, silence
+from tealcove.membership import members, unresponsive
 from tealcove.peers import mesh, message
 
 log = logbook.Logger("dispatch")
@@ -43,7 +43,7 @@
         # Cells and dispatchers that were sent the running tickets in advance.
         self.informed: set[tuple[ids.CellId, ids.InstanceId]] = set()
         # Dispatchers that left a ticket unanswered.
-        self.silence = silence.Silence(RETRY_SILENT_AFTER)
+        self.silence = unresponsive.UnresponsivePeers(RETRY_SILENT_AFTER)
         # Called at the end of each dispatched request.
         self.listeners: list[Listener] = []
         self.refreshing: asyncio.Task[None] | None = None
@@ -88,11 +88,11 @@
                 attempt = self.first_responsive(ranked, now)
             self.ask(request, ranked[attempt % len(ranked)], now)
             if not await self.wait_for_reply(request):
-                self.silence.note(request.dispatcher, clock.now())
+                self.silence.note_timeout(request.dispatcher, clock.now())
                 attempt += 1
                 self.send_running(request, ranked[attempt % len(ranked)])
                 continue
-            self.silence.end(request.dispatcher)
+            self.silence.note_response(request.dispatcher)
             if not request.answer.done():
                 await self.wait_for_answer(request)
             attempt = None
@@ -106,7 +106,7 @@
         callers want a first event.
         """
         for place, instance in enumerate(ranked):
-            if not self.silence.is_silent(instance, now):
+            if not self.silence.is_unresponsive(instance, now):
                 return place
         return 0
 
@@ -281,7 +281,7 @@
 
     def handle_queued(self, sender: ids.InstanceId, queued: messages.Queued) -> None:
         """Record that a dispatcher has a ticket."""
-        self.silence.end(sender)
+        self.silence.note_response(sender)
         request = self.pending_tickets.get(queued.ticket_id)
         if request is not None and request.dispatcher == sender:
             request.set_replied()
@@ -292,7 +292,7 @@
         A ticket that was sent to two dispatchers, since the first was silent for a
         while, may be granted a slot by both.
         """
-        self.silence.end(sender)
+        self.silence.note_response(sender)
         request = self.pending_tickets.get(grant.ticket_id)
         if (
             request is not None
@@ -338,7 +338,7 @@
 
     def handle_refusal(self, sender: ids.InstanceId, refusal: messages.Refusal) -> None:
         """Accept a refusal from the ticket's current dispatcher only."""
-        self.silence.end(sender)
+        self.silence.note_response(sender)
         request = self.pending_tickets.get(refusal.ticket_id)
         if (
             request is not None
--- a/src/tealcove/limits/central.py
+++ b/src/tealcove/limits/central.py
@@ -11,7 +11,7 @@
 
 from tealcove import clock, ids
 from tealcove.limits import admission, bucket, home, messages
-from tealcove.membership import members, silence
+from tealcove.membership import members, unresponsive
 from tealcove.peers import mesh
 
 log = logbook.Logger("limits")
@@ -90,7 +90,7 @@
         self.question_numbers = itertools.count(1)
         self.pending: dict[int, asyncio.Future[messages.Charged]] = {}
         # Homes that didn't answer in time.
-        self.silence = silence.Silence(SILENT_SECONDS)
+        self.silence = unresponsive.UnresponsivePeers(SILENT_SECONDS)
 
     def start(self) -> None:
         """Register the message handlers."""
@@ -141,7 +141,7 @@
             if answer is not None:
                 return instance, answer
             unanswered += 1
-            self.silence.note(instance, clock.now())
+            self.silence.note_timeout(instance, clock.now())
             extra = {"request": request}
             log.info("no answer from home {} of {}", instance, account, extra=extra)
         return None, self.decide_locally(question, clock.now())
@@ -150,7 +150,7 @@
         self, instance: ids.InstanceId, question: messages.AskCharge, now: ids.Instant
     ) -> bool:
         """Send a question; return False if the home is silent or can't be reached."""
-        if self.silence.is_silent(instance, now):
+        if self.silence.is_unresponsive(instance, now):
             return False
         peer = self.members.endpoint_of(instance)
         return peer is not None and self.transport.send(peer, question)
@@ -236,7 +236,7 @@
 
     def handle_answer(self, sender: ids.InstanceId, answer: messages.Charged) -> None:
         """Pass a home's answer to the request that waits for it."""
-        self.silence.end(sender)
+        self.silence.note_response(sender)
         waiting = self.pending.get(answer.number)
         if waiting is not None and not waiting.done():
             waiting.set_result(answer)
--- a/src/tealcove/limits/tests/test_central.py
+++ b/src/tealcove/limits/tests/test_central.py
@@ -169,7 +169,7 @@
     unsettled = central.UNSETTLED_FRACTION * LIMIT.burst
     assert sum(passing(limits) for limits in began) <= unsettled + count * tokens
     for other in known[1:]:
-        known[0].hear(other.own, cluster.now)
+        known[0].record_heartbeat(other.own, cluster.now)
     home = began[0]
     home.presence.refresh(cluster.now)
     home.presence.rankings[builders.ACCOUNT] = (known[0].own.instance,)
--- a/src/tealcove/orders/tests/test_drains.py
+++ b/src/tealcove/orders/tests/test_drains.py
@@ -19,7 +19,7 @@
     """Return the drains of an instance with two peers, and its mesh; "a" is held."""
     known = membership.known(0)
     for number in (1, 2):
-        known.hear(membership.heartbeat(number), NOW)
+        known.record_heartbeat(membership.heartbeat(number), NOW)
     mesh = transport.RecordingMesh()
     found = drains.Drains(mesh, known)
     found.begin(test_plan.target(test_plan.A).servers[A], NOW)
@@ -67,7 +67,7 @@
     answer(found, mesh)
     later = ids.Instant(NOW + drains.HOLD_SECONDS + 1)
     for number in (1, 2):
-        found.members.hear(membership.heartbeat(number), later)
+        found.members.record_heartbeat(membership.heartbeat(number), later)
     assert found.dispatchers(found.by_server[A], later) == found.dispatchers(
         found.by_server[A], NOW
     )
--- a/src/tealcove/readiness.py
+++ b/src/tealcove/readiness.py
@@ -7,7 +7,7 @@
 import logbook
 
 from tealcove import clock, ids
-from tealcove.membership import heart, members, messages
+from tealcove.membership import heartbeats, members, messages
 from tealcove.resources import role as configuration
 
 LOG = logbook.Logger("readiness")
@@ -22,7 +22,7 @@
     def __init__(
         self,
         known: members.Members,
-        beats: heart.Heart,
+        beats: heartbeats.HeartbeatService,
         configured: configuration.ConfigurationRole,
     ) -> None:
         self.members = known
@@ -46,7 +46,7 @@
         if wanted is not lifecycle:
             LOG.info("{}", wanted.value)
             self.members.update_own(lifecycle=wanted)
-            self.heart.tell_all()
+            self.heart.broadcast()
 
     def may_serve(self, lifecycle: messages.Lifecycle, now: ids.Instant) -> bool:
         """Tell whether to accept: fully up to date at first, not isolated later."""
