--- a/src/tealcove/claims/tests/builders.py
+++ b/src/tealcove/claims/tests/builders.py
@@ -1,4 +1,4 @@
-"""Instances that claim over one platform in memory, in virtual time."""
+"""Instances that take claims in one in-memory platform, in virtual time."""
 
 from __future__ import annotations
 
@@ -15,41 +15,42 @@
 from tealcove.peers import endpoint, message
 from tealcove.storage import memory, table
 
-BEAT = 0.25
+HEARTBEAT_SECONDS = 0.25
 BATCH_INTERVAL = 0.02
 WRITERS = 2
 DEADLINE = 5.0
 CALL_TIMEOUT = 2.0
 DELAY = 0.001
-# A doubled message comes a second time when its request has long ended.
-DOUBLE_AFTER = 0.7
+# Seconds until a duplicate is delivered; its request has long ended by then.
+DUPLICATE_DELAY = 0.7
 
 
-class JumpingSelector(selectors.SelectSelector):
-    """Lets the time of its loop jump ahead in place of waiting."""
+class VirtualSelector(selectors.SelectSelector):
+    """A selector that advances the loop's clock in place of waiting."""
 
     now = 0.0
 
     def select(self, timeout: float | None = None) -> list[Any]:
         if timeout is None:
-            raise RuntimeError("nothing is left that could happen")
+            raise RuntimeError("deadlock: no events and no timers are left")
         self.now += max(0.0, timeout)
         return super().select(0)
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """An event loop whose clock passes only when nothing is left to do."""
+    """An event loop whose clock advances only when no callback is ready."""
 
     def __init__(self) -> None:
-        self.jumping = JumpingSelector()
-        super().__init__(self.jumping)
+        self.virtual_selector = VirtualSelector()
+        super().__init__(self.virtual_selector)
 
     def time(self) -> float:
-        return self.jumping.now
+        return self.virtual_selector.now
 
 
 @contextlib.contextmanager
 def virtual_time() -> Iterator[VirtualLoop]:
+    """Provide a virtual loop whose clock replaces `clock.now`."""
     loop = VirtualLoop()
     with mock.patch.object(clock, "now", loop.time):
         yield loop
@@ -61,11 +62,11 @@
 
 
 class Bus:
-    """Carries messages between instances, and loses or doubles them."""
+    """Delivers messages between instances, and loses or duplicates them."""
 
     def __init__(self) -> None:
         self.instances: dict[int, Instance] = {}
-        self.doubling = False
+        self.duplicating = False
         self.delay = DELAY
         self.cut: set[int] = set()
 
@@ -74,8 +75,8 @@
             return
         loop = asyncio.get_running_loop()
         loop.call_later(self.delay, self.deliver, source, target, sent)
-        if self.doubling:
-            loop.call_later(DOUBLE_AFTER, self.deliver, source, target, sent)
+        if self.duplicating:
+            loop.call_later(DUPLICATE_DELAY, self.deliver, source, target, sent)
 
     def deliver(self, source: int, target: int, sent: message.Message) -> None:
         found = self.instances.get(target)
@@ -84,13 +85,13 @@
 
 
 def retrieve(applied: asyncio.Task[table.Committed]) -> None:
-    """Look at the error of a write that nobody may wait for any more."""
+    """Retrieve the exception of a write that may no longer be awaited."""
     if not applied.cancelled():
         applied.exception()
 
 
 class LateTable(table.TableService):
-    """Gives a write up after a while; it may still be applied later."""
+    """A table whose commits time out and may still be applied later."""
 
     def __init__(self, inner: table.TableService) -> None:
         self.inner = inner
@@ -113,7 +114,7 @@
 
 
 class Instance:
-    """The claims of one run of an instance: writer and entry side."""
+    """The writer and claimer of one incarnation of an instance."""
 
     def __init__(self, bus: Bus, number: int, rows: table.TableService) -> None:
         self.bus = bus
@@ -130,7 +131,9 @@
             peer_port=number,
             revision=ids.Revision(1),
         )
-        self.members = members.Members(self.heartbeat, 4 * BEAT, 40 * BEAT)
+        self.members = members.Members(
+            self.heartbeat, 4 * HEARTBEAT_SECONDS, 40 * HEARTBEAT_SECONDS
+        )
         self.writer = writer.Writer(self, self.members, rows, BATCH_INTERVAL)
         self.claimer = claimer.Claimer(self, self.members, rows, WRITERS)
         self.tasks: set[asyncio.Task[None]] = set()
@@ -150,15 +153,15 @@
         self.tasks.add(task)
 
     def kill(self) -> None:
-        """End everything at once; a write that was sent may still be applied."""
+        """Cancel all tasks at once; a write that was sent may still be applied."""
         del self.bus.instances[self.number]
-        for task in (self.writer.task, *self.tasks, *self.claimer.abandoning):
+        for task in (self.writer.task, *self.tasks, *self.claimer.cleanups):
             task.cancel()
         self.claimer.abandon = lambda key, nonce: None
 
 
 def claim_of(instance: Instance, number: int = 0) -> claim.Claim:
-    """Return a new claim of an instance."""
+    """Return a new claim by an instance."""
     return claim.Claim(
         nonce=claimer.new_nonce(),
         entry=instance.heartbeat.instance,
@@ -171,16 +174,16 @@
 
 
 async def pass_time(bus: Bus, seconds: float) -> None:
-    """Let time pass; instances that aren't cut off hear each other."""
+    """Advance the clock; connected instances exchange heartbeats."""
     until = clock.now() + seconds
     while clock.now() < until:
         alive = [i for n, i in bus.instances.items() if n not in bus.cut]
         for one in alive:
             for other in alive:
-                one.members.hear(other.heartbeat, clock.now())
-        await asyncio.sleep(min(BEAT, until - clock.now()))
+                one.members.record_heartbeat(other.heartbeat, clock.now())
+        await asyncio.sleep(min(HEARTBEAT_SECONDS, until - clock.now()))
 
 
 def platform_in(loop: VirtualLoop) -> memory.MemoryPlatform:
-    """Return a platform whose clock is the loop's."""
+    """Return a platform that uses the loop's clock."""
     return memory.MemoryPlatform(clock=loop.time)
--- a/src/tealcove/claims/tests/test_claim_machine.py
+++ b/src/tealcove/claims/tests/test_claim_machine.py
@@ -1,4 +1,4 @@
-"""Claims under lost replies, outages, cuts, doubled messages and deaths."""
+"""Claims under lost replies, outages, partitions, duplicate messages and crashes."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 KEYS = tuple(f"a/{number}" for number in range(5))
 SHORT = (0.001, 0.021, 0.2)
 LONG = (0.8, 3.0, 12.0)
-SELDOM = (False, False, False, True)
+RARELY = (False, False, False, True)
 ENDINGS = ("complete", "refused", "unknown")
 
 
 class ClaimMachine(stateful.RuleBasedStateMachine):
-    """Any order of events; a key is dispatched once at most, and never forgotten."""
+    """Check that each key is dispatched at most once and its row is never lost."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -35,8 +35,8 @@
         self.rows = builders.LateTable(self.platform.table)
         self.bus = builders.Bus()
         self.dispatches: collections.Counter[str] = collections.Counter()
-        # Whether a claim was ever taken for another's after a lost reply.
-        self.taken_from_itself = False
+        # Whether a claim was ever mistaken for another request's after a lost reply.
+        self.mistook_own_claim = False
         for number in INSTANCES:
             self.start(number)
         self.wait(1.0)
@@ -53,13 +53,13 @@
     async def request(
         self, instance: builders.Instance, key: str, ending: str, seconds: float
     ) -> None:
-        """Live as a request does at its entry."""
+        """Run a request as its entry does."""
         wanted = builders.claim_of(instance)
         deadline = ids.Instant(clock.now() + builders.DEADLINE)
         try:
             held = await instance.claimer.claim(key, wanted, deadline)
         except claimer.TakenError as error:
-            self.taken_from_itself |= error.found.nonce == wanted.nonce
+            self.mistook_own_claim |= error.found.nonce == wanted.nonce
             return
         except claimer.UnavailableError:
             return
@@ -103,7 +103,7 @@
         self.wait(seconds)
 
     @stateful.rule(
-        down=st.sampled_from(SELDOM),
+        down=st.sampled_from(RARELY),
         slow=st.sampled_from([0.0, 0.0, 0.1, 2.5]),
         lost=st.integers(0, 4),
     )
@@ -111,12 +111,14 @@
         self.platform.faults = faults.Faults(down=down, slow=slow, lose_replies=lost)
 
     @stateful.rule(
-        doubling=st.booleans(),
+        duplicating=st.booleans(),
         delay=st.sampled_from([builders.DELAY, builders.DELAY, 0.3, 0.6]),
         cut=st.sampled_from([None, None, *INSTANCES]),
     )
-    def disturb_messages(self, doubling: bool, delay: float, cut: int | None) -> None:
-        self.bus.doubling = doubling
+    def disturb_messages(
+        self, duplicating: bool, delay: float, cut: int | None
+    ) -> None:
+        self.bus.duplicating = duplicating
         self.bus.delay = delay
         self.bus.cut = set() if cut is None else {cut}
 
@@ -128,7 +130,7 @@
 
     @stateful.rule(number=st.sampled_from(INSTANCES))
     def replace(self, number: int) -> None:
-        """Kill an instance; another run of it starts under the same name."""
+        """Kill an instance and start a new incarnation with the same name."""
         self.bus.instances[number].kill()
         self.start(number)
 
@@ -137,16 +139,16 @@
         for key, count in self.dispatches.items():
             assert count == 1
             assert (claim.TABLE, key) in self.platform.table.rows
-        assert not self.taken_from_itself
+        assert not self.mistook_own_claim
 
     def teardown(self) -> None:
-        """Once all faults are over, each request that lives has been settled."""
+        """Check that no claim is active any more once all faults are over."""
         with self.resources:
             self.heal()
             self.wait(30.0)
             self.dispatched_once_and_remembered()
             for instance in self.bus.instances.values():
-                assert not instance.claimer.live
+                assert not instance.claimer.active
 
 
 ClaimMachine.TestCase.settings = hypothesis.settings(
@@ -154,7 +156,7 @@
     stateful_step_count=30,
     deadline=None,
     derandomize=True,
-    # Each example takes milliseconds, but making one smaller takes thousands.
+    # An example runs in milliseconds, but shrinking one takes thousands of runs.
     phases=(hypothesis.Phase.explicit, hypothesis.Phase.generate),
 )
 TestClaims = ClaimMachine.TestCase
--- a/src/tealcove/dispatch/fair.py
+++ b/src/tealcove/dispatch/fair.py
@@ -1,4 +1,4 @@
-"""The scheduler that holds the queue back and protects higher tiers."""
+"""The scheduler that queues tickets centrally and protects higher tiers."""
 
 from __future__ import annotations
 
@@ -12,41 +12,41 @@
     cells,
     cellstate,
     choice,
-    filling,
+    granting,
     holds,
     isolation,
     messages,
-    pressure,
+    preemption,
     scheduler,
     servers,
     stragglers,
     suspicion,
 )
 
-# Seconds between two looks at all servers' pace and all free slots.
+# Seconds between two reviews of all servers' pace and all free slots.
 REVIEW_INTERVAL = 0.25
-# A slot whose entry is gone is kept for so long: the engine may still work on
-# the request, since it waits for the entry to resume the stream.
+# Seconds for which the slot of a lost entry's request stays taken: the engine may
+# still work on the request, since it waits for the entry to resume the stream.
 ORPHAN_SECONDS = 5.0
 
 
 class FairScheduler(scheduler.Scheduler):
-    """Tier, then fair among client accounts, then least slack.
+    """Schedules by tier, then fairly among client accounts, then by least slack.
 
-    Every event ends with the same steps: free slots are granted, tickets whose
-    time runs out get a slot by force, and what is too late is refused.
+    Every event ends with the same steps: free slots are granted, lower tiers are
+    preempted for tickets near their latest start, and late tickets are refused.
     """
 
     def __init__(self) -> None:
         self.state = cellstate.CellState()
-        self.pressure = pressure.Pressure(self.state)
+        self.preemption = preemption.Preemption(self.state)
         self.isolation = isolation.Isolation(self.state)
-        self.filling = filling.Filling(self.state)
+        self.granter = granting.SlotGranter(self.state)
         self.is_gathering = False
         self.gather_until = ids.Instant(0.0)
         self.next_review = ids.Instant(0.0)
 
-    def suspect_by(self, suspicion: suspicion.Suspicion) -> None:
+    def use_suspicion(self, suspicion: suspicion.Suspicion) -> None:
         """See Scheduler."""
         self.state.suspicion = suspicion
 
@@ -55,19 +55,19 @@
         self.is_gathering = True
         self.gather_until = until
         for server in self.state.fleet.servers.values():
-            server.forget_expected()
+            server.discard_predictions()
 
     def depth(self) -> tuple[int, int]:
         """See Scheduler."""
-        return len(self.state.queue), len(self.state.fleet.where)
+        return len(self.state.queue), len(self.state.fleet.server_of_ticket)
 
     def configure(self, cell: cells.Cell, now: ids.Instant) -> list[scheduler.Outgoing]:
         """See Scheduler."""
         fleet = self.state.fleet
         for ticket_id in fleet.configure(cell):
-            # The server is no longer the cell's; its work goes on without a slot.
+            # The server has left the cell; its requests run on without a slot.
             fleet.end(ticket_id, now)
-        stragglers.judge(fleet.servers.values(), now)
+        stragglers.update_paces(fleet.servers.values(), now)
         return self.decide(fleet.servers.values(), now)
 
     def enqueue(
@@ -77,46 +77,46 @@
         if ticket.running_on is not None:
             self.state.adopt(ticket, now)
             return []
-        server = self.state.fleet.where.get(ticket.ticket_id)
+        server = self.state.fleet.server_of_ticket.get(ticket.ticket_id)
         if server is not None:
-            # The entry asks again: it didn't get the grant.
-            server.running[ticket.ticket_id].told = now
-            return [self.state.tell_grant(ticket, server)]
+            # The entry has sent the ticket again: the grant was lost.
+            server.running[ticket.ticket_id].refreshed_at = now
+            return [self.state.grant_message(ticket, server)]
         queued = messages.Queued(ticket_id=ticket.ticket_id)
         answer = scheduler.Outgoing(ticket.entry, queued)
         known = self.state.queue.tickets.get(ticket.ticket_id)
         if known is not None:
-            known.told = now
+            known.refreshed_at = now
             return [answer]
         usable = self.state.fleet.usable(ticket)
-        found = choice.estimate(ticket, usable)
-        reason = self.reason_against(ticket, found)
-        if not usable and reason is None and not self.is_return_likely(ticket):
+        predicted = choice.estimate(ticket, usable)
+        reason = self.refusal_reason(ticket, predicted)
+        if not usable and reason is None and not self.may_become_usable(ticket):
             reason = messages.RefusalReason.NO_BACKEND_SERVER
         if reason is not None:
-            return [self.state.tell_refusal(ticket, reason)]
-        waiting = self.state.wait(ticket, found, now)
+            return [self.state.refusal_message(ticket, reason)]
+        waiting = self.state.queue_ticket(ticket, predicted, now)
         outgoing = []
         if not waiting.lane.is_suspect and not self.is_gathering:
-            outgoing.extend(self.filling.place(waiting, now))
+            outgoing.extend(self.granter.grant_on_arrival(waiting, now))
         outgoing.extend(self.decide((), now))
-        # A grant or refusal at once says as well that this dispatcher is there.
+        # An immediate grant or refusal replaces the acknowledgement.
         return [answer, *outgoing] if waiting.is_queued else outgoing
 
-    def reason_against(
-        self, ticket: messages.Ticket, found: choice.Estimate
+    def refusal_reason(
+        self, ticket: messages.Ticket, predicted: choice.Estimate
     ) -> messages.RefusalReason | None:
-        """Return why a ticket isn't queued, if so."""
+        """Return the reason to refuse a new ticket, or None to queue it."""
         if self.state.suspicion.is_quarantined(ticket.digest):
             return messages.RefusalReason.QUARANTINED
-        # Time spent waiting elsewhere counts: work that an idle fleet could have
-        # ended in time is not refused for its deadline.
-        if found.idle > ticket.remaining + ticket.waited:
+        # Time spent waiting at other dispatchers counts: a request that an idle fleet
+        # could have completed in time isn't refused for its deadline.
+        if predicted.idle > ticket.remaining + ticket.waited:
             return messages.RefusalReason.DEADLINE
         return None
 
-    def is_return_likely(self, ticket: messages.Ticket) -> bool:
-        """Tell whether a server that can't be reached just now may come back."""
+    def may_become_usable(self, ticket: messages.Ticket) -> bool:
+        """Tell whether an unreachable server may become usable again."""
         return any(
             name not in ticket.excluded and not server.leaving and not server.reachable
             for name, server in self.state.fleet.servers.items()
@@ -128,14 +128,14 @@
         """See Scheduler."""
         waiting = self.state.queue.tickets.get(ticket_id)
         if waiting is not None:
-            self.state.leave(waiting)
+            self.state.remove_from_queue(waiting)
         return self.end(ticket_id, 0.0, now)
 
     def progress(
         self, progress: messages.Progress, now: ids.Instant
     ) -> list[scheduler.Outgoing]:
         """See Scheduler."""
-        server = self.state.fleet.where.get(progress.ticket_id)
+        server = self.state.fleet.server_of_ticket.get(progress.ticket_id)
         if server is not None:
             server.running[progress.ticket_id].has_first_token = True
         return []
@@ -146,7 +146,7 @@
         if server is not None:
             if done.outcome is messages.Outcome.COMPLETED:
                 running = server.running.get(done.ticket_id)
-                stragglers.learn(server, running, done, now)
+                stragglers.observe_completion(server, running, done, now)
             if done.outcome in (messages.Outcome.NOT_SENT, messages.Outcome.CRASHED):
                 server.reachable = False
             if done.outcome is messages.Outcome.CRASHED:
@@ -157,7 +157,7 @@
     def end(
         self, ticket_id: ids.TicketId, tokens: float, now: ids.Instant
     ) -> list[scheduler.Outgoing]:
-        """Take back a slot and grant it again, first to whom it was promised."""
+        """Release a slot and grant it again, first to the ticket it was freed for."""
         ended = self.state.end(ticket_id, now, tokens)
         if ended is None:
             return self.decide((), now)
@@ -165,12 +165,12 @@
         outgoing = []
         promised = self.state.queue.tickets.get(running.preempted_for)
         if promised is not None:
-            found = choice.choose(promised, (server,), now, 0, keeps_short=False)
-            if found is not None:
-                outgoing.append(self.state.grant(promised, found, now))
+            chosen = choice.choose(promised, (server,), now, 0, keep_reserved=False)
+            if chosen is not None:
+                outgoing.append(self.state.grant(promised, chosen, now))
         freed = (server,)
         if not running.ticket.idempotent:
-            # The limit on such work is the cell's, so any free slot may do now.
+            # The limit on such work holds for the cell, so any slot may be granted.
             freed = self.state.fleet.servers.values()
         return [*outgoing, *self.decide(freed, now)]
 
@@ -181,47 +181,47 @@
         now: ids.Instant,
     ) -> list[scheduler.Outgoing]:
         """See Scheduler."""
-        found = self.state.fleet.servers.get(server)
-        if found is None:
+        server_state = self.state.fleet.servers.get(server)
+        if server_state is None:
             return []
-        found.reachable = load is not None
+        server_state.reachable = load is not None
         if load is not None:
-            found.leaving = load.state == "leaving"
-            found.take_report(load, now)
-        return self.decide((found,), now)
+            server_state.leaving = load.state == "leaving"
+            server_state.apply_load_report(load, now)
+        return self.decide((server_state,), now)
 
     def cached(
         self, server: ids.BackendServerId, events: engine.CacheEvents, now: ids.Instant
     ) -> list[scheduler.Outgoing]:
         """See Scheduler."""
-        found = self.state.fleet.servers.get(server)
-        if found is not None:
-            found.index.take_events(events)
+        server_state = self.state.fleet.servers.get(server)
+        if server_state is not None:
+            server_state.index.apply_events(events)
         return []
 
     def last_event(self, server: ids.BackendServerId) -> int:
         """See Scheduler."""
-        found = self.state.fleet.servers.get(server)
-        return 0 if found is None else found.index.last
+        server_state = self.state.fleet.servers.get(server)
+        return 0 if server_state is None else server_state.index.last_sequence
 
     def hold_back(
         self, server: ids.BackendServerId, now: ids.Instant
     ) -> list[scheduler.Outgoing]:
         """See Scheduler."""
-        found = self.state.fleet.servers.get(server)
-        if found is not None:
-            found.leaving = True
+        server_state = self.state.fleet.servers.get(server)
+        if server_state is not None:
+            server_state.leaving = True
         return []
 
     def report_hold(self, report: holds.HoldReport) -> holds.HoldReport:
         """See Scheduler."""
-        found = self.state.fleet.servers.get(report.server)
-        if found is None:
+        server_state = self.state.fleet.servers.get(report.server)
+        if server_state is None:
             return report
         return msgspec.structs.replace(
             report,
-            is_held=report.is_held or found.leaving,
-            running=len(found.running),
+            is_held=report.is_held or server_state.leaving,
+            running=len(server_state.running),
             is_gathering=self.is_gathering,
         )
 
@@ -231,12 +231,12 @@
         """See Scheduler."""
         for waiting in list(self.state.queue.tickets.values()):
             if waiting.ticket.entry == entry:
-                self.state.leave(waiting)
+                self.state.remove_from_queue(waiting)
         for server in self.state.fleet.servers.values():
             for running in server.running.values():
-                if running.ticket.entry == entry and running.ends_by is None:
-                    ends_by = min(running.deadline, now + ORPHAN_SECONDS)
-                    running.ends_by = ids.Instant(ends_by)
+                if running.ticket.entry == entry and running.orphaned_until is None:
+                    orphaned_until = min(running.deadline, now + ORPHAN_SECONDS)
+                    running.orphaned_until = ids.Instant(orphaned_until)
         return self.decide((), now)
 
     def tick(self, now: ids.Instant) -> list[scheduler.Outgoing]:
@@ -244,46 +244,48 @@
         if now < self.next_review:
             return self.decide((), now)
         self.next_review = ids.Instant(now + REVIEW_INTERVAL)
-        found = self.state.fleet.servers.values()
-        self.drop_untold(now)
-        for server in found:
+        all_servers = self.state.fleet.servers.values()
+        self.drop_stale_tickets(now)
+        for server in all_servers:
             self.drop_orphans(server, now)
-        stragglers.judge(found, now)
-        self.state.fleet.keep_short(now)
-        return self.decide(found, now)
+        stragglers.update_paces(all_servers, now)
+        self.state.fleet.update_short_reservation(now)
+        return self.decide(all_servers, now)
 
     def drop_orphans(self, server: servers.ServerState, now: ids.Instant) -> None:
-        """Take back slots whose end nobody will tell of."""
+        """Release slots for whose requests no end will be reported."""
         for ticket_id, running in list(server.running.items()):
-            is_orphan = running.ends_by is not None and running.ends_by <= now
-            if running.ends_by is not None and not server.reachable:
-                # The entry that would have told of the crash is gone as well.
-                alone = server.isolated == ticket_id
+            is_orphan = (
+                running.orphaned_until is not None and running.orphaned_until <= now
+            )
+            if running.orphaned_until is not None and not server.reachable:
+                # The entry that would have reported the crash is lost as well.
+                alone = server.isolated_ticket == ticket_id
                 self.state.suspicion.lost(running.ticket, server.name, alone, now)
                 is_orphan = True
-            # Of a lost entry's requests nobody tells: they have the time above.
-            is_untold = running.ends_by is None and (
-                now - running.told > scheduler.UNTOLD_SECONDS
+            # A lost entry refreshes nothing: its requests have `orphaned_until`.
+            is_stale = running.orphaned_until is None and (
+                now - running.refreshed_at > scheduler.REFRESH_TIMEOUT
             )
-            if is_orphan or is_untold:
+            if is_orphan or is_stale:
                 self.state.end(ticket_id, now, running.charged)
 
-    def drop_untold(self, now: ids.Instant) -> None:
-        """Forget queued tickets whose withdrawal must have got lost."""
+    def drop_stale_tickets(self, now: ids.Instant) -> None:
+        """Remove queued tickets whose entry has stopped refreshing them."""
         for waiting in list(self.state.queue.tickets.values()):
-            if now - waiting.told > scheduler.UNTOLD_SECONDS:
-                self.state.leave(waiting)
+            if now - waiting.refreshed_at > scheduler.REFRESH_TIMEOUT:
+                self.state.remove_from_queue(waiting)
 
     def decide(
         self, freed: Iterable[servers.ServerState], now: ids.Instant
     ) -> list[scheduler.Outgoing]:
-        """Grant the slots of some servers, then look at what time has run out."""
+        """Grant the slots of some servers, then handle tickets near their deadline."""
         if self.is_gathering and now >= self.gather_until:
             self.is_gathering = False
             freed = self.state.fleet.servers.values()
         outgoing = []
         if not self.is_gathering:
             outgoing.extend(self.isolation.advance(now))
-            outgoing.extend(self.filling.fill(freed, now))
-        outgoing.extend(self.pressure.advance(now, self.is_gathering))
+            outgoing.extend(self.granter.grant_free_slots(freed, now))
+        outgoing.extend(self.preemption.advance(now, self.is_gathering))
         return outgoing
--- a/src/tealcove/dispatch/goal.py
+++ b/src/tealcove/dispatch/goal.py
@@ -1,4 +1,4 @@
-"""The scheduler for callers who hope for a first event within a goal."""
+"""Scheduler for requests with a goal for the time to their first event."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
     backendview,
     backendviews,
     cells,
-    earliertries,
     exposure,
+    firstattempts,
     inflow,
     messages,
-    placing,
+    placement,
     retry,
     scheduler,
     shares,
@@ -27,22 +27,21 @@
 
 log = logbook.Logger("dispatch")
 
-# Seconds between two looks at what only the passing of time changes.
+# Seconds between two checks for changes that no event announces.
 REVIEW_INTERVAL = 0.1
-# Seconds between two forecasts of a long line; up to so many tickets it's made at each
-# event. Made at each event of a long line, forecasts take half a core with thirty
-# servers at twice their load, and the dispatcher comes late with everything.
+# Seconds between two forecasts of a line longer than SHORT_LINE; shorter ones are
+# forecast at each event. Forecasting a long line at each event takes half a core with
+# thirty servers at twice their load, and delays everything that the dispatcher does.
 FORECAST_INTERVAL = 0.05
 SHORT_LINE = 16
-# Seconds between two looks for earlier tries that can be forgotten: a look goes through
-# all of them.
-FORGET_INTERVAL = 1.0
+# Seconds between two removals of expired first attempts; each scans all of them.
+EXPIRY_INTERVAL = 1.0
 
 
 class GoalScheduler(scheduler.Scheduler):
-    """Goals in reach first within each tier, each ticket where it ends soonest.
+    """Serves reachable goals first in each tier, each on the server that ends soonest.
 
-    The order of the line and its forecast are those of `waitingline`.
+    `waitingline` defines the order of the line and its forecast.
     """
 
     def __init__(self) -> None:
@@ -52,19 +51,19 @@
         self.exposure: exposure.Exposure = exposure.AnyVersion()
         self.inflow = inflow.Inflow()
         self.shares = shares.Shares()
-        self.tries = earliertries.EarlierTries()
-        # Of the pool that it decides by.
+        self.attempts = firstattempts.FirstAttempts()
+        # Revision of the pool that decisions are based on.
         self.revision = ids.Revision(0)
         self.gather_until = ids.Instant(0.0)
         self.next_review = ids.Instant(0.0)
         self.next_forecast = ids.Instant(0.0)
-        self.next_forget = ids.Instant(0.0)
+        self.next_expiry = ids.Instant(0.0)
 
-    def suspect_by(self, suspicion: suspicion.Suspicion) -> None:
+    def use_suspicion(self, suspicion: suspicion.Suspicion) -> None:
         """See Scheduler."""
         self.suspicion = suspicion
 
-    def expose_by(self, exposed: exposure.Exposure) -> None:
+    def use_exposure(self, exposed: exposure.Exposure) -> None:
         """See Scheduler."""
         self.exposure = exposed
 
@@ -72,22 +71,22 @@
         """See Scheduler."""
         return self.views.servers.values()
 
-    def takers(self) -> list[backendview.BackendView]:
-        """Return the servers whose version may get a request now."""
+    def eligible_servers(self) -> list[backendview.BackendView]:
+        """Return the servers whose version may receive a request now."""
         servers = self.views.servers.values()
-        return [server for server in servers if self.exposure.may_take(server.spec)]
+        return [server for server in servers if self.exposure.may_receive(server.spec)]
 
-    def free_of(
+    def with_free_slots(
         self, servers: Iterable[backendview.BackendView], now: ids.Instant
     ) -> list[backendview.BackendView]:
-        """Return the servers that may get a request and have room for it.
+        """Return the servers that have a free slot and may receive a request.
 
-        Room is asked for first, since most servers have none when it matters.
+        Free slots are checked first, since under load most servers have none.
         """
         return [
             server
             for server in servers
-            if server.room(now) > 0 and self.exposure.may_take(server.spec)
+            if server.free_slots(now) > 0 and self.exposure.may_receive(server.spec)
         ]
 
     def gather(self, until: ids.Instant) -> None:
@@ -96,7 +95,7 @@
 
     def depth(self) -> tuple[int, int]:
         """See Scheduler."""
-        return len(self.line), len(self.views.where)
+        return len(self.line), len(self.views.server_by_ticket)
 
     def configure(self, cell: cells.Cell, now: ids.Instant) -> list[scheduler.Outgoing]:
         """See Scheduler."""
@@ -112,49 +111,49 @@
             self.line.pop(ticket.ticket_id, None)
             self.views.adopt(ticket, now)
             return []
-        server = self.views.where.get(ticket.ticket_id)
+        server = self.views.server_by_ticket.get(ticket.ticket_id)
         if server is not None:
-            # The entry asks again: it didn't get the grant.
-            server.runs[ticket.ticket_id].told = now
-            return [tell_grant(ticket, server, self.revision)]
+            # The entry repeats the ticket because it didn't receive the grant.
+            server.runs[ticket.ticket_id].refreshed_at = now
+            return [grant_message(ticket, server, self.revision)]
         queued = messages.Queued(ticket_id=ticket.ticket_id)
         answer = scheduler.Outgoing(ticket.entry, queued)
         known = self.line.get(ticket.ticket_id)
         if known is not None:
-            known.told = now
+            known.refreshed_at = now
             return [answer]
         if self.suspicion.is_quarantined(ticket.digest):
             reason = messages.RefusalReason.QUARANTINED
-            return [self.refusal(ticket, reason, retry.LONGEST_SECONDS, now)]
+            return [self.refusal(ticket, reason, retry.MAX_SECONDS, now)]
         self.line[ticket.ticket_id] = self.wait(ticket, now)
         return [answer, *self.decide(now)]
 
     def wait(self, ticket: messages.Ticket, now: ids.Instant) -> waitingline.Waiting:
-        """Return a ticket as it stands in the line."""
-        takes = self.views.estimate(ticket)
-        held = takes.held
-        flow = self.shares.flow(ticket.tier_rank, ticket.urgency, held)
+        """Return the line's record of a ticket and count its arrival."""
+        estimate = self.views.estimate(ticket)
+        slot_seconds = estimate.slot_seconds
+        flow = self.shares.flow(ticket.tier_rank, ticket.urgency, slot_seconds)
         end_by = now + ticket.remaining - waitingline.MARGIN
-        start_by = end_by - takes.total
+        start_by = end_by - estimate.total
         if ticket.patience > 0.0:
-            leaves_at = now + ticket.patience - takes.first - waitingline.MARGIN
+            leaves_at = now + ticket.patience - estimate.first - waitingline.MARGIN
             start_by = min(start_by, leaves_at)
         goal_at = ids.Instant(now + ticket.goal if ticket.goal > 0.0 else math.inf)
-        earlier = self.tries.first(ticket, goal_at, now)
+        earlier = self.attempts.find_or_add(ticket, goal_at, now)
         if earlier is not None:
             goal_at = earlier.goal_at
         elif ticket.waited < inflow.FRESH_SECONDS:
-            self.inflow.note(ticket.tier_rank, held, now)
-            self.shares.note_arrival(flow, held, now)
+            self.inflow.record(ticket.tier_rank, slot_seconds, now)
+            self.shares.record_arrival(flow, slot_seconds, now)
         return waitingline.Waiting(
             ticket=ticket,
             since=ids.Instant(now - ticket.waited),
-            told=now,
+            refreshed_at=now,
             goal_at=goal_at,
             start_by=ids.Instant(start_by),
             end_by=ids.Instant(end_by),
-            best_first=takes.first,
-            slot_seconds=held,
+            best_first=estimate.first,
+            slot_seconds=slot_seconds,
             flow=flow,
         )
 
@@ -170,13 +169,13 @@
         self, progress: messages.Progress, now: ids.Instant
     ) -> list[scheduler.Outgoing]:
         """See Scheduler."""
-        server = self.views.where.get(progress.ticket_id)
+        server = self.views.server_by_ticket.get(progress.ticket_id)
         if server is None:
             return []
         run = server.runs[progress.ticket_id]
         run.has_first_token = True
-        server.heard_at = now
-        server.learn_first(run, progress.first_token_seconds)
+        server.last_activity = now
+        server.learn_first_token(run, progress.first_token_seconds)
         return []
 
     def done(self, done: messages.Done, now: ids.Instant) -> list[scheduler.Outgoing]:
@@ -184,28 +183,28 @@
         released = self.views.release(done.ticket_id)
         server = self.views.servers.get(done.server)
         if server is not None and server.spec.start == done.start:
-            self.note_outcome(server, done, now)
+            self.record_outcome(server, done, now)
         if released is not None:
             view, run = released
-            self.exposure.note_end(view.spec, run.ticket.route, done)
+            self.exposure.record_end(view.spec, run.ticket.route, done)
             if done.outcome is messages.Outcome.COMPLETED:
-                view.learn_end(run, done)
+                view.learn_completion(run, done)
         return self.decide(now)
 
-    def note_outcome(
+    def record_outcome(
         self, server: backendview.BackendView, done: messages.Done, now: ids.Instant
     ) -> None:
-        """Take in what the end of a request says of its server."""
+        """Update a server's failure statistics from the end of a request."""
         if done.outcome is messages.Outcome.COMPLETED:
-            server.note_success()
-            server.heard_at = now
+            server.record_success()
+            server.last_activity = now
         elif done.outcome is messages.Outcome.FAILED:
-            server.note_failure()
+            server.record_failure()
         elif done.outcome is not messages.Outcome.CANCELLED:
-            server.note_failure()
-            server.note_unreachable(now)
+            server.record_failure()
+            server.record_unreachable(now)
             log.info(
-                "no work for {} for {:.1f} s: {}",
+                "{} is paused for {:.1f} s: {}",
                 server.name,
                 server.paused_until - now,
                 done.outcome.value,
@@ -217,7 +216,7 @@
         load: engine.LoadReport | None,
         now: ids.Instant,
     ) -> list[scheduler.Outgoing]:
-        """See Scheduler; load reports are too old to decide by."""
+        """See Scheduler; ignored, since load reports are too old to decide by."""
         return []
 
     def lose_entry(
@@ -234,42 +233,43 @@
         if now < self.next_review:
             return []
         self.next_review = ids.Instant(now + REVIEW_INTERVAL)
-        self.give_up_untold(now)
-        if now >= self.next_forget:
-            self.next_forget = ids.Instant(now + FORGET_INTERVAL)
-            self.tries.forget(now)
+        self.expire_stale(now)
+        if now >= self.next_expiry:
+            self.next_expiry = ids.Instant(now + EXPIRY_INTERVAL)
+            self.attempts.expire(now)
         return self.decide(now)
 
-    def give_up_untold(self, now: ids.Instant) -> None:
-        """Forget tickets and slots of which no entry tells any more."""
-        since = now - scheduler.UNTOLD_SECONDS
-        for ticket_id in [i for i, w in self.line.items() if w.told < since]:
+    def expire_stale(self, now: ids.Instant) -> None:
+        """Drop tickets and slots that their entries have stopped refreshing."""
+        since = now - scheduler.REFRESH_TIMEOUT
+        for ticket_id in [i for i, w in self.line.items() if w.refreshed_at < since]:
             del self.line[ticket_id]
-        self.views.release_untold(now)
+        self.views.release_stale(now)
 
     def decide(self, now: ids.Instant) -> list[scheduler.Outgoing]:
-        """Grant free slots in order, and refuse what can't be in time."""
+        """Grant free slots in order, and refuse tickets that can't start in time."""
         if not self.line or now < self.gather_until:
             return []
         outgoing = self.fill(now)
         if len(self.line) <= SHORT_LINE or now >= self.next_forecast:
             self.next_forecast = ids.Instant(now + FORECAST_INTERVAL)
-            outgoing.extend(self.give_up_hopeless(now))
+            outgoing.extend(self.refuse_too_late(now))
         return outgoing
 
     def ordered(self, now: ids.Instant) -> list[waitingline.Waiting]:
-        """Return the line in order."""
-        standings = self.shares.standings()
+        """Return the waiting tickets, sorted."""
+        levels = self.shares.service_levels()
         return sorted(
-            self.line.values(), key=lambda w: waitingline.place(w, standings, now)
+            self.line.values(),
+            key=lambda w: waitingline.sort_key(w, levels, now),
         )
 
-    def give_up_hopeless(self, now: ids.Instant) -> list[scheduler.Outgoing]:
-        """Refuse what would start too late."""
+    def refuse_too_late(self, now: ids.Instant) -> list[scheduler.Outgoing]:
+        """Refuse the tickets that are forecast to start too late."""
         line = self.ordered(now)
-        found = waitingline.forecast(line, self.takers(), self.inflow, now)
+        found = waitingline.forecast(line, self.eligible_servers(), self.inflow, now)
         outgoing = []
-        for waiting, seconds in found.hopeless:
+        for waiting, seconds in found.too_late:
             del self.line[waiting.ticket.ticket_id]
             reason = messages.RefusalReason.OVERLOAD
             outgoing.append(self.refusal(waiting.ticket, reason, seconds, now))
@@ -277,19 +277,19 @@
 
     def fill(self, now: ids.Instant) -> list[scheduler.Outgoing]:
         """Grant free slots to tickets in order."""
-        free = self.free_of(self.views.servers.values(), now)
+        free = self.with_free_slots(self.views.servers.values(), now)
         outgoing = []
-        # The line is put in order only where somebody can leave it: after most events
-        # under overload no slot is free.
+        # The line is sorted only if a slot is free: under overload, none is after most
+        # events.
         for waiting in self.ordered(now) if free else ():
             if not free:
                 break
             excluded = self.views.excluded(waiting.ticket)
             allowed = [server for server in free if server.name not in excluded]
-            server = placing.choose(waiting, allowed, self.exposure, now)
+            server = placement.choose(waiting, allowed, self.exposure, now)
             if server is not None:
                 outgoing.append(self.grant(waiting, server, now))
-                free = self.free_of(free, now)
+                free = self.with_free_slots(free, now)
         return outgoing
 
     def grant(
@@ -298,16 +298,16 @@
         server: backendview.BackendView,
         now: ids.Instant,
     ) -> scheduler.Outgoing:
-        """Give a slot to a ticket of the line."""
+        """Grant a slot to a waiting ticket."""
         ticket = waiting.ticket
         del self.line[ticket.ticket_id]
         run = self.views.start(ticket, server, now)
-        self.exposure.note_grant(server.spec)
+        self.exposure.record_grant(server.spec)
         if now + run.first <= waiting.goal_at:
-            self.shares.note_grant(waiting.flow, now)
+            self.shares.record_grant(waiting.flow, now)
         log.info(
-            "granted {} after {:.3f} s: tier {} urgency {}, {} wait, {} of {} slots, "
-            "first {:.3f}, goal in {:.3f}, pool of revision {}",
+            "granted {} after {:.3f} s: tier {} urgency {}, {} waiting, {} of {} slots "
+            "used, first event in {:.3f} s, goal in {:.3f} s, pool revision {}",
             server.name,
             now - waiting.since,
             ticket.tier_rank,
@@ -320,7 +320,7 @@
             self.revision,
             extra={"request": ticket.request_id},
         )
-        return tell_grant(ticket, server, self.revision)
+        return grant_message(ticket, server, self.revision)
 
     def refusal(
         self,
@@ -329,36 +329,37 @@
         drain: float,
         now: ids.Instant,
     ) -> scheduler.Outgoing:
-        """Return the message that a ticket won't get a slot."""
+        """Return the message that refuses a ticket, and log it."""
         log.info(
-            "refused: {}, tier {} urgency {}, {} wait, {} run, drained in {:.3f} s",
+            "refused: {}, tier {} urgency {}, {} waiting, {} running, "
+            "slot expected in {:.3f} s",
             reason.value,
             ticket.tier_rank,
             ticket.urgency,
             len(self.line),
-            len(self.views.where),
+            len(self.views.server_by_ticket),
             drain,
             extra={"request": ticket.request_id, "final": True},
         )
         refusal = messages.Refusal(
             ticket_id=ticket.ticket_id,
             reason=reason,
-            retry_after=retry.seconds_after(ticket.ticket_id, drain),
+            retry_after=retry.wait_seconds(ticket.ticket_id, drain),
         )
         return scheduler.Outgoing(ticket.entry, refusal)
 
 
-def tell_grant(
+def grant_message(
     ticket: messages.Ticket, server: backendview.BackendView, revision: ids.Revision
 ) -> scheduler.Outgoing:
-    """Return the message that a ticket holds a slot."""
+    """Return the message that grants a ticket its slot."""
     grant = messages.Grant(
         ticket_id=ticket.ticket_id,
         cell=ticket.cell,
         server=server.name,
         host=server.spec.host,
         port=server.spec.port,
-        first_seconds=server.told_first_seconds(server.runs[ticket.ticket_id]),
+        first_seconds=server.announced_first_seconds(server.runs[ticket.ticket_id]),
         start=server.spec.start,
         revision=revision,
     )
--- a/src/tealcove/dispatch/filling.py
+++ b/src/tealcove/dispatch/granting.py
@@ -1,4 +1,4 @@
-"""Grants free slots in the queue's order."""
+"""Granting of free slots in queue order."""
 
 from __future__ import annotations
 
@@ -15,41 +15,43 @@
     stragglers,
 )
 
-# Tickets of one account that are tried when the first ones don't fit the free
-# slots; without this bound each event could cost a walk through the whole queue.
+# Tickets of one account that are tried per slot; without this bound, each event could
+# scan the whole queue when the first tickets don't fit the free slots.
 LOOK_AHEAD = 4
 
 
-class Filling:
-    """Gives each free slot to the first ticket in order that it fits."""
+class SlotGranter:
+    """Grants each free slot to the first ticket in order that can use it."""
 
     def __init__(self, state: cellstate.CellState) -> None:
         self.state = state
 
-    def fill(
+    def grant_free_slots(
         self, freed: Iterable[servers.ServerState], now: ids.Instant
     ) -> list[scheduler.Outgoing]:
-        """Grant free slots in the queue's order until none fits any more."""
+        """Grant free slots in queue order until no ticket can use one."""
         outgoing = []
         for rank in self.state.queue.ranks():
-            free = [server for server in freed if server.free() > 0]
+            free = [server for server in freed if server.free_slots() > 0]
             while free:
-                granted = self.fill_one(rank, free, now)
+                granted = self.grant_one(rank, free, now)
                 if granted is None:
                     break
                 outgoing.append(granted)
-                free = [server for server in free if server.free() > 0]
+                free = [server for server in free if server.free_slots() > 0]
         return outgoing
 
-    def fill_one(
+    def grant_one(
         self, rank: int, free: list[servers.ServerState], now: ids.Instant
     ) -> scheduler.Outgoing | None:
-        """Grant one slot to the next ticket of a tier that fits."""
+        """Grant one slot to the next ticket of a tier that can use one."""
         lanes = self.open_lanes(rank, free)
         accounts = self.state.queue.tiers[rank].accounts.values()
         waiting_accounts = [account for account in accounts if account.count]
         for account in sorted(waiting_accounts, key=account_order):
-            for waiting in itertools.islice(account.heads(lanes), LOOK_AHEAD):
+            for waiting in itertools.islice(
+                account.tickets_in_order(lanes), LOOK_AHEAD
+            ):
                 server = self.choose(waiting, free, now)
                 if server is not None:
                     return self.grant(waiting, server, now)
@@ -58,51 +60,56 @@
     def open_lanes(
         self, rank: int, free: list[servers.ServerState]
     ) -> list[queue.Lane]:
-        """Return the lanes that some of the free slots are open to."""
+        """Return the lanes whose tickets may use some of the free slots."""
         fleet = self.state.fleet
-        long_open = any(s.free_long(keeps_short=True) > 0 for s in free)
+        long_open = any(s.free_long_slots(keep_reserved=True) > 0 for s in free)
         return [
             lane
             for lane in queue.SHARED
             if (lane.is_short or long_open)
-            and not fleet.keeps_back(rank, lane.idempotent)
+            and not fleet.at_non_idempotent_limit(rank, lane.idempotent)
         ]
 
-    def place(
-        self, waiting: queue.Waiting, now: ids.Instant
+    def grant_on_arrival(
+        self, waiting: queue.WaitingTicket, now: ids.Instant
     ) -> list[scheduler.Outgoing]:
-        """Grant a new ticket one of the slots that nobody before it could use."""
+        """Grant a new ticket a slot that no ticket ahead of it could use."""
         fleet = self.state.fleet
-        if fleet.keeps_back(waiting.ticket.tier_rank, waiting.lane.idempotent):
+        if fleet.at_non_idempotent_limit(
+            waiting.ticket.tier_rank, waiting.lane.idempotent
+        ):
             return []
-        free = [server for server in fleet.servers.values() if server.free() > 0]
+        free = [server for server in fleet.servers.values() if server.free_slots() > 0]
         server = self.choose(waiting, free, now)
         return [] if server is None else [self.grant(waiting, server, now)]
 
     def choose(
         self,
-        waiting: queue.Waiting,
+        waiting: queue.WaitingTicket,
         free: list[servers.ServerState],
         now: ids.Instant,
     ) -> servers.ServerState | None:
-        """Return the server for a ticket, among some with free slots."""
-        crowd = len(self.state.queue)
-        return choice.choose(waiting, free, now, crowd, keeps_short=True)
+        """Return the best server for a ticket among some with free slots."""
+        queued_count = len(self.state.queue)
+        return choice.choose(waiting, free, now, queued_count, keep_reserved=True)
 
     def grant(
-        self, waiting: queue.Waiting, server: servers.ServerState, now: ids.Instant
+        self,
+        waiting: queue.WaitingTicket,
+        server: servers.ServerState,
+        now: ids.Instant,
     ) -> scheduler.Outgoing:
-        """Grant a slot; a server that is probed has had its probe."""
+        """Grant a slot, and schedule the next probe if the ticket is a probe."""
         is_probe = server.pace is not servers.Pace.NORMAL and choice.is_probe(
             server, waiting, now
         )
         outgoing = self.state.grant(waiting, server, now)
         if is_probe:
             running = server.running[waiting.ticket.ticket_id]
-            stragglers.note_probe(server, running, now)
+            stragglers.schedule_next_probe(server, running, now)
         return outgoing
 
 
 def account_order(account: queue.Account) -> tuple[float, float]:
-    """Return the order of accounts: least start tag, then the oldest ticket."""
-    return (account.tag, account.since)
+    """Return the sort key of accounts: least start tag, then the oldest ticket."""
+    return (account.start_tag, account.oldest_arrival)
--- a/src/tealcove/dispatch/spread.py
+++ b/src/tealcove/dispatch/spread.py
@@ -1,4 +1,4 @@
-"""The choice among the cells of a pool, made by the entry."""
+"""The entry's choice among the cells of a pool, by affinity and load."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 from tealcove.dispatch import cells
 from tealcove.resources import kinds
 
-# By so many tickets of this entry for each of its slots the near cell must be
-# fuller than the other one before a request goes there, away from the cache.
-LEAD = 0.5
-HASH_BYTES = 8
+# By how many of this entry's tickets per slot the near cell's load must exceed the
+# other's before a request goes to the other, where its prefix isn't cached.
+LOAD_LEAD = 0.5
+DIGEST_BYTES = 8
 
 Delay = Callable[[ids.DataCentreId], float]
 
 
 class Pools(typing.Protocol):
-    """Pools by name, as they are in force."""
+    """The pools in force, by name."""
 
     def pool(self, name: str) -> kinds.Resource | None:
         """Return a pool; None when there is none of that name."""
@@ -34,15 +34,15 @@
 
 
 class PoolsOwner(typing.Protocol):
-    """Whoever keeps the pools that are in force."""
+    """The owner of the pools in force."""
 
     @property
     def current(self) -> Pools:
-        """The pools now."""
+        """The pools in force."""
 
 
-class Divided(msgspec.Struct, frozen=True):
-    """A pool as it was divided, and the cells that are nearest."""
+class PoolDivision(msgspec.Struct, frozen=True):
+    """A pool with its cells, and those of them that are nearest."""
 
     pool: kinds.Resource
     cells: tuple[cells.Cell, ...]
@@ -50,12 +50,12 @@
 
 
 class Spread:
-    """Divides each pool once per change, and spreads requests over its cells.
+    """Divides pools into cells and balances requests over them.
 
-    A request goes by the hash of its prompt's beginning, so that those who share
-    a prefix meet in one cell, whose backend servers have it cached. When the cell
-    it leads to has much more of this entry's work than another one, that one is
-    taken (power of two choices): one popular prefix mustn't fill a single cell.
+    The hash of the prompt's beginning chooses the cell, so that requests that share a
+    prefix get the same cell, whose backend servers have it cached. If that cell has
+    much more of this entry's load than a second one, the second is chosen (power of
+    two choices): one popular prefix mustn't overload a single cell.
     """
 
     def __init__(
@@ -66,28 +66,28 @@
     ) -> None:
         self.copy = own
         self.delay = delay
-        # Backend servers in one cell at the most.
+        # The most backend servers in one cell.
         self.cell_servers = cell_servers
-        self.divided: dict[str, Divided] = {}
-        # Tickets of this entry that wait or run, by cell.
+        self.divisions: dict[str, PoolDivision] = {}
+        # This entry's queued or running tickets, by cell.
         self.tickets: collections.Counter[ids.CellId] = collections.Counter()
 
-    def divide(self, pool: kinds.Resource) -> Divided:
-        """Return the cells of a pool, divided anew only when it has changed."""
-        known = self.divided.get(pool.metadata.name)
+    def divide(self, pool: kinds.Resource) -> PoolDivision:
+        """Return the cells of a pool; they are computed once per change of the pool."""
+        known = self.divisions.get(pool.metadata.name)
         if known is not None and known.pool is pool:
             return known
-        found = cells.of_pool(
+        divided_cells = cells.of_pool(
             ids.PoolId(pool.metadata.name), pool.spec, self.cell_servers
         )
         revision = pool.metadata.revision
-        found = tuple(
-            msgspec.structs.replace(cell, revision=revision) for cell in found
+        divided_cells = tuple(
+            msgspec.structs.replace(cell, revision=revision) for cell in divided_cells
         )
-        nearest = min(self.distance(cell) for cell in found)
-        near = tuple(cell for cell in found if self.distance(cell) == nearest)
-        divided = Divided(pool, found, near)
-        self.divided[pool.metadata.name] = divided
+        nearest = min(self.distance(cell) for cell in divided_cells)
+        near = tuple(cell for cell in divided_cells if self.distance(cell) == nearest)
+        divided = PoolDivision(pool, divided_cells, near)
+        self.divisions[pool.metadata.name] = divided
         return divided
 
     def distance(self, cell: cells.Cell) -> float:
@@ -95,14 +95,14 @@
         return 0.0 if cell.data_centre is None else self.delay(cell.data_centre)
 
     def find(self, cell_id: ids.CellId) -> cells.Cell | None:
-        """Return a cell by the configuration in force, or None."""
+        """Return the cell with an id in the configuration in force, or None."""
         name, _, text = cell_id.rpartition("/")
         pool = self.copy.current.pool(name)
         number = count.read(text)
         if pool is None or number is None:
             return None
-        found = self.divide(pool).cells
-        return found[number] if number < len(found) else None
+        pool_cells = self.divide(pool).cells
+        return pool_cells[number] if number < len(pool_cells) else None
 
     def has_left(
         self, cell_id: ids.CellId, server: ids.BackendServerId, revision: ids.Revision
@@ -112,19 +112,21 @@
         return self.copy.current.has_left(name, server, revision)
 
     def choose(self, pool: kinds.Resource, affinity: str) -> cells.Cell:
-        """Return the cell for a request; `affinity` is alike for those that share."""
+        """Return the cell for a request; `affinity` is equal for a shared prefix."""
         divided = self.divide(pool)
         if len(divided.cells) == 1:
             return divided.cells[0]
-        digest = hashlib.blake2b(affinity.encode(), digest_size=2 * HASH_BYTES).digest()
-        first = pick(divided.near, digest[:HASH_BYTES])
-        second = pick(divided.cells, digest[HASH_BYTES:])
-        if self.load(first) > self.load(second) + LEAD:
+        digest = hashlib.blake2b(
+            affinity.encode(), digest_size=2 * DIGEST_BYTES
+        ).digest()
+        first = pick(divided.near, digest[:DIGEST_BYTES])
+        second = pick(divided.cells, digest[DIGEST_BYTES:])
+        if self.load(first) > self.load(second) + LOAD_LEAD:
             return second
         return first
 
     def load(self, cell: cells.Cell) -> float:
-        """Return this entry's tickets for each slot of a cell."""
+        """Return this entry's number of tickets per slot of a cell."""
         slots = sum(server.slots for server in cell.servers)
         return self.tickets[cell.cell_id] / max(1, slots)
 
@@ -133,12 +135,12 @@
         self.tickets[cell_id] += 1
 
     def end(self, cell_id: ids.CellId) -> None:
-        """Count a ticket no longer; a cell without any is forgotten."""
+        """Stop counting a ticket; a cell without tickets is removed."""
         self.tickets[cell_id] -= 1
         if self.tickets[cell_id] <= 0:
             del self.tickets[cell_id]
 
 
-def pick(found: tuple[cells.Cell, ...], digest: bytes) -> cells.Cell:
-    """Return the cell that a digest leads to."""
-    return found[int.from_bytes(digest) % len(found)]
+def pick(choices: tuple[cells.Cell, ...], digest: bytes) -> cells.Cell:
+    """Return the cell that a digest selects."""
+    return choices[int.from_bytes(digest) % len(choices)]
--- a/src/tealcove/entry/exchange.py
+++ b/src/tealcove/entry/exchange.py
@@ -73,7 +73,7 @@
         """Return the work that was done."""
 
     @abc.abstractmethod
-    def whole_answer(self) -> claim.KeptAnswer | None:
+    def whole_answer(self) -> claim.StoredAnswer | None:
         """Return the answer of a completed request; None when it's too long."""
 
     def predicted_tokens(self) -> int:
@@ -173,7 +173,7 @@
             with self.hops.ticket(hold):
                 found = await self.tickets.obtain(hold)
         except asyncio.CancelledError:
-            self.tickets.leave(hold)
+            self.tickets.abandon(hold)
             raise
         if isinstance(found, messages.Refusal):
             self.state.give_up()
@@ -202,7 +202,7 @@
             if clock.now() >= self.request.deadline:
                 raise problem.not_run(messages.RefusalReason.DEADLINE, RETRY_AFTER)
         except BaseException:
-            self.tickets.leave(hold)
+            self.tickets.abandon(hold)
             self.state.give_up()
             raise
 
--- a/src/tealcove/front/instance.py
+++ b/src/tealcove/front/instance.py
@@ -20,7 +20,7 @@
 from tealcove.dispatch import policy, requester, role, spread
 from tealcove.front import figures, parts, places, settings
 from tealcove.ingress import budget, exchange, http, tickets
-from tealcove.limits import asking, limit
+from tealcove.limits import central, limit
 from tealcove.membership import members, messages
 from tealcove.peers import endpoint
 from tealcove.platform import (
@@ -33,7 +33,7 @@
     services,
 )
 from tealcove.quarantine import role as quarantine_role
-from tealcove.rollout import keeper
+from tealcove.rollout import controller
 
 log = logbook.Logger("front")
 
@@ -75,7 +75,7 @@
         await self.start_directory()
         await self.start_metrics()
         self.heart.start()
-        self.mesh.take_in()
+        self.mesh.start_receiving()
         self.follow()
         log.info(
             "started: incarnation {}, callers at {}, peers at {}, store at {}",
@@ -131,7 +131,7 @@
             CRASHES_TO_QUARANTINE,
         )
         self.quarantine.start()
-        self.limits = asking.AskingLimits(
+        self.limits = central.CentralLimits(
             self.mesh,
             self.members,
             self.find_limit,
@@ -141,9 +141,9 @@
         )
         self.limits.start()
         self.spread = spread.Spread(self.pools, lambda other: 0.0, CELL_SERVERS)
-        self.rollouts = keeper.Keeper(
+        self.rollouts = controller.Controller(
             rollouts.StoreOrders(services.StoreTable(self.store)),
-            lambda: self.dispatcher.decided(),
+            lambda: self.dispatcher.views_by_pool(),
         )
         self.dispatcher = role.Dispatcher(
             self.mesh,
@@ -164,7 +164,7 @@
             self.mesh, self.members, found.dispatch.ticket_timeout, self.spread
         )
         self.tickets.start()
-        self.tickets.listeners.append(self.quarantine.ended)
+        self.tickets.listeners.append(self.quarantine.record_end)
         self.figures.watch(
             "tealcove.grants.declined",
             "Grants given back since their backend servers have left.",
@@ -226,7 +226,7 @@
         """Look at readiness and lapsed servers until cancelled."""
         while True:
             now = clock.now()
-            self.servers.end_lapses(now)
+            self.servers.expire_lapses(now)
             self.check_readiness()
             await asyncio.sleep(LOOK_INTERVAL)
 
@@ -236,7 +236,7 @@
         if is_joining and self.configuration.current is not None:
             log.info("ready at configuration {}", self.configuration.revision)
             self.members.update_own(lifecycle=messages.Lifecycle.SERVING)
-            self.heart.tell_all()
+            self.heart.broadcast()
 
     def take_servers(self) -> None:
         """Put a new list of backend servers in force."""
@@ -253,11 +253,11 @@
         self.settings = found
         self.heart.seeds = tuple(endpoint.parse(seed) for seed in found.seeds)
         for seed in self.heart.seeds:
-            self.heart.beat_to(seed)
+            self.heart.add_peer(seed)
         self.ingress.services.budget.allowance = parts.allowance_of(found)
         self.limits.slack = found.account_limits.slack
         self.members.update_own(
-            strength=parts.strength_of(found), room=parts.room_of(found)
+            strength=parts.strength_of(found), link_class=parts.room_of(found)
         )
         self.directory.ttl_seconds = found.leaving.directory_ttl_seconds
         log.info("settings read again: {}", "changed" if before != found else "alike")
@@ -290,7 +290,7 @@
         began = clock.now()
         log.info("leaves: {} requests in progress", len(self.ingress.in_progress))
         self.members.update_own(lifecycle=messages.Lifecycle.LEAVING)
-        self.heart.tell_all()
+        self.heart.broadcast()
         self.ingress.is_leaving = True
         leaving = self.settings.leaving
         await asyncio.sleep(LONGEST_KEPT * leaving.directory_ttl_seconds)
--- a/src/tealcove/membership/tests/test_members.py
+++ b/src/tealcove/membership/tests/test_members.py
@@ -1,4 +1,4 @@
-"""Who takes part, by the heartbeats."""
+"""The membership table, ranking and revision status."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from tealcove import ids
-from tealcove.membership import force, messages, ranking
+from tealcove.membership import messages, ranking, revision_status
 from tealcove.membership.tests import builders
 
 INSTANCES = 5
@@ -27,23 +27,23 @@
     now = ids.Instant(0.0)
     for number in range(1, 6):
         centre = "dc-2" if number < 3 else "dc-1"
-        found.hear(builders.heartbeat(number, data_centre=centre), now)
+        found.record_heartbeat(builders.heartbeat(number, data_centre=centre), now)
     ranked = found.rank("pool/0", now, ids.DataCentreId("dc-2"))
     assert set(ranked[:2]) == {"i-1", "i-2"}
     assert len(ranked) == 6
 
 
 def test_strong_instances_rank_before_weak_ones() -> None:
-    """A dispatcher falls behind while stronger instances have little to do.
+    """A dispatcher is overloaded while stronger instances are idle.
 
-    Symptom: under twice the usual load grants come late, and slots are idle between
-    two requests. Sequence: the ranking names an instance with half a core for the
-    dispatcher of thirty servers. Cause: it knew nothing of what instances can do.
+    Symptom: under twice the usual load grants are late, and slots are idle between two
+    requests. Sequence: an instance with half a core ranks first as the dispatcher of
+    thirty servers. Cause: the ranking ignored the instances' capacity.
     """
     found = builders.known()
     now = ids.Instant(0.0)
     for number in range(1, 9):
-        found.hear(builders.heartbeat(number, strength=number // 6), now)
+        found.record_heartbeat(builders.heartbeat(number, strength=number // 6), now)
     for key in range(20):
         ranked = found.rank(f"pool/{key}", now)
         assert set(ranked[:3]) == {"i-6", "i-7", "i-8"}
@@ -53,50 +53,50 @@
 def test_the_order_follows_a_strength_that_changes() -> None:
     found = builders.known()
     now = ids.Instant(0.0)
-    found.hear(builders.heartbeat(1), now)
+    found.record_heartbeat(builders.heartbeat(1), now)
     found.rank("pool/0", now)
-    found.hear(builders.heartbeat(1, strength=1), now)
+    found.record_heartbeat(builders.heartbeat(1, strength=1), now)
     assert found.rank("pool/0", now)[0] == "i-1"
     found.update_own(strength=2)
     assert found.rank("pool/0", now)[0] == "i-0"
 
 
 def test_a_late_heartbeat_of_a_replaced_incarnation_is_dropped() -> None:
-    """Members flap between the old and the new process of one name.
+    """A member alternates between the old and the new process of one name.
 
-    Symptom: tickets go to the address of a process that is gone.
-    Sequence: instance 1 is replaced; the old one's last heartbeat comes late.
-    Cause: the heartbeat that arrives last isn't the newest.
+    Symptom: tickets go to the address of a stopped process.
+    Sequence: instance 1 is replaced; the old one's last heartbeat arrives late.
+    Cause: the heartbeat that arrives last is not the newest.
     """
     found = builders.known()
-    found.hear(builders.heartbeat(1, "first"), ids.Instant(0.0))
+    found.record_heartbeat(builders.heartbeat(1, "first"), ids.Instant(0.0))
     gone = builders.heartbeat(1, "first", messages.Lifecycle.GONE)
-    found.hear(gone, ids.Instant(0.1))
-    found.hear(builders.heartbeat(1, "second"), ids.Instant(0.2))
-    found.hear(builders.heartbeat(1, "first"), ids.Instant(0.3))
+    found.record_heartbeat(gone, ids.Instant(0.1))
+    found.record_heartbeat(builders.heartbeat(1, "second"), ids.Instant(0.2))
+    found.record_heartbeat(builders.heartbeat(1, "first"), ids.Instant(0.3))
     assert found.find(ids.InstanceId("i-1")).incarnation == "second"
 
 
 def test_peers_are_reached_at_their_own_address() -> None:
-    """Messages go to the address for callers when that is another one.
+    """Messages for peers go to the address for callers.
 
-    Symptom: instances with two networks never hear each other.
-    Sequence: an instance listens for callers and for peers at different hosts.
-    Cause: the heartbeat named one host for both.
+    Symptom: instances with two networks never receive each other's heartbeats.
+    Sequence: an instance listens for callers and for peers on different hosts.
+    Cause: the heartbeat had one host for both.
     """
     found = builders.known()
-    found.hear(builders.heartbeat(1), ids.Instant(0.0))
+    found.record_heartbeat(builders.heartbeat(1), ids.Instant(0.0))
     assert str(found.endpoint_of(ids.InstanceId("i-1"))) == "127.0.0.2:8001"
 
 
 def test_status_counts_serving_instances_and_knows_since_when() -> None:
     found = builders.known()
     found.update_own(revision=ids.Revision(7))
-    status = force.HeartbeatStatus(found)
-    found.hear(builders.heartbeat(1, revision=6), ids.Instant(0.0))
+    status = revision_status.HeartbeatStatus(found)
+    found.record_heartbeat(builders.heartbeat(1, revision=6), ids.Instant(0.0))
     at_seven = status.in_force(ids.Revision(7), ids.Instant(0.0))
     assert (at_seven.instances, at_seven.of, at_seven.since) == (1, 2, None)
-    found.hear(builders.heartbeat(1, revision=7), ids.Instant(0.5))
+    found.record_heartbeat(builders.heartbeat(1, revision=7), ids.Instant(0.5))
     status.note(ids.Instant(0.5))
     at_seven = status.in_force(ids.Revision(7), ids.Instant(0.9))
     assert (at_seven.instances, at_seven.of) == (2, 2)
@@ -116,28 +116,28 @@
         self.members.listen(self.count)
 
     def count(self) -> None:
-        """Count the calls of a listener."""
+        """Count a notification."""
         self.changes += 1
 
     @stateful.rule(
         number=st.integers(1, INSTANCES), lifecycle=st.sampled_from(messages.Lifecycle)
     )
     def hear(self, number: int, lifecycle: messages.Lifecycle) -> None:
-        """Take in a heartbeat."""
+        """Record a heartbeat."""
         beat = builders.heartbeat(number, lifecycle=lifecycle)
-        self.members.hear(beat, self.now)
+        self.members.record_heartbeat(beat, self.now)
         self.heard[beat.instance] = self.now
         self.lifecycles[beat.instance] = lifecycle
 
     @stateful.rule(seconds=st.floats(0.0, 12.0))
     def pass_time(self, seconds: float) -> None:
-        """Let time pass in silence, with a sweep at its end."""
+        """Advance the time without heartbeats, then sweep."""
         self.now = ids.Instant(self.now + seconds)
         self.members.sweep(self.now)
 
     @stateful.invariant()
     def serving_are_those_heard_lately(self) -> None:
-        """Only an instance that said so lately takes new work, and this one."""
+        """Only this instance and those with a recent heartbeat accept new work."""
         wanted = {"i-0"}
         for name, instant in self.heard.items():
             fresh = self.now - instant <= builders.SUSPECT_AFTER
@@ -148,7 +148,7 @@
 
     @stateful.invariant()
     def long_silent_peers_are_forgotten(self) -> None:
-        """No peer stays for ever."""
+        """Silent peers are removed after FORGET_AFTER."""
         for name in self.members.peers:
             assert self.now - self.heard[name] <= builders.FORGET_AFTER
 
--- a/src/tealcove/rollout/tests/builders.py
+++ b/src/tealcove/rollout/tests/builders.py
@@ -1,4 +1,4 @@
-"""Test data for the rollout slice."""
+"""Test data for the rollout package."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 def view(name: str, version: str) -> backendview.BackendView:
     spec = dispatching.server(name, version=version)
-    return backendview.BackendView(spec, prefill.Square())
+    return backendview.BackendView(spec, prefill.QuadraticCost())
 
 
 def views(version: str, count: int = 12) -> list[backendview.BackendView]:
@@ -47,57 +47,57 @@
 
 
 class Traffic:
-    """Requests of a service during a roll-out, and how they end."""
+    """Simulated requests of a service during a rollout."""
 
     def __init__(self, rollout: progress.Rollout, seed: int) -> None:
         self.rollout = rollout
         self.source = random.Random(seed)
         self.old, self.new = views(OLD), views(NEW)
-        # Part of the new version's answers that fail, by route; of all by themselves.
-        self.bad: dict[str, float] = {}
-        self.usual = 0.0
+        # Failure rate that the new version adds, by route, and that of all versions.
+        self.added_failures: dict[str, float] = {}
+        self.base_failures = 0.0
         self.arrived = self.exposed = 0
-        # How much longer the new servers take.
-        self.pace = 1.0
+        # Factor by which the new servers are slower.
+        self.slowdown = 1.0
 
     def serve_before(self, requests: int = 300) -> None:
-        """Let requests end at the old servers before the roll-out."""
+        """Complete requests on the old servers before the rollout."""
         for _ in range(requests):
             route = self.source.choice(ROUTES)
-            has_failed = self.source.random() < self.usual
-            self.rollout.evidence.note_old(route, has_failed)
-            self.learn(self.source.choice(self.old), is_new=False)
+            has_failed = self.source.random() < self.base_failures
+            self.rollout.evidence.record_old(route, has_failed)
+            self.observe(self.source.choice(self.old), is_new=False)
 
     def request(self) -> None:
-        """Let one request arrive and end."""
+        """Grant and complete one request."""
         self.arrived += 1
         servers = [
-            one for one in (*self.old, *self.new) if self.rollout.may_take(one.spec)
+            one for one in (*self.old, *self.new) if self.rollout.may_receive(one.spec)
         ]
-        wanted = [one for one in servers if self.rollout.is_wanted(one.spec)]
+        wanted = [one for one in servers if self.rollout.is_preferred(one.spec)]
         server = self.source.choice(wanted or servers)
-        self.rollout.note_grant(server.spec)
+        self.rollout.record_grant(server.spec)
         is_new = server.spec.version == NEW
         self.exposed += is_new
         route = self.source.choice(ROUTES)
-        part = self.usual
+        part = self.base_failures
         if is_new:
-            part = 1.0 - (1.0 - part) * (1.0 - self.bad.get(route, 0.0))
+            part = 1.0 - (1.0 - part) * (1.0 - self.added_failures.get(route, 0.0))
         has_failed = self.source.random() < part
-        self.rollout.note_end(server.spec, route, done(server.name, has_failed))
-        self.learn(server, is_new)
+        self.rollout.record_end(server.spec, route, done(server.name, has_failed))
+        self.observe(server, is_new)
 
-    def learn(self, server: backendview.BackendView, is_new: bool) -> None:
-        """Let a server's pace be known a little better."""
+    def observe(self, server: backendview.BackendView, is_new: bool) -> None:
+        """Add one observation of a server's latency."""
         server.observations += 1
-        factor = self.pace if is_new else 1.0
+        factor = self.slowdown if is_new else 1.0
         machine = 4.0 if server.name.endswith(("0", "1", "2")) else 1.0
         seen = 0.02 * factor * machine * self.source.lognormvariate(0.0, 0.3)
-        weight = backendview.WEIGHT if server.observations > 1 else 1.0
+        weight = backendview.OBSERVATION_WEIGHT if server.observations > 1 else 1.0
         server.call_seconds += weight * (seen - server.call_seconds)
 
     def run(self, rate: float = 100.0, seconds: float = PERIOD) -> order.State:
-        """Let requests arrive at a rate until the period is over or it has ended."""
+        """Run requests at a rate for some seconds; return the rollout's state."""
         for number in range(int(rate * seconds)):
             self.request()
             now = instant(number / rate)
@@ -106,8 +106,8 @@
         return self.rollout.state
 
 
-class Rows(order.Orders):
-    """Orders and statuses in memory."""
+class Rows(order.OrderStore):
+    """Order store in memory, for one service."""
 
     def __init__(self) -> None:
         self.order: order.Order | None = None
@@ -116,24 +116,24 @@
         self.seconds = 500.0
         self.is_down = False
         self.reads = 0
-        self.told: list[order.State] = []
+        self.written: list[order.State] = []
 
-    async def read(self, service: ids.PoolId) -> order.Reading:
-        """See Orders."""
+    async def read(self, service: ids.PoolId) -> order.Snapshot:
+        """See OrderStore."""
         self.check()
         self.reads += 1
-        return order.Reading(self.order, self.status, self.version, self.seconds)
+        return order.Snapshot(self.order, self.status, self.version, self.seconds)
 
-    async def tell(
-        self, service: ids.PoolId, status: order.Status, reading: order.Reading
+    async def write_status(
+        self, service: ids.PoolId, status: order.Status, snapshot: order.Snapshot
     ) -> None:
-        """See Orders."""
+        """See OrderStore."""
         self.check()
-        if reading.stored != self.version:
+        if snapshot.stored != self.version:
             raise table.ConditionFailedError(())
         self.version += 1
         self.status = status
-        self.told.append(status.state)
+        self.written.append(status.state)
 
     def check(self) -> None:
         """Raise PlatformError while the store is down."""
