--- a/bench/cost.py
+++ b/bench/cost.py
@@ -266,7 +266,7 @@
     first = own.current.revision + 1
     changes = [account_change(ids.Revision(first + n), n) for n in range(count)]
     configuration = own.current.with_changes(changes)
-    own.move(configuration)
+    own.activate(configuration)
     revision = configuration.revision
     await fleet.store.log.store.put(
         log.snapshot_name(revision), snapshots.encode(configuration)
--- a/bench/slopes/configuration.py
+++ b/bench/slopes/configuration.py
@@ -81,7 +81,7 @@
     """Return the calls to the platform and the time of a change through the API."""
     platform = memory.MemoryPlatform()
     own = copy.ConfigurationCopy()
-    own.move(current)
+    own.activate(current)
     row = codec.encode(log.Head(revision=current.revision, snapshot=current.revision))
     platform.table.rows[log.HEADS, log.HEAD_KEY] = memory.table.Row(
         log.HEADS, log.HEAD_KEY, row, 1
--- a/src/tealcove/dispatch/tests/test_requester.py
+++ b/src/tealcove/dispatch/tests/test_requester.py
@@ -111,7 +111,7 @@
         pool = kinds.Resource(kind=kinds.Kind.ENGINE_POOL, metadata=metadata, spec=spec)
         resources = dict(copy.empty().resources)
         resources[kinds.Kind.ENGINE_POOL] = {"engines": pool}
-        self.copy.move(copy.Configuration(ids.Revision(revision), resources))
+        self.copy.activate(copy.Configuration(ids.Revision(revision), resources))
 
     def grant_from(
         self, instance: ids.InstanceId, server: str = "s", revision: int = 1
--- a/src/tealcove/dispatch/tests/test_spread.py
+++ b/src/tealcove/dispatch/tests/test_spread.py
@@ -88,7 +88,7 @@
     configuration = copy.empty()
     resources = dict(configuration.resources)
     resources[kinds.Kind.ENGINE_POOL] = {"p": pool()}
-    balancer.copy.move(copy.Configuration(ids.Revision(1), resources))
+    balancer.copy.activate(copy.Configuration(ids.Revision(1), resources))
     assert isinstance(balancer.find(ids.CellId("p/2")), cells.Cell)
     assert balancer.find(ids.CellId("p/9")) is None
     assert balancer.find(ids.CellId("q/0")) is None
--- a/src/tealcove/plan.py
+++ b/src/tealcove/plan.py
@@ -75,7 +75,7 @@
     """Return a declared resource with metadata that only stand in."""
     metadata = kinds.Metadata(
         name=declared.name,
-        revision=copy.NOTHING,
+        revision=copy.NO_REVISION,
         generation=0,
         changed_by=NOBODY,
     )
--- a/src/tealcove/resources/accounts.py
+++ b/src/tealcove/resources/accounts.py
@@ -68,11 +68,11 @@
     def __init__(
         self,
         packed: dict[str, bytes],
-        names: dict[bytes, str],
+        names_by_key_hash: dict[bytes, str],
         counts_by_tier: Mapping[str, int],
     ) -> None:
         self.packed = packed
-        self.names = names
+        self.names_by_key_hash = names_by_key_hash
         # Kept so that deleting an unused tier needn't unpack every account.
         self.counts_by_tier = counts_by_tier
 
@@ -80,15 +80,15 @@
     def from_packed(cls, contents: list[msgspec.Raw]) -> AccountTable:
         """Build a table from packed accounts, each read once."""
         packed = {}
-        names = {}
+        names_by_key_hash = {}
         counts: collections.Counter[str] = collections.Counter()
         for content in contents:
             account = DECODER.decode(content)
             packed[account.name] = bytes(content)
             counts[account.tier] += 1
             for digest in account.key_hashes:
-                names[digest] = account.name
-        return cls(packed, names, counts)
+                names_by_key_hash[digest] = account.name
+        return cls(packed, names_by_key_hash, counts)
 
     def __getitem__(self, name: str) -> kinds.Resource:
         return unpack(self.packed[name])
@@ -104,14 +104,14 @@
 
     def name_by_key_hash(self, key_hash: str) -> str | None:
         """Return the account that a key belongs to, by its SHA-256 in hex."""
-        return self.names.get(bytes.fromhex(key_hash))
+        return self.names_by_key_hash.get(bytes.fromhex(key_hash))
 
     def with_changes(
         self, changes: Mapping[str, kinds.Resource | None]
     ) -> AccountTable:
         """Return a table with some accounts written or (None) deleted."""
         packed = dict(self.packed)
-        names = dict(self.names)
+        names_by_key_hash = dict(self.names_by_key_hash)
         counts = collections.Counter(self.counts_by_tier)
         # All old keys go before any new one comes: a key may have moved from one
         # account to another.
@@ -121,12 +121,12 @@
                 old = DECODER.decode(content)
                 counts[old.tier] -= 1
                 for digest in old.key_hashes:
-                    names.pop(digest, None)
+                    names_by_key_hash.pop(digest, None)
         for name, resource in changes.items():
             if resource is None:
                 continue
             packed[name] = pack(resource)
             counts[resource.spec.tier] += 1
             for text in resource.spec.key_hashes:
-                names[bytes.fromhex(text)] = name
-        return AccountTable(packed, names, counts)
+                names_by_key_hash[bytes.fromhex(text)] = name
+        return AccountTable(packed, names_by_key_hash, counts)
--- a/src/tealcove/resources/compaction.py
+++ b/src/tealcove/resources/compaction.py
@@ -72,16 +72,16 @@
             name = log.snapshot_name(configuration.revision)
             await self.log.store.put(name, content)
             unnamed = await self.publish(configuration.revision)
-            if unnamed != copy.NOTHING:
+            if unnamed != copy.NO_REVISION:
                 await self.log.store.delete(log.snapshot_name(unnamed))
         await self.drop_changes()
 
     async def publish(self, revision: ids.Revision) -> ids.Revision:
         """Name a snapshot in the head, unless a newer one is named there.
 
-        Returns the snapshot that isn't named any more, or NOTHING.
+        Returns the snapshot that isn't named any more, or NO_REVISION.
         """
-        replaced = copy.NOTHING
+        replaced = copy.NO_REVISION
         for _ in range(ATTEMPTS):
             head_row = await self.log.read_head()
             if head_row.head.snapshot == revision:
--- a/src/tealcove/resources/copy.py
+++ b/src/tealcove/resources/copy.py
@@ -12,7 +12,7 @@
 
 LOG = logbook.Logger("resources")
 
-NOTHING = ids.Revision(0)
+NO_REVISION = ids.Revision(0)
 
 
 class Configuration:
@@ -120,7 +120,7 @@
     for kind in kinds.Kind:
         resources[kind] = {}
     resources[kinds.Kind.CLIENT_ACCOUNT] = accounts.AccountTable({}, {}, {})
-    return Configuration(NOTHING, resources)
+    return Configuration(NO_REVISION, resources)
 
 
 # Called with the configuration before and the one now in force.
@@ -133,7 +133,7 @@
     def __init__(self) -> None:
         self.current = empty()
         self.subscribers: list[Subscriber] = []
-        self.moved = asyncio.Event()
+        self.activated = asyncio.Event()
 
     @property
     def revision(self) -> ids.Revision:
@@ -145,14 +145,14 @@
         self.subscribers.append(subscriber)
         return lambda: self.subscribers.remove(subscriber)
 
-    def move(self, configuration: Configuration) -> bool:
+    def activate(self, configuration: Configuration) -> bool:
         """Put a configuration in force, unless its revision isn't higher."""
         if configuration.revision <= self.current.revision:
             return False
         previous = self.current
         self.current = configuration
-        self.moved.set()
-        self.moved = asyncio.Event()
+        self.activated.set()
+        self.activated = asyncio.Event()
         for subscriber in tuple(self.subscribers):
             self.notify(subscriber, previous)
         return True
@@ -167,5 +167,5 @@
     async def wait_for(self, revision: ids.Revision) -> Configuration:
         """Wait until this revision or a higher one is in force."""
         while self.current.revision < revision:
-            await self.moved.wait()
+            await self.activated.wait()
         return self.current
--- a/src/tealcove/resources/decision.py
+++ b/src/tealcove/resources/decision.py
@@ -46,7 +46,7 @@
         raise refusals.RevisionConflictError(
             f"{target} doesn't exist, so it isn't at revision {request.if_match}",
             "Leave If-Match out to create it.",
-            copy.NOTHING,
+            copy.NO_REVISION,
             "",
         )
     if not request.edit.creates:
--- a/src/tealcove/resources/log.py
+++ b/src/tealcove/resources/log.py
@@ -26,11 +26,11 @@
 class Head(msgspec.Struct, frozen=True):
     """Where the log stands."""
 
-    revision: ids.Revision = copy.NOTHING
+    revision: ids.Revision = copy.NO_REVISION
     # Revision of the newest snapshot in the object store; 0: there is none.
-    snapshot: ids.Revision = copy.NOTHING
+    snapshot: ids.Revision = copy.NO_REVISION
     # The changes after this revision are kept one by one.
-    floor: ids.Revision = copy.NOTHING
+    floor: ids.Revision = copy.NO_REVISION
 
 
 class HeadRow(msgspec.Struct, frozen=True):
@@ -95,7 +95,7 @@
         get, which shows as a missing object; the new head then names another.
         """
         for _ in range(LOAD_ATTEMPTS):
-            if head.snapshot == copy.NOTHING:
+            if head.snapshot == copy.NO_REVISION:
                 return copy.empty()
             content = await self.store.get(snapshot_name(head.snapshot))
             if content is not None:
@@ -118,7 +118,7 @@
             if configuration.revision < head.floor:
                 configuration = await self.load(head)
             configuration = await self.follow(configuration, head)
-            own.move(configuration)
+            own.activate(configuration)
 
     async def check_age(self, own: copy.ConfigurationCopy) -> None:
         """Raise TableRestoredError if the table is older than a copy.
--- a/src/tealcove/resources/reader.py
+++ b/src/tealcove/resources/reader.py
@@ -59,7 +59,7 @@
         # Whether this instance reads the head often; the caller may clear it where
         # others read it and tell the revision by heartbeat.
         self.designated = True
-        self.highest = copy.NOTHING
+        self.highest = copy.NO_REVISION
         self.platform_reached: ids.Instant | None = None
         self.first_heard: ids.Instant | None = None
         self.last_contact = now
@@ -139,4 +139,4 @@
         if self.highest <= self.copy.revision:
             return
         content = await self.peers.fetch(self.highest)
-        self.copy.move(await asyncio.to_thread(snapshots.decode, content))
+        self.copy.activate(await asyncio.to_thread(snapshots.decode, content))
--- a/src/tealcove/resources/store.py
+++ b/src/tealcove/resources/store.py
@@ -98,7 +98,7 @@
         """Put an own change in force here at once, so that its caller can read it."""
         configuration = self.copy.current
         if configuration.revision + 1 == change.revision:
-            self.copy.move(configuration.with_changes([change]))
+            self.copy.activate(configuration.with_changes([change]))
 
 
 class Writing:
--- a/src/tealcove/resources/tests/test_copy.py
+++ b/src/tealcove/resources/tests/test_copy.py
@@ -34,7 +34,7 @@
         self.runner = asyncio.Runner()
         self.platform = memory.MemoryPlatform()
         self.instances = [builders.instance(self.platform) for _ in range(3)]
-        self.seen = [copy.NOTHING] * 3
+        self.seen = [copy.NO_REVISION] * 3
         self.heads = [log.Head()]
         # What the configuration holds at each revision, by the writers' answers.
         self.model: list[dict[str, kinds.Resource]] = [{}]
@@ -88,7 +88,7 @@
     @stateful.rule(number=INSTANCES, peer=INSTANCES)
     def fetch(self, number: int, peer: int) -> None:
         content = snapshots.encode(self.instances[peer].copy.current)
-        self.instances[number].copy.move(snapshots.decode(content))
+        self.instances[number].copy.activate(snapshots.decode(content))
 
     @stateful.rule(number=INSTANCES, retained=st.integers(1, 3), lost=st.booleans())
     def compact(self, number: int, retained: int, lost: bool) -> None:
@@ -103,7 +103,7 @@
     @stateful.rule(number=INSTANCES)
     def restart(self, number: int) -> None:
         self.instances[number] = builders.instance(self.platform)
-        self.seen[number] = copy.NOTHING
+        self.seen[number] = copy.NO_REVISION
 
     @stateful.invariant()
     def never_back_and_whole(self) -> None:
@@ -118,7 +118,7 @@
         table = current.resources[ACCOUNT]
         assert table.counts_by_tier.get("gold", 0) == len(table)
         hashes = [h for found in table.values() for h in found.spec.key_hashes]
-        assert len(table.names) == len(hashes)
+        assert len(table.names_by_key_hash) == len(hashes)
         for account in table.values():
             for key_hash in account.spec.key_hashes:
                 assert current.account_by_key_hash(key_hash) == account
@@ -143,10 +143,10 @@
     first = own.current.with_changes(
         [builders.change(1, kinds.Kind.SERVICE_TIER, "gold", spec)]
     )
-    assert own.move(first)
-    assert not own.move(first)
+    assert own.activate(first)
+    assert not own.activate(first)
     end()
-    own.move(
+    own.activate(
         first.with_changes([builders.change(2, kinds.Kind.SERVICE_TIER, "tin", spec)])
     )
     assert told == [[0, 1]]
