--- a/src/tealcove/resources/compaction.py
+++ b/src/tealcove/resources/compaction.py
@@ -14,7 +14,7 @@
 LOG = logbook.Logger("resources")
 
 # Rows deleted in one transaction.
-DELETED_AT_ONCE = 100
+DELETE_BATCH_ROWS = 100
 # Attempts to name a new snapshot in the head, each lost to a change.
 ATTEMPTS = 10
 
@@ -48,13 +48,13 @@
         self.copy = own
         self.settings = settings or CompactionSettings()
         # Set by whoever finds that a compaction is due.
-        self.due = asyncio.Event()
+        self.requested = asyncio.Event()
 
     async def run(self) -> None:
-        """Compact whenever `due` is set, until cancelled."""
+        """Compact whenever `requested` is set, until cancelled."""
         while True:
-            await self.due.wait()
-            self.due.clear()
+            await self.requested.wait()
+            self.requested.clear()
             try:
                 await self.compact()
             except errors.TealcoveError as error:
@@ -71,10 +71,10 @@
             content = await asyncio.to_thread(snapshots.encode, configuration)
             name = log.snapshot_name(configuration.revision)
             await self.log.store.put(name, content)
-            unnamed = await self.publish(configuration.revision)
-            if unnamed != copy.NO_REVISION:
-                await self.log.store.delete(log.snapshot_name(unnamed))
-        await self.drop_changes()
+            replaced = await self.publish(configuration.revision)
+            if replaced != copy.NO_REVISION:
+                await self.log.store.delete(log.snapshot_name(replaced))
+        await self.delete_old_changes()
 
     async def publish(self, revision: ids.Revision) -> ids.Revision:
         """Name a snapshot in the head, unless a newer one is named there.
@@ -90,7 +90,7 @@
                 return revision
             replaced = head_row.head.snapshot
             try:
-                await self.log.rows.commit(self.naming(head_row, revision))
+                await self.log.rows.commit(self.head_update(head_row, revision))
             except (table.ConditionFailedError, errors.OutcomeUnknownError):
                 continue
             return replaced
@@ -99,7 +99,7 @@
             "Nothing: the next compaction will name one.",
         )
 
-    def naming(
+    def head_update(
         self, head_row: log.HeadRow, revision: ids.Revision
     ) -> table.Transaction:
         """Return the transaction that names a snapshot if the head is the same."""
@@ -110,11 +110,11 @@
         write = table.Put(log.HEADS, log.HEAD_KEY, codec.encode(head))
         return table.Transaction((head_row.unchanged,), (write,))
 
-    async def drop_changes(self) -> None:
+    async def delete_old_changes(self) -> None:
         """Delete the changes up to the floor, and their rows for repeats."""
         head = (await self.log.read_head()).head
         while True:
-            rows = await self.log.rows.scan(log.CHANGES, "", DELETED_AT_ONCE)
+            rows = await self.log.rows.scan(log.CHANGES, "", DELETE_BATCH_ROWS)
             old = [row for row in rows if row.key <= log.change_key(head.floor)]
             if not old:
                 return
--- a/src/tealcove/resources/reader.py
+++ b/src/tealcove/resources/reader.py
@@ -36,7 +36,7 @@
     relaxed_interval: float = 10.0
     # With the platform out of reach since the start, time given to all peers to
     # tell their revisions before the highest is taken for the highest there is.
-    settle: float = 1.0
+    settling_seconds: float = 1.0
     # Without platform and peers for so long, an instance counts as isolated.
     isolated_after: float = 30.0
 
@@ -61,20 +61,22 @@
         self.designated = True
         self.highest = copy.NO_REVISION
         self.platform_reached: ids.Instant | None = None
-        self.first_heard: ids.Instant | None = None
+        self.first_contact: ids.Instant | None = None
         self.last_contact = now
-        self.news = asyncio.Event()
+        self.poll_requested = asyncio.Event()
 
-    def heard(self, revision: ids.Revision, peer: str, now: ids.Instant) -> None:
+    def record_revision(
+        self, revision: ids.Revision, peer: str, now: ids.Instant
+    ) -> None:
         """Note the revision that is in force at a peer."""
         self.last_contact = now
-        if self.first_heard is None:
-            self.first_heard = now
+        if self.first_contact is None:
+            self.first_contact = now
         if revision > self.highest:
             LOG.debug("Peer {} is at revision {}", peer, revision)
             self.highest = revision
             if revision > self.copy.revision:
-                self.news.set()
+                self.poll_requested.set()
 
     def ready(self, now: ids.Instant) -> bool:
         """Tell whether the copy is at the highest revision heard of.
@@ -86,9 +88,9 @@
             return False
         if self.platform_reached is not None:
             return True
-        if self.first_heard is None:
+        if self.first_contact is None:
             return False
-        return now - self.first_heard >= self.settings.settle
+        return now - self.first_contact >= self.settings.settling_seconds
 
     def isolated(self, now: ids.Instant) -> bool:
         """Tell whether neither platform nor peers were reached for too long."""
@@ -97,7 +99,7 @@
     async def run(self, now: Callable[[], ids.Instant] = clock.now) -> None:
         """Follow the log until cancelled."""
         while True:
-            self.news.clear()
+            self.poll_requested.clear()
             await self.poll(now())
             await self.wait()
 
@@ -108,7 +110,7 @@
         if not self.designated and self.platform_reached is not None:
             interval = settings.relaxed_interval
         try:
-            await asyncio.wait_for(self.news.wait(), interval)
+            await asyncio.wait_for(self.poll_requested.wait(), interval)
         except TimeoutError:
             return
 
--- a/src/tealcove/resources/role.py
+++ b/src/tealcove/resources/role.py
@@ -35,7 +35,7 @@
         self,
         found: settings.Settings,
         rows: table.TableService,
-        store_of_objects: objects.ObjectStore,
+        object_store: objects.ObjectStore,
         transport: mesh.Mesh,
         known: members.Members,
     ) -> None:
@@ -43,7 +43,7 @@
         self.copy = copy.ConfigurationCopy()
         self.source = peers.MeshPeerSource(transport, known, self.copy)
         self.status = revision_status.HeartbeatStatus(known)
-        self.changes = log.ConfigurationLog(rows, store_of_objects)
+        self.changes = log.ConfigurationLog(rows, object_store)
         self.reader = reader.ConfigurationReader(
             self.changes,
             self.copy,
@@ -53,7 +53,7 @@
         )
         self.compactor = compaction.Compactor(self.changes, self.copy)
         self.api = api.ResourceApi(
-            store.ResourceStore(rows, store_of_objects, self.copy),
+            store.ResourceStore(rows, object_store, self.copy),
             self.copy,
             operators.Operators(found.operators).authorise,
             self.status,
@@ -69,9 +69,9 @@
     def start(self, beats: heartbeats.HeartbeatService) -> None:
         """Begin to follow the log and to learn from heartbeats."""
         self.source.start()
-        self.copy.subscribe(self.compact_now_and_then)
-        beats.listeners.append(self.hear)
-        self.members.listen(self.take_members)
+        self.copy.subscribe(self.schedule_compaction)
+        beats.listeners.append(self.handle_heartbeat)
+        self.members.listen(self.handle_membership_change)
         self.tasks = [
             tasks.start(self.reader.run(), "reader of the configuration"),
             tasks.start(self.compactor.run(), "compaction of the log"),
@@ -82,16 +82,16 @@
         self.api.end_watches()
         await tasks.stop(self.tasks)
 
-    def hear(self, heartbeat: membership_messages.Heartbeat) -> None:
+    def handle_heartbeat(self, heartbeat: membership_messages.Heartbeat) -> None:
         """Learn of a peer's revision."""
         now = clock.now()
-        self.reader.heard(heartbeat.revision, heartbeat.instance, now)
+        self.reader.record_revision(heartbeat.revision, heartbeat.instance, now)
         # Looking at all members for each heartbeat took half a millisecond at 580.
         if self.revisions.get(heartbeat.instance) != heartbeat.revision:
             self.revisions[heartbeat.instance] = heartbeat.revision
             self.status.note(now)
 
-    def take_members(self) -> None:
+    def handle_membership_change(self) -> None:
         """Decide anew whether this instance reads the head often.
 
         Two in each data centre do, and tell the others by heartbeat; if all did,
@@ -103,7 +103,7 @@
         designated = own.instance in ranked[:READERS] or not ranked
         if designated and not self.reader.designated:
             # It may be in the middle of a long pause.
-            self.reader.news.set()
+            self.reader.poll_requested.set()
         self.reader.designated = designated
         present = {heartbeat.instance for heartbeat in self.members.alive(now)}
         for instance in self.revisions.keys() - present:
@@ -119,7 +119,7 @@
         """
         return self.reader.ready(now) and not self.reader.isolated(now)
 
-    def compact_now_and_then(
+    def schedule_compaction(
         self, previous: copy.Configuration, current: copy.Configuration
     ) -> None:
         """Let one instance, by the ranking, compact the log when it is due."""
@@ -128,7 +128,7 @@
             return
         ranked = self.members.rank(COMPACTION_KEY, clock.now())
         if ranked and ranked[0] == self.members.own.instance:
-            self.compactor.due.set()
+            self.compactor.requested.set()
 
 
 def reader_settings(found: settings.Configuration) -> reader.ReaderSettings:
--- a/src/tealcove/resources/tests/test_compaction.py
+++ b/src/tealcove/resources/tests/test_compaction.py
@@ -60,7 +60,7 @@
     )
     while not writing.done():
         for own in writers:
-            own.compactor.due.set()
+            own.compactor.requested.set()
         await reading.catch_up()
     await writing
     assert len((await reading.catch_up()).names(TIER)) == 60
--- a/src/tealcove/resources/tests/test_reader.py
+++ b/src/tealcove/resources/tests/test_reader.py
@@ -69,9 +69,9 @@
     following.platform.faults.down = True
     await own.poll(ids.Instant(100.0))
     assert not own.ready(ids.Instant(200.0))
-    own.heard(ids.Revision(0), "behind", ids.Instant(200.0))
+    own.record_revision(ids.Revision(0), "behind", ids.Instant(200.0))
     assert not own.ready(ids.Instant(200.5))
-    own.heard(ids.Revision(2), "ahead", ids.Instant(200.6))
+    own.record_revision(ids.Revision(2), "ahead", ids.Instant(200.6))
     assert not own.ready(ids.Instant(201.5))
     following.peers.reachable = False
     await own.poll(ids.Instant(201.5))
@@ -92,7 +92,7 @@
     await following.reader.poll(ids.Instant(100.0))
     following.peers.peer = builders.instance(following.platform)
     following.platform.faults.down = True
-    following.reader.heard(ids.Revision(9), "ahead", ids.Instant(101.0))
+    following.reader.record_revision(ids.Revision(9), "ahead", ids.Instant(101.0))
     await following.reader.poll(ids.Instant(101.0))
     assert following.new.copy.revision == 2
     assert not following.reader.ready(ids.Instant(101.0))
@@ -111,7 +111,7 @@
     await own.poll(ids.Instant(120.0))
     assert not own.isolated(ids.Instant(110.0 + limit))
     assert own.isolated(ids.Instant(110.1 + limit))
-    own.heard(ids.Revision(2), "peer", ids.Instant(150.0))
+    own.record_revision(ids.Revision(2), "peer", ids.Instant(150.0))
     assert not own.isolated(ids.Instant(150.0 + limit))
 
 
@@ -137,6 +137,6 @@
     async with asyncio.timeout(20):
         await following.new.copy.wait_for(ids.Revision(2))
         await following.write("brass")
-        following.reader.heard(ids.Revision(3), "peer", ids.Instant(101.0))
+        following.reader.record_revision(ids.Revision(3), "peer", ids.Instant(101.0))
         await following.new.copy.wait_for(ids.Revision(3))
     running.cancel()
--- a/src/tealcove/resources/tests/test_role.py
+++ b/src/tealcove/resources/tests/test_role.py
@@ -38,8 +38,8 @@
     every = roles[0].compactor.settings.every
     for before, after, expected in ((0, every - 1, 0), (every - 1, every, 1)):
         for each in roles:
-            each.compact_now_and_then(at(before), at(after))
-        assert sum(each.compactor.due.is_set() for each in roles) == expected
+            each.schedule_compaction(at(before), at(after))
+        assert sum(each.compactor.requested.is_set() for each in roles) == expected
 
 
 async def test_two_instances_of_a_data_centre_read_the_head_often():
@@ -51,7 +51,7 @@
     """
     roles = make_roles(5)
     for each in roles:
-        each.take_members()
+        each.handle_membership_change()
     readers = [each for each in roles if each.reader.designated]
     assert len(readers) == role.READERS
     gone = readers[0].members.own.instance
@@ -59,10 +59,10 @@
     for each in left:
         del each.members.peers[gone]
         each.members.rankings.clear()
-        each.take_members()
+        each.handle_membership_change()
     assert sum(each.reader.designated for each in left) == role.READERS
     new = [r for r in left if r.reader.designated and r not in readers]
-    assert all(each.reader.news.is_set() for each in new)
+    assert all(each.reader.poll_requested.is_set() for each in new)
 
 
 def at(revision: int) -> copy.Configuration:
