--- a/src/tealcove/resources/log.py
+++ b/src/tealcove/resources/log.py
@@ -18,7 +18,7 @@
 # Digits of a revision in a key, so that keys sort as their numbers do.
 REVISION_DIGITS = 16
 # Rows in one read of the log.
-PAGE = 500
+PAGE_ROWS = 500
 # How often a snapshot may vanish under a reader before it gives up.
 LOAD_ATTEMPTS = 5
 
@@ -61,7 +61,7 @@
     def __init__(self, rows: table.TableService, store: objects.ObjectStore) -> None:
         self.rows = rows
         self.store = store
-        self.advancing = asyncio.Lock()
+        self.advance_lock = asyncio.Lock()
 
     async def read_head(self) -> HeadRow:
         """Return the head; raises PlatformUnavailableError."""
@@ -82,13 +82,13 @@
         Raises CompactedError if the next one is no longer kept, and
         PlatformUnavailableError.
         """
-        found = await self.rows.scan(CHANGES, change_key(revision), PAGE)
+        found = await self.rows.scan(CHANGES, change_key(revision), PAGE_ROWS)
         changes = [codec.decode_change(row.value) for row in found]
         if changes and changes[0].revision != revision + 1:
-            raise compacted(revision)
+            raise compacted_error(revision)
         return changes
 
-    async def load(self, head: Head) -> copy.Configuration:
+    async def load_snapshot(self, head: Head) -> copy.Configuration:
         """Load the newest snapshot; raises PlatformUnavailableError.
 
         A compaction may delete the snapshot between the read of the head and the
@@ -111,16 +111,16 @@
 
         Raises PlatformUnavailableError; the copy then stays as it was.
         """
-        async with self.advancing:
+        async with self.advance_lock:
             configuration = own.current
             if configuration.revision >= head.revision:
                 return
             if configuration.revision < head.floor:
-                configuration = await self.load(head)
-            configuration = await self.follow(configuration, head)
+                configuration = await self.load_snapshot(head)
+            configuration = await self.apply_changes(configuration, head)
             own.activate(configuration)
 
-    async def check_age(self, own: copy.ConfigurationCopy) -> None:
+    async def check_not_restored(self, own: copy.ConfigurationCopy) -> None:
         """Raise TableRestoredError if the table is older than a copy.
 
         It shows when operators restore the table from a backup. A change on top
@@ -132,7 +132,7 @@
         if head.revision < revision:
             raise refusals.TableRestoredError(head.revision, revision)
 
-    async def follow(
+    async def apply_changes(
         self, configuration: copy.Configuration, head: Head
     ) -> copy.Configuration:
         """Apply changes until the head's revision is reached."""
@@ -141,7 +141,7 @@
                 changes = await self.changes_after(configuration.revision)
             except refusals.CompactedError:
                 head = (await self.read_head()).head
-                configuration = await self.load(head)
+                configuration = await self.load_snapshot(head)
                 continue
             if not changes:
                 raise errors.PlatformUnavailableError(
@@ -152,7 +152,7 @@
         return configuration
 
 
-def compacted(revision: ids.Revision) -> refusals.CompactedError:
+def compacted_error(revision: ids.Revision) -> refusals.CompactedError:
     """Return the error for changes that were compacted into a snapshot."""
     return refusals.CompactedError(
         f"the changes after revision {revision} are no longer kept one by one",
--- a/src/tealcove/resources/reader.py
+++ b/src/tealcove/resources/reader.py
@@ -134,7 +134,7 @@
         await self.log.advance(self.copy, head)
         self.platform_reached = now
         if self.copy.revision > head.revision:
-            await self.log.check_age(self.copy)
+            await self.log.check_not_restored(self.copy)
 
     async def follow_peer(self) -> None:
         """Move the copy to a peer's; raises PeerError, ResourceError."""
--- a/src/tealcove/resources/store.py
+++ b/src/tealcove/resources/store.py
@@ -158,7 +158,7 @@
         await self.store.log.advance(self.store.copy, head_row.head)
         configuration = self.store.copy.current
         if configuration.revision != head_row.head.revision:
-            await self.store.log.check_age(self.store.copy)
+            await self.store.log.check_not_restored(self.store.copy)
             return None
         outcome = decision.decide(self.request, configuration)
         if self.request.dry_run:
