--- a/src/tealcove/client.py
+++ b/src/tealcove/client.py
@@ -120,9 +120,9 @@
         answer = await self.call("DELETE", path, headers=write_headers(based_on))
         return decode(answer, documents.Deleted).revision
 
-    async def status(self) -> documents.Overall:
+    async def status(self) -> documents.ConfigurationStatus:
         """Return the revision that one instance is at, and where it's in force."""
-        return decode(await self.call("GET", STATUS), documents.Overall)
+        return decode(await self.call("GET", STATUS), documents.ConfigurationStatus)
 
     async def newest_revision(self) -> ids.Revision:
         """Return the highest revision that any serving instance is at."""
@@ -133,17 +133,17 @@
             raise self.unavailable()
         return max(found)
 
-    async def status_at(self, server: str) -> documents.Overall | None:
+    async def status_at(self, server: str) -> documents.ConfigurationStatus | None:
         """Return the status of one instance; None if it can't be reached."""
         try:
             body = await self.call_at(server, "GET", STATUS, {})
         except (aiohttp.ClientError, TimeoutError):
             return None
-        return decode(body, documents.Overall)
+        return decode(body, documents.ConfigurationStatus)
 
     async def in_force(
         self, revision: ids.Revision
-    ) -> typing.AsyncIterator[documents.Overall]:
+    ) -> typing.AsyncIterator[documents.ConfigurationStatus]:
         """Yield the status again and again, until the revision is in force."""
         while True:
             found = await self.status()
--- a/src/tealcove/resources/api.py
+++ b/src/tealcove/resources/api.py
@@ -49,7 +49,7 @@
         self.authorise = authorise
         self.status = source
         self.now = now
-        self.ending = asyncio.Event()
+        self.stopping = asyncio.Event()
 
     def routes(self) -> list[web.RouteDef]:
         """Return the routes to mount in an application."""
@@ -65,7 +65,7 @@
 
     def end_watches(self) -> None:
         """End all watches, which resume at another instance; for a leaving one."""
-        self.ending.set()
+        self.stopping.set()
 
     def answering(self, handler: Handler) -> Handler:
         """Return a handler that authorises and answers errors as problems."""
@@ -85,7 +85,9 @@
         """Answer GET /admin/v1/status."""
         revision = self.copy.revision
         in_force = self.status.in_force(revision, self.now())
-        return json_response(documents.Overall(revision=revision, in_force=in_force))
+        return json_response(
+            documents.ConfigurationStatus(revision=revision, in_force=in_force)
+        )
 
     async def list_or_watch(self, request: web.Request) -> web.StreamResponse:
         """Answer GET /admin/v1/{kind}."""
@@ -108,7 +110,7 @@
         """Stream changes after `revision`, by default after the one in force."""
         revision = headers.number(request, "revision", self.copy.revision)
         one = watch.Watch(
-            self.store.log, self.copy, kind, ids.Revision(revision), self.ending
+            self.store.log, self.copy, kind, ids.Revision(revision), self.stopping
         )
         return await one.run(request)
 
--- a/src/tealcove/resources/documents.py
+++ b/src/tealcove/resources/documents.py
@@ -46,14 +46,14 @@
     deleted: bool = True
 
 
-class Overall(msgspec.Struct, frozen=True, kw_only=True):
+class ConfigurationStatus(msgspec.Struct, frozen=True, kw_only=True):
     """The answer to GET /admin/v1/status."""
 
     revision: ids.Revision
     in_force: status.InForce
 
 
-class WrittenMetadata(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class PutMetadata(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Metadata in a body; all but the name is the system's and not looked at."""
 
     name: str | None = None
@@ -62,16 +62,16 @@
     changed_by: str | None = None
 
 
-class Written(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
+class PutBody(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """The body of a PUT: a resource as GET shows it, or only its spec."""
 
     spec: msgspec.Raw
     kind: kinds.Kind | None = None
-    metadata: WrittenMetadata | None = None
+    metadata: PutMetadata | None = None
     status: msgspec.Raw | None = None
 
 
-class Patch(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class PatchBody(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """The body of a PATCH; only the spec can be changed."""
 
     spec: dict[str, Any]
@@ -113,7 +113,7 @@
 
 def read_put(content: bytes, kind: kinds.Kind, name: str) -> edits.Put:
     """Read the body of a PUT to a resource; raises ResourceError."""
-    written = decode(content, Written)
+    written = decode(content, PutBody)
     if written.kind not in (None, kind):
         raise mismatch("kind", written.kind.value, kind.value)
     if written.metadata is not None and written.metadata.name not in (None, name):
@@ -123,7 +123,7 @@
 
 def read_patch(content: bytes) -> edits.MergePatch:
     """Read the body of a PATCH; raises ResourceError."""
-    return edits.MergePatch(decode(content, Patch).spec)
+    return edits.MergePatch(decode(content, PatchBody).spec)
 
 
 def mismatch(field: str, written: str, wanted: str) -> refusals.InvalidFieldError:
--- a/src/tealcove/resources/headers.py
+++ b/src/tealcove/resources/headers.py
@@ -10,9 +10,9 @@
 from tealcove.resources import refusals
 
 ETAG = re.compile(r'"(\d{1,15})"\Z')
-LONGEST_KEY = 255
-LONGEST_PAGE = 1000
-USUAL_PAGE = 100
+MAX_KEY_LENGTH = 255
+MAX_PAGE_SIZE = 1000
+DEFAULT_PAGE_SIZE = 100
 
 
 def if_match(request: web.Request) -> ids.Revision | None:
@@ -47,10 +47,10 @@
     text = request.headers.get("Idempotency-Key")
     if text is None:
         return None
-    if not 1 <= len(text) <= LONGEST_KEY:
+    if not 1 <= len(text) <= MAX_KEY_LENGTH:
         raise refusals.BadRequestError(
             "the Idempotency-Key is empty or too long",
-            f"Send one of 1 to {LONGEST_KEY} characters, drawn for this change.",
+            f"Send one of 1 to {MAX_KEY_LENGTH} characters, drawn for this change.",
         )
     return ids.IdempotencyKey(text)
 
@@ -80,9 +80,9 @@
 
 def limit(request: web.Request) -> int:
     """Return how many items a page may have; raises BadRequestError."""
-    wanted = number(request, "limit", USUAL_PAGE)
-    if not 1 <= wanted <= LONGEST_PAGE:
+    wanted = number(request, "limit", DEFAULT_PAGE_SIZE)
+    if not 1 <= wanted <= MAX_PAGE_SIZE:
         raise refusals.BadRequestError(
-            f"limit={wanted} is out of range", f"Send 1 to {LONGEST_PAGE}."
+            f"limit={wanted} is out of range", f"Send 1 to {MAX_PAGE_SIZE}."
         )
     return wanted
--- a/src/tealcove/resources/peers.py
+++ b/src/tealcove/resources/peers.py
@@ -25,15 +25,15 @@
         self.transport = transport
         self.members = known
         self.copy = own
-        self.numbers = itertools.count()
-        self.waiting: dict[int, asyncio.Future[bytes]] = {}
+        self.request_numbers = itertools.count()
+        self.pending_replies: dict[int, asyncio.Future[bytes]] = {}
 
     def start(self) -> None:
         """Begin to ask and to answer."""
-        self.transport.handle(messages.ConfigurationRequest, self.take_request)
-        self.transport.handle(messages.ConfigurationReply, self.take_reply)
+        self.transport.handle(messages.ConfigurationRequest, self.handle_request)
+        self.transport.handle(messages.ConfigurationReply, self.handle_reply)
 
-    def take_request(
+    def handle_request(
         self, sender: ids.InstanceId, request: messages.ConfigurationRequest
     ) -> None:
         """Send a peer what is in force here."""
@@ -44,20 +44,20 @@
         reply = messages.ConfigurationReply(number=request.number, content=content)
         self.transport.send(peer, reply)
 
-    def take_reply(
+    def handle_reply(
         self, sender: ids.InstanceId, reply: messages.ConfigurationReply
     ) -> None:
         """Hand a peer's configuration to whoever waits for it."""
-        waiting = self.waiting.pop(reply.number, None)
-        if waiting is not None and not waiting.done():
-            waiting.set_result(reply.content)
+        pending = self.pending_replies.pop(reply.number, None)
+        if pending is not None and not pending.done():
+            pending.set_result(reply.content)
 
     async def fetch(self, revision: ids.Revision) -> bytes:
         """See PeerSource."""
         for heartbeat in self.members.alive(clock.now())[1:]:
             if heartbeat.revision < revision:
                 continue
-            content = await self.ask(heartbeat.instance)
+            content = await self.request_from(heartbeat.instance)
             if content is not None:
                 return content
         raise errors.PeerError(
@@ -65,21 +65,21 @@
             "Start an instance that can reach the platform, or wait for it.",
         )
 
-    async def ask(self, instance: ids.InstanceId) -> bytes | None:
+    async def request_from(self, instance: ids.InstanceId) -> bytes | None:
         """Return one peer's configuration, or None when it's silent."""
         peer = self.members.endpoint_of(instance)
         if peer is None:
             return None
-        number = next(self.numbers)
-        waiting = asyncio.get_running_loop().create_future()
-        self.waiting[number] = waiting
+        number = next(self.request_numbers)
+        pending = asyncio.get_running_loop().create_future()
+        self.pending_replies[number] = pending
         own = self.members.own.instance
         self.transport.send(
             peer, messages.ConfigurationRequest(sender=own, number=number)
         )
         try:
-            return await asyncio.wait_for(waiting, FETCH_TIMEOUT)
+            return await asyncio.wait_for(pending, FETCH_TIMEOUT)
         except TimeoutError:
             return None
         finally:
-            self.waiting.pop(number, None)
+            self.pending_replies.pop(number, None)
--- a/src/tealcove/resources/problems.py
+++ b/src/tealcove/resources/problems.py
@@ -28,7 +28,7 @@
     changed_by: str = ""
 
 
-class Answer(msgspec.Struct, frozen=True):
+class ProblemType(msgspec.Struct, frozen=True):
     """What a kind of error is answered with."""
 
     error: type[errors.TealcoveError]
@@ -39,72 +39,82 @@
 
 
 # The first that fits counts, so subclasses come before their base classes.
-ANSWERS = (
-    Answer(refusals.InUseError, 409, "in-use", "The resource is in use"),
-    Answer(refusals.FieldError, 422, "invalid-field", "A field can't be accepted"),
-    Answer(refusals.NotFoundError, 404, "not-found", "There is no such resource"),
-    Answer(
+PROBLEM_TYPES = (
+    ProblemType(refusals.InUseError, 409, "in-use", "The resource is in use"),
+    ProblemType(refusals.FieldError, 422, "invalid-field", "A field can't be accepted"),
+    ProblemType(refusals.NotFoundError, 404, "not-found", "There is no such resource"),
+    ProblemType(
         refusals.PreconditionRequiredError,
         428,
         "precondition-required",
         "The change must name the revision that it is based on",
     ),
-    Answer(
+    ProblemType(
         refusals.RevisionConflictError,
         409,
         "revision-conflict",
         "The resource is at another revision",
     ),
-    Answer(
+    ProblemType(
         refusals.IdempotencyMismatchError,
         422,
         "idempotency-key-reused",
         "The Idempotency-Key belongs to another change",
     ),
-    Answer(refusals.CompactedError, 410, "compacted", "The changes were compacted"),
-    Answer(
+    ProblemType(
+        refusals.CompactedError, 410, "compacted", "The changes were compacted"
+    ),
+    ProblemType(
         refusals.UnauthorisedError,
         401,
         "unauthorised",
         "The request has no operator's key",
         CHALLENGE,
     ),
-    Answer(refusals.BusyError, 503, "busy", "Other changes were faster", RETRY_AFTER),
-    Answer(refusals.BadRequestError, 400, "bad-request", "The request is malformed"),
-    Answer(refusals.TooLargeError, 413, "too-large", "The body is too large"),
-    Answer(
+    ProblemType(
+        refusals.BusyError, 503, "busy", "Other changes were faster", RETRY_AFTER
+    ),
+    ProblemType(
+        refusals.BadRequestError, 400, "bad-request", "The request is malformed"
+    ),
+    ProblemType(refusals.TooLargeError, 413, "too-large", "The body is too large"),
+    ProblemType(
         errors.OutcomeUnknownError,
         504,
         "outcome-unknown",
         "The change may have been applied",
         RETRY_AFTER,
     ),
-    Answer(
+    ProblemType(
         errors.PlatformError,
         503,
         "platform-unavailable",
         "The platform can't be reached; nothing was applied",
         RETRY_AFTER,
     ),
-    Answer(errors.TealcoveError, 500, "internal", "The request failed"),
+    ProblemType(errors.TealcoveError, 500, "internal", "The request failed"),
 )
 
 
-def answer_to(error: errors.TealcoveError) -> Answer:
+def problem_type_of(error: errors.TealcoveError) -> ProblemType:
     """Return how an error is answered."""
-    return next(answer for answer in ANSWERS if isinstance(error, answer.error))
+    return next(
+        problem_type
+        for problem_type in PROBLEM_TYPES
+        if isinstance(error, problem_type.error)
+    )
 
 
 def problem(error: errors.TealcoveError) -> Problem:
     """Return the body that tells of an error."""
-    answer = answer_to(error)
+    problem_type = problem_type_of(error)
     current, changed_by = None, ""
     if isinstance(error, refusals.RevisionConflictError):
         current, changed_by = error.current, error.changed_by
     return Problem(
-        type=TYPE_PREFIX + answer.name,
-        title=answer.title,
-        status=answer.status,
+        type=TYPE_PREFIX + problem_type.name,
+        title=problem_type.title,
+        status=problem_type.status,
         detail=error.problem,
         remedy=error.remedy,
         field=error.field if isinstance(error, refusals.FieldError) else "",
@@ -115,10 +125,10 @@
 
 def response(error: errors.TealcoveError) -> web.Response:
     """Return the response that tells of an error."""
-    answer = answer_to(error)
+    problem_type = problem_type_of(error)
     return web.Response(
-        status=answer.status,
+        status=problem_type.status,
         body=msgspec.json.encode(problem(error)),
         content_type=CONTENT_TYPE,
-        headers=answer.headers,
+        headers=problem_type.headers,
     )
--- a/src/tealcove/resources/watch.py
+++ b/src/tealcove/resources/watch.py
@@ -14,11 +14,11 @@
 CONTENT_TYPE = "application/jsonl"
 # Seconds between lines of a quiet stream: by a failed write a broken connection is
 # found, and a watcher learns how far it may resume from.
-QUIET_LIMIT = 10.0
+BOOKMARK_INTERVAL = 10.0
 # Seconds that a line may wait for a watcher that doesn't read, before it is dropped.
-STUCK_LIMIT = 30.0
+WRITE_TIMEOUT = 30.0
 # Seconds before the log is asked again while the platform is down.
-RETRY_PAUSE = 1.0
+RETRY_DELAY = 1.0
 
 
 class EventType(enum.Enum):
@@ -61,16 +61,16 @@
         own: copy.ConfigurationCopy,
         kind: kinds.Kind,
         revision: ids.Revision,
-        ending: asyncio.Event,
+        stopping: asyncio.Event,
     ) -> None:
         self.log = changes
         self.copy = own
         self.kind = kind
         self.revision = revision
-        self.told = revision
+        self.written_revision = revision
         # Set when the instance leaves: a watch never ends by itself, and would hold
         # up the end of the instance.
-        self.ending = ending
+        self.stopping = stopping
         self.stream = web.StreamResponse(headers={"Content-Type": CONTENT_TYPE})
 
     async def run(self, request: web.Request) -> web.StreamResponse:
@@ -81,7 +81,7 @@
         """
         changes = await self.log.changes_after(self.revision)
         await self.stream.prepare(request)
-        while not self.ending.is_set():
+        while not self.stopping.is_set():
             for change in changes:
                 self.revision = change.revision
                 if change.kind is self.kind:
@@ -92,7 +92,7 @@
                 changes = await self.log.changes_after(self.revision)
             except errors.PlatformUnavailableError:
                 changes = []
-                await asyncio.sleep(RETRY_PAUSE)
+                await asyncio.sleep(RETRY_DELAY)
             except errors.TealcoveError as error:
                 await self.write_error(error)
                 break
@@ -100,15 +100,15 @@
 
     async def wait(self) -> None:
         """Wait for the next change of any kind, and write a line if none comes."""
-        if self.told < self.revision:
+        if self.written_revision < self.revision:
             await self.write_bookmark()
         following = ids.Revision(self.revision + 1)
         moved = asyncio.ensure_future(self.copy.wait_for(following))
-        ended = asyncio.ensure_future(self.ending.wait())
+        ended = asyncio.ensure_future(self.stopping.wait())
         try:
             done, _ = await asyncio.wait(
                 (moved, ended),
-                timeout=QUIET_LIMIT,
+                timeout=BOOKMARK_INTERVAL,
                 return_when=asyncio.FIRST_COMPLETED,
             )
         finally:
@@ -119,8 +119,8 @@
 
     async def write(self, event: Event) -> None:
         """Write one line."""
-        self.told = event.revision
-        async with asyncio.timeout(STUCK_LIMIT):
+        self.written_revision = event.revision
+        async with asyncio.timeout(WRITE_TIMEOUT):
             await self.stream.write(msgspec.json.encode(event) + b"\n")
 
     async def write_bookmark(self) -> None:
@@ -129,7 +129,7 @@
 
     async def write_error(self, error: errors.TealcoveError) -> None:
         """Write why the stream ends."""
-        told = problems.problem(error)
+        problem = problems.problem(error)
         await self.write(
-            Event(type=EventType.ERROR, revision=self.revision, problem=told)
+            Event(type=EventType.ERROR, revision=self.revision, problem=problem)
         )
--- a/src/tealcove/tests/test_documents.py
+++ b/src/tealcove/tests/test_documents.py
@@ -20,5 +20,5 @@
     wanted |= {kind.value for kind in kinds.Kind}
     wanted |= {reason.value for reason in messages.RefusalReason}
     wanted |= {outcome.value for outcome in problem.Outcome}
-    wanted |= {answer.name for answer in problems.ANSWERS}
+    wanted |= {kind.name for kind in problems.PROBLEM_TYPES}
     assert [name for name in sorted(wanted) if f"`{name}`" not in page] == []
