--- a/src/tealcove/resources/references.py
+++ b/src/tealcove/resources/references.py
@@ -21,7 +21,7 @@
     name: str
 
 
-def each(
+def references_in(
     field: str, wanted: tuple[kinds.Kind, ...], names: tuple[str, ...]
 ) -> Iterator[Reference]:
     """Yield a reference for each name in a list."""
@@ -35,11 +35,13 @@
     if isinstance(spec, kinds.ClientAccountSpec):
         yield Reference("spec.tier", (kinds.Kind.SERVICE_TIER,), spec.tier)
     elif isinstance(spec, kinds.EnginePoolSpec):
-        yield from each("spec.models", (kinds.Kind.MODEL,), spec.models)
-        yield from each("spec.adapters", (kinds.Kind.ADAPTER,), spec.adapters)
+        yield from references_in("spec.models", (kinds.Kind.MODEL,), spec.models)
+        yield from references_in("spec.adapters", (kinds.Kind.ADAPTER,), spec.adapters)
     elif isinstance(spec, kinds.AdapterSpec):
         yield Reference("spec.model", (kinds.Kind.MODEL,), spec.model)
     elif isinstance(spec, kinds.RoutingRuleSpec):
         yield Reference("spec.pool", POOLS, spec.pool)
-        yield from each("spec.models", MODELS, spec.models)
-        yield from each("spec.accounts", (kinds.Kind.CLIENT_ACCOUNT,), spec.accounts)
+        yield from references_in("spec.models", MODELS, spec.models)
+        yield from references_in(
+            "spec.accounts", (kinds.Kind.CLIENT_ACCOUNT,), spec.accounts
+        )
--- a/src/tealcove/resources/servers.py
+++ b/src/tealcove/resources/servers.py
@@ -10,44 +10,44 @@
 from tealcove.resources import copy, kinds, references, refusals
 
 
-class Place(msgspec.Struct, frozen=True):
+class ServerEntry(msgspec.Struct, frozen=True):
     """Where a backend server is declared."""
 
     field: str
     server: kinds.BackendServerSpec
 
 
-def places(pool: kinds.Resource, prefix: str = "") -> Iterator[Place]:
+def entries_of(pool: kinds.Resource, prefix: str = "") -> Iterator[ServerEntry]:
     """Yield the servers of a pool with the paths of their fields."""
     for number, server in enumerate(pool.spec.servers):
-        yield Place(f"{prefix}spec.servers[{number}]", server)
+        yield ServerEntry(f"{prefix}spec.servers[{number}]", server)
 
 
-def other_places(
+def entries_of_other_pools(
     configuration: copy.Configuration, pool: kinds.Resource
-) -> Iterator[Place]:
+) -> Iterator[ServerEntry]:
     """Yield the servers of all other pools."""
     for kind in references.POOLS:
         for name, other in configuration.resources[kind].items():
             if kind is not pool.kind or name != pool.metadata.name:
-                yield from places(other, f"{kind.value}/{name} ")
+                yield from entries_of(other, f"{kind.value}/{name} ")
 
 
-def check_host(place: Place) -> str:
+def check_host(entry: ServerEntry) -> str:
     """Return the host in its usual form; raises InvalidFieldError."""
-    field = f"{place.field}.host"
+    field = f"{entry.field}.host"
     try:
-        address = ipaddress.ip_address(place.server.host)
+        address = ipaddress.ip_address(entry.server.host)
     except ValueError as error:
         raise refusals.InvalidFieldError(
-            f"{place.server.host!r} isn't an IP number",
+            f"{entry.server.host!r} isn't an IP number",
             "Write the server's address as 10.0.0.7 or fd00::7; names aren't looked "
             "up.",
             field,
         ) from error
     if address.is_unspecified or address.is_multicast:
         raise refusals.InvalidFieldError(
-            f"{place.server.host} isn't the address of one server",
+            f"{entry.server.host} isn't the address of one server",
             "Write the address at which the server listens.",
             field,
         )
@@ -62,18 +62,18 @@
     """
     names: dict[str, str] = {}
     addresses: dict[tuple[str, int], str] = {}
-    for place in other_places(configuration, pool):
-        names[place.server.name] = place.field
-        addresses[check_host(place), place.server.port] = place.field
-    for place in places(pool):
-        address = (check_host(place), place.server.port)
-        refuse_taken(names.get(place.server.name), f"{place.field}.name")
-        refuse_taken(addresses.get(address), f"{place.field}.host")
-        names[place.server.name] = place.field
-        addresses[address] = place.field
-
-
-def refuse_taken(holder: str | None, field: str) -> None:
+    for entry in entries_of_other_pools(configuration, pool):
+        names[entry.server.name] = entry.field
+        addresses[check_host(entry), entry.server.port] = entry.field
+    for entry in entries_of(pool):
+        address = (check_host(entry), entry.server.port)
+        check_unique(names.get(entry.server.name), f"{entry.field}.name")
+        check_unique(addresses.get(address), f"{entry.field}.host")
+        names[entry.server.name] = entry.field
+        addresses[address] = entry.field
+
+
+def check_unique(holder: str | None, field: str) -> None:
     """Raise DuplicateError if another entry has the value already."""
     if holder is not None:
         raise refusals.DuplicateError(
--- a/src/tealcove/resources/validation.py
+++ b/src/tealcove/resources/validation.py
@@ -16,7 +16,7 @@
 )
 
 # The kinds whose resources name a resource of each kind.
-USERS = {
+REFERRING_KINDS = {
     kinds.Kind.CLIENT_ACCOUNT: (kinds.Kind.ROUTING_RULE,),
     kinds.Kind.SERVICE_TIER: (kinds.Kind.CLIENT_ACCOUNT,),
     kinds.Kind.ENGINE_POOL: (kinds.Kind.ROUTING_RULE,),
@@ -56,7 +56,7 @@
     if isinstance(spec, kinds.EnginePoolSpec):
         check_adapters(configuration, spec)
     elif isinstance(spec, kinds.AdapterSpec):
-        check_carriers(configuration, resource)
+        check_pools_of_adapter(configuration, resource)
 
 
 def check_reference(
@@ -126,11 +126,13 @@
             )
 
 
-def check_carriers(configuration: copy.Configuration, adapter: kinds.Resource) -> None:
+def check_pools_of_adapter(
+    configuration: copy.Configuration, adapter: kinds.Resource
+) -> None:
     """Refuse a new model of an adapter that a pool serves without that model."""
     for name, pool in configuration.engine_pools.items():
-        carried = adapter.metadata.name in pool.spec.adapters
-        if carried and adapter.spec.model not in pool.spec.models:
+        is_served = adapter.metadata.name in pool.spec.adapters
+        if is_served and adapter.spec.model not in pool.spec.models:
             raise refusals.InUseError(
                 f"engine-pools/{name} serves this adapter, but not models/"
                 f"{adapter.spec.model}",
@@ -139,9 +141,11 @@
             )
 
 
-def uses(configuration: copy.Configuration, resource: kinds.Resource) -> Iterator[str]:
+def referring_fields(
+    configuration: copy.Configuration, resource: kinds.Resource
+) -> Iterator[str]:
     """Yield each field that names a resource, after its own resource's name."""
-    for kind in USERS[resource.kind]:
+    for kind in REFERRING_KINDS[resource.kind]:
         for name, user in configuration.resources[kind].items():
             for reference in references.references(user):
                 named = reference.name == resource.metadata.name
@@ -155,7 +159,7 @@
         table = configuration.resources[kinds.Kind.CLIENT_ACCOUNT]
         if not table.counts_by_tier.get(resource.metadata.name):
             return
-    field = next(uses(configuration, resource), None)
+    field = next(referring_fields(configuration, resource), None)
     if field is not None:
         raise refusals.InUseError(
             f"names {resource.kind.value}/{resource.metadata.name}, so that can't be "
