--- a/src/tealcove/resources/store.py
+++ b/src/tealcove/resources/store.py
@@ -17,11 +17,11 @@
 # Attempts of one change, each lost to another writer or of unknown outcome.
 ATTEMPTS = 20
 # Seconds; the longest pause before the second attempt, doubled for each further.
-FIRST_PAUSE = 0.01
-LONGEST_PAUSE = 0.5
+FIRST_BACKOFF = 0.01
+MAX_BACKOFF = 0.5
 
 
-class Recorded(msgspec.Struct, frozen=True, kw_only=True):
+class IdempotencyRecord(msgspec.Struct, frozen=True, kw_only=True):
     """The row by which a repeat of a change gets the same answer, as written."""
 
     fingerprint: str
@@ -30,7 +30,7 @@
     resource: kinds.Resource | None
 
 
-class StoredRecord(msgspec.Struct, frozen=True, kw_only=True):
+class StoredIdempotencyRecord(msgspec.Struct, frozen=True, kw_only=True):
     """The same row as decoded in the first step."""
 
     fingerprint: str
@@ -47,7 +47,7 @@
     outcome: decision.Outcome
 
 
-class Doubt(msgspec.Struct, frozen=True):
+class InDoubtAttempt(msgspec.Struct, frozen=True):
     """An attempt whose reply was lost."""
 
     outcome: decision.Outcome
@@ -82,7 +82,7 @@
         self.log = log.ConfigurationLog(rows, store)
         # Changes through one instance go one by one: they would only make each
         # other's transactions fail on the head.
-        self.writing = asyncio.Lock()
+        self.write_lock = asyncio.Lock()
 
     async def change(self, request: decision.ChangeRequest) -> decision.Outcome:
         """Apply a change exactly once, or raise and leave everything as it was.
@@ -91,49 +91,49 @@
         OutcomeUnknownError (the platform failed before it could be found out; a
         repeat with the same Idempotency-Key finds out).
         """
-        async with self.writing:
-            return await Writing(self, request).run()
+        async with self.write_lock:
+            return await ChangeWriter(self, request).run()
 
-    def applied(self, change: codec.Change) -> None:
+    def apply_locally(self, change: codec.Change) -> None:
         """Put an own change in force here at once, so that its caller can read it."""
         configuration = self.copy.current
         if configuration.revision + 1 == change.revision:
             self.copy.activate(configuration.with_changes([change]))
 
 
-class Writing:
+class ChangeWriter:
     """One change on its way, over all its attempts."""
 
     def __init__(self, store: ResourceStore, request: decision.ChangeRequest) -> None:
         self.store = store
         self.request = request
         self.nonce = secrets.token_hex(NONCE_BYTES)
-        self.row = idempotency_row(request)
+        self.idempotency_row = idempotency_row(request)
         self.fingerprint = fingerprint(request)
-        self.doubt: Doubt | None = None
+        self.in_doubt: InDoubtAttempt | None = None
 
     async def run(self) -> decision.Outcome:
         """Try until the change is applied or refused."""
         for number in range(ATTEMPTS):
             if number:
-                await pause(number)
+                await back_off(number)
             try:
                 outcome = await self.attempt()
             except errors.PlatformUnavailableError as error:
-                if self.doubt is None:
+                if self.in_doubt is None:
                     raise
-                raise self.unknown() from error
+                raise self.outcome_unknown() from error
             if outcome is not None:
                 return outcome
-        if self.doubt is not None:
-            raise self.unknown()
+        if self.in_doubt is not None:
+            raise self.outcome_unknown()
         raise refusals.BusyError(
             f"other changes were faster {ATTEMPTS} times in a row",
             "Repeat the change; nothing of it was applied.",
         )
 
-    def unknown(self) -> errors.OutcomeUnknownError:
-        """Return the error for a doubt that couldn't be settled."""
+    def outcome_unknown(self) -> errors.OutcomeUnknownError:
+        """Return the error for an attempt in doubt that couldn't be settled."""
         request = self.request
         return errors.OutcomeUnknownError(
             f"the platform didn't say whether the change of {request.kind.value}/"
@@ -144,15 +144,15 @@
     async def attempt(self) -> decision.Outcome | None:
         """Make one attempt; None means another one is needed.
 
-        The head is read before a doubt is settled: an attempt with a lost reply
+        The head is read before the attempt in in_doubt is resolved: an attempt with a lost reply
         may still be on its way, and only a head at or beyond its revision shows
         that it was applied or never will be.
         """
         head_row = await self.store.log.read_head()
-        settled = await self.settle(head_row.head)
+        settled = await self.resolve_in_doubt(head_row.head)
         if settled is not None:
             return settled
-        recorded = await self.recorded()
+        recorded = await self.recorded_outcome()
         if recorded is not None:
             return recorded
         await self.store.log.advance(self.store.copy, head_row.head)
@@ -165,25 +165,25 @@
             return outcome
         return await self.commit(await self.prepare(head_row, outcome))
 
-    async def settle(self, head: log.Head) -> decision.Outcome | None:
+    async def resolve_in_doubt(self, head: log.Head) -> decision.Outcome | None:
         """Find out about an attempt with a lost reply."""
-        doubt = self.doubt
-        if doubt is None or head.revision < doubt.outcome.revision:
+        in_doubt = self.in_doubt
+        if in_doubt is None or head.revision < in_doubt.outcome.revision:
             return None
-        change = await self.store.log.change(doubt.outcome.revision)
+        change = await self.store.log.change(in_doubt.outcome.revision)
         if change is None:
-            raise self.unknown() from doubt.error
-        self.doubt = None
-        return doubt.outcome if change.nonce == self.nonce else None
+            raise self.outcome_unknown() from in_doubt.error
+        self.in_doubt = None
+        return in_doubt.outcome if change.nonce == self.nonce else None
 
-    async def recorded(self) -> decision.Outcome | None:
+    async def recorded_outcome(self) -> decision.Outcome | None:
         """Return the answer that an earlier call with the same key got."""
-        if not self.row:
+        if not self.idempotency_row:
             return None
-        row = await self.store.rows.read(log.IDEMPOTENCY, self.row)
+        row = await self.store.rows.read(log.IDEMPOTENCY, self.idempotency_row)
         if row is None:
             return None
-        recorded = msgspec.json.decode(row.value, type=StoredRecord)
+        recorded = msgspec.json.decode(row.value, type=StoredIdempotencyRecord)
         if recorded.fingerprint != self.fingerprint:
             raise refusals.IdempotencyMismatchError(
                 f"this Idempotency-Key was used for another change, revision "
@@ -210,10 +210,10 @@
         writes = [
             table.Put(log.HEADS, log.HEAD_KEY, codec.encode(head)),
             table.Put(log.CHANGES, change_key, codec.encode(change)),
-            write_of(key, outcome.resource),
+            write_for(key, outcome.resource),
         ]
-        if self.row:
-            conditions.append(table.Absent(log.IDEMPOTENCY, self.row))
+        if self.idempotency_row:
+            conditions.append(table.Absent(log.IDEMPOTENCY, self.idempotency_row))
             writes.append(self.record(outcome))
         transaction = table.Transaction(tuple(conditions), tuple(writes))
         return Attempt(transaction, change, outcome)
@@ -227,19 +227,19 @@
             name=request.name,
             changed_by=request.operator,
             nonce=self.nonce,
-            idempotency_row=self.row,
+            idempotency_row=self.idempotency_row,
             resource=outcome.resource,
         )
 
     def record(self, outcome: decision.Outcome) -> table.Put:
         """Return the write by which a repeat will get the same answer."""
-        recorded = Recorded(
+        recorded = IdempotencyRecord(
             fingerprint=self.fingerprint,
             revision=outcome.revision,
             created=outcome.created,
             resource=outcome.resource,
         )
-        return table.Put(log.IDEMPOTENCY, self.row, codec.encode(recorded))
+        return table.Put(log.IDEMPOTENCY, self.idempotency_row, codec.encode(recorded))
 
     async def commit(self, attempt: Attempt) -> decision.Outcome | None:
         """Commit; None if the head moved or the reply was lost."""
@@ -250,21 +250,21 @@
                 raise
             return None
         except errors.OutcomeUnknownError as error:
-            self.doubt = Doubt(attempt.outcome, error)
+            self.in_doubt = InDoubtAttempt(attempt.outcome, error)
             return None
-        self.doubt = None
-        self.store.applied(attempt.change)
+        self.in_doubt = None
+        self.store.apply_locally(attempt.change)
         return attempt.outcome
 
 
-def write_of(key: str, resource: kinds.Resource | None) -> table.Put | table.Delete:
+def write_for(key: str, resource: kinds.Resource | None) -> table.Put | table.Delete:
     """Return the write that leaves a resource as wanted; None: deleted."""
     if resource is None:
         return table.Delete(log.RESOURCES, key)
     return table.Put(log.RESOURCES, key, codec.encode(resource))
 
 
-async def pause(number: int) -> None:
+async def back_off(number: int) -> None:
     """Wait before a further attempt, at random so that writers fall apart."""
-    longest = min(LONGEST_PAUSE, FIRST_PAUSE * 2 ** (number - 1))
+    longest = min(MAX_BACKOFF, FIRST_BACKOFF * 2 ** (number - 1))
     await asyncio.sleep(random.uniform(0, longest))
