--- a/soak/faults.py
+++ b/soak/faults.py
@@ -166,7 +166,7 @@
         elif what == "slow":
             faults.slow = 0.3
         else:
-            await self.running.store.memory.table.forget_history()
+            await self.running.store.memory.table.discard_history()
         with self.record.disturbed(calm.STORE):
             yield f"store is {what}"
             faults.down = False
--- a/src/tealcove/platform/tests/test_store_machine.py
+++ b/src/tealcove/platform/tests/test_store_machine.py
@@ -56,7 +56,7 @@
 
     def truth(self) -> dict[str, bytes]:
         """Return what the store holds."""
-        found = self.standin.memory.table.of_table(TABLE)
+        found = self.standin.memory.table.rows_of_table(TABLE)
         return {row.key: row.value for row in found}
 
     @stateful.rule(down=st.booleans(), lost=st.integers(0, 2), slow=st.booleans())
@@ -90,7 +90,7 @@
     @stateful.rule()
     def forget_history(self) -> None:
         """Let the store forget its changes."""
-        self.runner.run(self.standin.memory.table.forget_history())
+        self.runner.run(self.standin.memory.table.discard_history())
 
     @stateful.rule(key=KEYS)
     def read(self, key: str) -> None:
--- a/src/tealcove/standins/platform.py
+++ b/src/tealcove/standins/platform.py
@@ -137,7 +137,7 @@
             rows = await self.listed_rows()
         else:
             await self.memory.gate.admit_read()
-            rows = self.memory.table.of_table(query["table"])
+            rows = self.memory.table.rows_of_table(query["table"])
         rows = [row for row in rows if row.key >= query.get("from", "")]
         return self.page(
             [wire_row(row) for row in rows[:limit]], has_more=len(rows) > limit
@@ -196,7 +196,7 @@
 
     async def forget(self, request: web.Request) -> web.Response:
         """Keep none of the changes so far."""
-        await self.memory.table.forget_history()
+        await self.memory.table.discard_history()
         return web.Response(status=NO_CONTENT)
 
     async def write_row(self, request: web.Request) -> web.Response:
--- a/src/tealcove/storage/faults.py
+++ b/src/tealcove/storage/faults.py
@@ -33,7 +33,7 @@
     list_lag: float = 0.0
 
 
-class Allowance:
+class RateLimiter:
     """Counts the calls of one kind and refuses those beyond a rate."""
 
     def __init__(self, clock: Callable[[], float]) -> None:
@@ -42,7 +42,7 @@
         self.second = 0
         self.used = 0
 
-    def take(self, rate: float | None) -> None:
+    def acquire(self, rate: float | None) -> None:
         """Count one call; raises RateLimitedError beyond `rate` a second."""
         second = int(self.clock())
         if second != self.second:
@@ -63,19 +63,19 @@
     def __init__(self, clock: Callable[[], float] = time.monotonic) -> None:
         self.clock = clock
         self.faults = Faults()
-        self.reads = Allowance(clock)
-        self.writes = Allowance(clock)
+        self.reads = RateLimiter(clock)
+        self.writes = RateLimiter(clock)
 
     async def admit_read(self) -> None:
         """Let a read in; raises PlatformUnavailableError."""
         self.refuse_when_down()
-        self.reads.take(self.faults.reads_per_second)
+        self.reads.acquire(self.faults.reads_per_second)
         await self.delay()
 
     async def admit_write(self) -> None:
         """Let a write in before it has any effect; raises PlatformUnavailableError."""
         self.refuse_when_down()
-        self.writes.take(self.faults.writes_per_second)
+        self.writes.acquire(self.faults.writes_per_second)
         await self.delay()
 
     def confirm_write(self) -> None:
--- a/src/tealcove/storage/memory.py
+++ b/src/tealcove/storage/memory.py
@@ -20,9 +20,9 @@
 )
 
 # Changes of the instance list older than this are merged: the greatest lag.
-GREATEST_LIST_LAG = 600.0
+MAX_LIST_LAG = 600.0
 # Changes that are kept for those who follow a table.
-MOST_CHANGES = 10_000
+MAX_CHANGES = 10_000
 
 
 class RowChange(msgspec.Struct, frozen=True):
@@ -42,7 +42,7 @@
         self.sorted_keys: dict[str, list[str]] = {}
         self.changes: list[RowChange] = []
         # The version from which on all changes are still kept.
-        self.kept_from = 0
+        self.history_start = 0
         self.changed = asyncio.Condition()
 
     async def commit(self, transaction: table.Transaction) -> table.Committed:
@@ -67,7 +67,7 @@
     async def read_all(self, table: str) -> feed.Page:
         """Return all rows of a table; see the base class."""
         await self.gate.admit_read()
-        rows = self.of_table(table)
+        rows = self.rows_of_table(table)
         entries = tuple(feed.Entry(row.key, row.value, row.version) for row in rows)
         return feed.Page(entries, self.last_version)
 
@@ -82,19 +82,19 @@
         await self.gate.admit_read()
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(seconds), self.changed:
-                await self.changed.wait_for(lambda: self.has_news(table, since))
+                await self.changed.wait_for(lambda: self.has_changes(table, since))
         self.gate.refuse_when_down()
-        if since < self.kept_from:
+        if since < self.history_start:
             raise feed.HistoryLostError(
                 f"the changes since {since} are gone", "Read the whole table."
             )
-        return feed.Page(tuple(self.after(table, since)), self.last_version)
+        return feed.Page(tuple(self.changes_after(table, since)), self.last_version)
 
-    def has_news(self, table: str, since: int) -> bool:
+    def has_changes(self, table: str, since: int) -> bool:
         """Tell whether a table has changed after a version, or may have."""
-        return since < self.kept_from or bool(self.after(table, since))
+        return since < self.history_start or bool(self.changes_after(table, since))
 
-    def after(self, table: str, since: int) -> list[feed.Entry]:
+    def changes_after(self, table: str, since: int) -> list[feed.Entry]:
         """Return the changes of a table after a version, in order."""
         return [
             change.entry
@@ -102,18 +102,18 @@
             if change.table == table and change.entry.version > since
         ]
 
-    async def forget_history(self) -> None:
+    async def discard_history(self) -> None:
         """Keep none of the changes so far."""
         self.changes.clear()
-        self.kept_from = self.last_version
+        self.history_start = self.last_version
         async with self.changed:
             self.changed.notify_all()
 
-    def note(self, table: str, entry: feed.Entry) -> None:
+    def record_change(self, table: str, entry: feed.Entry) -> None:
         """Keep a change for those who follow its table."""
         self.changes.append(RowChange(table, entry))
-        if len(self.changes) > MOST_CHANGES:
-            self.kept_from = self.changes.pop(0).entry.version
+        if len(self.changes) > MAX_CHANGES:
+            self.history_start = self.changes.pop(0).entry.version
 
     async def scan(
         self, table: str, after: str = "", limit: int = 1000
@@ -124,7 +124,7 @@
         start = bisect.bisect_right(keys, after)
         return tuple(self.rows[table, key] for key in keys[start : start + limit])
 
-    def of_table(self, table: str) -> list[table.Row]:
+    def rows_of_table(self, table: str) -> list[table.Row]:
         """Return the rows of a table in order of key."""
         return [self.rows[table, key] for key in self.sorted_keys.get(table, [])]
 
@@ -135,7 +135,7 @@
         conflicts = []
         for index, condition in enumerate(transaction.conditions):
             row = self.rows.get((condition.table, condition.key))
-            if not holds(condition, row):
+            if not condition_holds(condition, row):
                 conflicts.append(table.Conflict(index, row))
         return tuple(conflicts)
 
@@ -150,13 +150,17 @@
                 write.table, write.key, write.value, self.last_version
             )
             entry = feed.Entry(write.key, write.value, self.last_version)
-            self.note(write.table, entry)
+            self.record_change(write.table, entry)
         elif self.rows.pop(place, None) is not None:
             del keys[bisect.bisect_left(keys, write.key)]
-            self.note(write.table, feed.Entry(write.key, None, self.last_version))
+            self.record_change(
+                write.table, feed.Entry(write.key, None, self.last_version)
+            )
 
 
-def holds(condition: table.Absent | table.VersionIs, row: table.Row | None) -> bool:
+def condition_holds(
+    condition: table.Absent | table.VersionIs, row: table.Row | None
+) -> bool:
     """Whether a condition holds of the row that stands there."""
     if isinstance(condition, table.Absent):
         return row is None
@@ -226,7 +230,7 @@
         """Append a change, and merge those that no lag can hide any more."""
         now = self.gate.clock()
         self.changes.append(ListChange(now, name, entry))
-        while self.changes[0].at < now - GREATEST_LIST_LAG:
+        while self.changes[0].at < now - MAX_LIST_LAG:
             merge(self.merged, self.changes.pop(0))
 
 
@@ -252,9 +256,9 @@
         self.instances = MemoryInstanceList(self.gate)
         self.weights = rowweights.RowWeightStore(self.table)
         if weight_rate != rowweights.DEFAULT_RATE:
-            turns = msgspec.json.encode(rowweights.Turns(weight_rate))
+            schedule = msgspec.json.encode(rowweights.LoadSchedule(weight_rate))
             self.table.last_version += 1
-            self.table.apply(table.Put(rowweights.TABLE, rowweights.KEY, turns))
+            self.table.apply(table.Put(rowweights.TABLE, rowweights.KEY, schedule))
 
     @property
     def faults(self) -> faults.Faults:
--- a/src/tealcove/storage/rowlist.py
+++ b/src/tealcove/storage/rowlist.py
@@ -12,7 +12,7 @@
 
 TABLE = "instances"
 # Instances beyond these are found through the ones listed.
-MOST_LISTED = 500
+MAX_LISTED = 500
 
 
 class RowInstanceList(instances.InstanceList):
@@ -35,7 +35,7 @@
 
     async def listed(self) -> tuple[instances.ListedInstance, ...]:
         """Return all entries; the first call writes this instance's own."""
-        found = await self.rows.scan(TABLE, limit=MOST_LISTED)
+        found = await self.rows.scan(TABLE, limit=MAX_LISTED)
         listed = {row.key: decode(row) for row in found}
         if self.own is not None and not self.is_listed:
             if listed.get(self.own.name) != self.own:
--- a/src/tealcove/storage/rowweights.py
+++ b/src/tealcove/storage/rowweights.py
@@ -12,10 +12,10 @@
 # Bytes a second of loads together, where the operator's row names no rate.
 DEFAULT_RATE = 1e9
 # Tries of one reservation: each fails only because another one has succeeded.
-MOST_TRIES = 10
+MAX_ATTEMPTS = 10
 
 
-class Turns(msgspec.Struct, frozen=True):
+class LoadSchedule(msgspec.Struct, frozen=True):
     """The row: the rate, and until when it's taken by the table's own clock."""
 
     rate: float = DEFAULT_RATE
@@ -30,11 +30,11 @@
 
     async def reserve(self, size: int) -> float:
         """Reserve a load; see the base class."""
-        for _ in range(MOST_TRIES):
+        for _ in range(MAX_ATTEMPTS):
             found = await self.rows.read_at(TABLE, KEY)
-            turns = Turns() if found.row is None else decode(found.row)
-            start = max(found.seconds, turns.busy_until)
-            taken = Turns(turns.rate, start + size / turns.rate)
+            schedule = LoadSchedule() if found.row is None else decode(found.row)
+            start = max(found.seconds, schedule.busy_until)
+            taken = LoadSchedule(schedule.rate, start + size / schedule.rate)
             try:
                 await table.replace(
                     self.rows, found.row, TABLE, KEY, msgspec.json.encode(taken)
@@ -47,10 +47,10 @@
         )
 
 
-def decode(row: table.Row) -> Turns:
+def decode(row: table.Row) -> LoadSchedule:
     """Return what a row says; raises PlatformUnavailableError."""
     try:
-        return msgspec.json.decode(row.value, type=Turns)
+        return msgspec.json.decode(row.value, type=LoadSchedule)
     except msgspec.MsgspecError as error:
         raise errors.PlatformUnavailableError(
             f"the row {TABLE}/{KEY} can't be read: {error}", "Write it anew."
--- a/src/tealcove/storage/tests/test_memory.py
+++ b/src/tealcove/storage/tests/test_memory.py
@@ -34,7 +34,7 @@
     assert await platform.instances.listed() == (builders.entry("one"),)
     clock.now += 0.2
     assert await platform.instances.listed() == ()
-    clock.now += memory.GREATEST_LIST_LAG + 1.0
+    clock.now += memory.MAX_LIST_LAG + 1.0
     platform.instances.register(builders.entry("two"))
     assert len(platform.instances.changes) == 1
 
