--- a/src/tealcove/resources/accounts.py
+++ b/src/tealcove/resources/accounts.py
@@ -1,4 +1,4 @@
-"""Client accounts packed small, so that 39,000 of them fit in memory."""
+"""Client accounts in a compact encoding, so that 39,000 of them fit in memory."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 def pack(resource: kinds.Resource) -> bytes:
-    """Pack a resource of kind ClientAccount."""
+    """Encode a resource of kind ClientAccount compactly."""
     spec = resource.spec
     packed = PackedAccount(
         name=resource.metadata.name,
@@ -45,7 +45,7 @@
 
 
 def unpack(content: bytes) -> kinds.Resource:
-    """Return the resource that was packed."""
+    """Decode a packed client account to a resource."""
     packed = DECODER.decode(content)
     metadata = kinds.Metadata(
         name=packed.name,
@@ -63,7 +63,7 @@
 
 
 class AccountTable(Mapping[str, kinds.Resource]):
-    """All client accounts by name and by key hash; never changed once built."""
+    """Immutable table of all client accounts, indexed by name and by key hash."""
 
     def __init__(
         self,
@@ -73,12 +73,12 @@
     ) -> None:
         self.packed = packed
         self.names_by_key_hash = names_by_key_hash
-        # Kept so that deleting an unused tier needn't unpack every account.
+        # Lets an unused tier be deleted without unpacking every account.
         self.counts_by_tier = counts_by_tier
 
     @classmethod
     def from_packed(cls, contents: list[msgspec.Raw]) -> AccountTable:
-        """Build a table from packed accounts, each read once."""
+        """Build a table from packed accounts, decoding each one once."""
         packed = {}
         names_by_key_hash = {}
         counts: collections.Counter[str] = collections.Counter()
@@ -103,18 +103,18 @@
         return len(self.packed)
 
     def name_by_key_hash(self, key_hash: str) -> str | None:
-        """Return the account that a key belongs to, by its SHA-256 in hex."""
+        """Return the name of the account that owns a key, given its SHA-256 in hex."""
         return self.names_by_key_hash.get(bytes.fromhex(key_hash))
 
     def with_changes(
         self, changes: Mapping[str, kinds.Resource | None]
     ) -> AccountTable:
-        """Return a table with some accounts written or (None) deleted."""
+        """Return a table with accounts replaced, added or (if None) deleted."""
         packed = dict(self.packed)
         names_by_key_hash = dict(self.names_by_key_hash)
         counts = collections.Counter(self.counts_by_tier)
-        # All old keys go before any new one comes: a key may have moved from one
-        # account to another.
+        # All old keys are removed before any new one is added, because a key may
+        # have moved from one account to another.
         for name in changes:
             content = packed.pop(name, None)
             if content is not None:
--- a/src/tealcove/resources/codec.py
+++ b/src/tealcove/resources/codec.py
@@ -1,4 +1,4 @@
-"""JSON of specs, resources and changes."""
+"""JSON encoding and decoding of specs, resources and changes."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from tealcove import ids
 from tealcove.resources import kinds, refusals
 
-# msgspec puts the path last: "Expected `int`, got `str` - at `$.port`".
+# msgspec appends the path to its message: "Expected `int`, got `str` - at `$.port`".
 PATH_MARK = " - at `$"
 FIELD_NAME = re.compile(r"(?:unknown|required) field `([^`]+)`")
 SPEC_PATH = "spec"
@@ -24,15 +24,15 @@
     kind: kinds.Kind
     name: str
     changed_by: str
-    # Drawn by the writer for one call, to know its own change after a lost reply.
+    # Random for each call: after a lost reply, the writer identifies its change by it.
     nonce: str
-    # Key of the row that makes a repeat safe; empty if the caller gave no key.
+    # Key of the idempotency row; empty if the caller sent no Idempotency-Key.
     idempotency_row: str = ""
     resource: kinds.Resource | None = None
 
 
 class StoredResource(msgspec.Struct, frozen=True, kw_only=True):
-    """A resource whose spec's type isn't known until its kind is read."""
+    """A resource with its spec undecoded: the kind, read first, gives its type."""
 
     kind: kinds.Kind
     metadata: kinds.Metadata
@@ -40,7 +40,7 @@
 
 
 class StoredChange(msgspec.Struct, frozen=True, kw_only=True):
-    """A change as decoded in the first step."""
+    """A change with the spec of its resource undecoded."""
 
     revision: ids.Revision
     kind: kinds.Kind
@@ -52,7 +52,7 @@
 
 
 def field_error(error: msgspec.DecodeError, root: str) -> refusals.InvalidFieldError:
-    """Turn a decoding error into one line with the path of the wrong field."""
+    """Convert a decoding error to one that names the path of the invalid field."""
     problem, _, path = str(error).partition(PATH_MARK)
     path = root + path.rstrip("`")
     named = FIELD_NAME.search(problem)
--- a/src/tealcove/resources/documents.py
+++ b/src/tealcove/resources/documents.py
@@ -1,4 +1,4 @@
-"""The bodies of the resource API's requests and responses."""
+"""Request and response bodies of the resource API."""
 
 from __future__ import annotations
 
@@ -24,21 +24,21 @@
     kind: kinds.Kind
     metadata: kinds.Metadata
     spec: kinds.Spec
-    # None: a dry run, which is in force nowhere.
+    # None for a dry run, whose result isn't in force anywhere.
     status: ResourceStatus | None
 
 
 class Page(msgspec.Struct, frozen=True, kw_only=True):
-    """A part of a list; `next` is what to pass as `after`, None at the end."""
+    """A page of a list; `next` is the `after` of the next page, None on the last."""
 
-    # The revision of this part; watching from that of the first part misses nothing.
+    # The revision that was read; a watch from the first page's misses no change.
     revision: ids.Revision
     items: tuple[Document, ...]
     next: str | None
 
 
 class Deleted(msgspec.Struct, frozen=True, kw_only=True):
-    """The answer to a deletion."""
+    """The response to a deletion."""
 
     kind: kinds.Kind
     name: str
@@ -47,14 +47,14 @@
 
 
 class ConfigurationStatus(msgspec.Struct, frozen=True, kw_only=True):
-    """The answer to GET /admin/v1/status."""
+    """The response to GET /admin/v1/status."""
 
     revision: ids.Revision
     in_force: status.InForce
 
 
 class PutMetadata(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Metadata in a body; all but the name is the system's and not looked at."""
+    """Metadata in a PUT body; all fields but the name are read-only and ignored."""
 
     name: str | None = None
     revision: int | None = None
@@ -63,7 +63,7 @@
 
 
 class PutBody(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """The body of a PUT: a resource as GET shows it, or only its spec."""
+    """The body of a PUT: a resource as GET returns it, or only its spec."""
 
     spec: msgspec.Raw
     kind: kinds.Kind | None = None
@@ -72,13 +72,13 @@
 
 
 class PatchBody(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The body of a PATCH; only the spec can be changed."""
+    """The body of a PATCH, which can change only the spec."""
 
     spec: dict[str, Any]
 
 
 def document(resource: kinds.Resource, shown_status: ResourceStatus | None) -> Document:
-    """Return a resource with its status."""
+    """Return the document that shows a resource and its status."""
     return Document(
         kind=resource.kind,
         metadata=resource.metadata,
@@ -100,7 +100,7 @@
 
 
 def decode(content: bytes, shape: type[Any]) -> Any:
-    """Decode a body; raises BadRequestError, InvalidFieldError."""
+    """Decode a request body; raises BadRequestError, InvalidFieldError."""
     try:
         return msgspec.json.decode(content, type=shape)
     except msgspec.ValidationError as error:
@@ -112,7 +112,7 @@
 
 
 def read_put(content: bytes, kind: kinds.Kind, name: str) -> edits.Put:
-    """Read the body of a PUT to a resource; raises ResourceError."""
+    """Parse the body of a PUT to a resource; raises ResourceError."""
     written = decode(content, PutBody)
     if written.kind not in (None, kind):
         raise mismatch("kind", written.kind.value, kind.value)
@@ -122,12 +122,12 @@
 
 
 def read_patch(content: bytes) -> edits.MergePatch:
-    """Read the body of a PATCH; raises ResourceError."""
+    """Parse the body of a PATCH; raises ResourceError."""
     return edits.MergePatch(decode(content, PatchBody).spec)
 
 
 def mismatch(field: str, written: str, wanted: str) -> refusals.InvalidFieldError:
-    """Return the error for a body that isn't of the resource in the path."""
+    """Return the error for a body that contradicts the path of the request."""
     return refusals.InvalidFieldError(
         f"is {written}, but the path says {wanted}",
         "Send the resource to its own path, or leave the field out.",
--- a/src/tealcove/resources/edits.py
+++ b/src/tealcove/resources/edits.py
@@ -1,4 +1,4 @@
-"""What a caller wants done to one resource."""
+"""Edits of one resource: put, merge patch and delete."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Edit(abc.ABC):
-    """One way to change a resource; `creates` tells if it may make a new one."""
+    """An edit of a resource; `creates` tells whether it may create one."""
 
     creates = False
 
@@ -19,15 +19,15 @@
     def spec_after(
         self, kind: kinds.Kind, current: kinds.Resource | None
     ) -> kinds.Spec | None:
-        """Return the wanted spec, None to delete; raises InvalidFieldError."""
+        """Return the new spec, or None to delete; raises InvalidFieldError."""
 
     @abc.abstractmethod
     def describe(self) -> bytes:
-        """Return bytes that are equal only for equal edits."""
+        """Return bytes that identify the edit: equal only for equal edits."""
 
 
 class Put(Edit):
-    """Write a whole spec."""
+    """Replace the whole spec."""
 
     creates = True
 
@@ -46,7 +46,7 @@
 
 
 class MergePatch(Edit):
-    """Change some fields of a spec, as RFC 7386 has it; null removes a field."""
+    """Merge a patch into the spec (RFC 7386); null removes a field."""
 
     def __init__(self, patch: Any) -> None:
         self.patch = patch
@@ -64,7 +64,7 @@
 
 
 class Delete(Edit):
-    """Remove the resource."""
+    """Delete the resource."""
 
     def spec_after(
         self, kind: kinds.Kind, current: kinds.Resource | None
--- a/src/tealcove/resources/messages.py
+++ b/src/tealcove/resources/messages.py
@@ -1,4 +1,4 @@
-"""Messages by which an instance gets the configuration from a peer."""
+"""Messages by which an instance fetches the configuration from a peer."""
 
 from __future__ import annotations
 
