--- a/src/tealcove/resources/decision.py
+++ b/src/tealcove/resources/decision.py
@@ -1,4 +1,4 @@
-"""What a change leads to, decided against one configuration."""
+"""Validation of a change against one configuration, and its outcome."""
 
 from __future__ import annotations
 
@@ -9,22 +9,22 @@
 
 
 class ChangeRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """A change that an operator asks for."""
+    """A change requested by an operator."""
 
     operator: str
     kind: kinds.Kind
     name: str
     edit: edits.Edit
-    # The resource's revision that the change is based on; None: it must not exist.
+    # Revision of the resource that the change is based on; None if it must not exist.
     if_match: ids.Revision | None = None
-    # Whether the caller said so by If-None-Match: *, and not by leaving If-Match out.
+    # Whether the caller sent If-None-Match: *, rather than no If-Match.
     must_be_new: bool = False
     idempotency_key: ids.IdempotencyKey | None = None
     dry_run: bool = False
 
 
 class Outcome(msgspec.Struct, frozen=True, kw_only=True):
-    """What a change did; `resource` is None after a deletion."""
+    """The result of a change; `resource` is None after a deletion."""
 
     revision: ids.Revision
     created: bool
@@ -32,7 +32,7 @@
 
 
 def check_revision(request: ChangeRequest, current: kinds.Resource | None) -> None:
-    """Refuse a change that isn't based on the resource as it is now."""
+    """Refuse a change that isn't based on the current state of the resource."""
     if current is None:
         check_absent(request)
     else:
@@ -40,7 +40,7 @@
 
 
 def check_absent(request: ChangeRequest) -> None:
-    """Refuse a change that needs a resource to exist; there is none."""
+    """Refuse a change of a missing resource if it requires an existing one."""
     target = f"{request.kind.value}/{request.name}"
     if request.if_match is not None:
         raise refusals.RevisionConflictError(
@@ -54,7 +54,7 @@
 
 
 def check_current(request: ChangeRequest, metadata: kinds.Metadata) -> None:
-    """Refuse a change that isn't based on the revision of the resource."""
+    """Refuse a change that isn't based on the current revision of the resource."""
     target = f"{request.kind.value}/{request.name}"
     if request.if_match is None and not request.must_be_new:
         raise refusals.PreconditionRequiredError(
@@ -82,7 +82,7 @@
 
 
 def decide(request: ChangeRequest, configuration: copy.Configuration) -> Outcome:
-    """Decide a change against a configuration; raises ResourceError."""
+    """Return the outcome of a change to a configuration; raises ResourceError."""
     current = configuration.get(request.kind, request.name)
     check_revision(request, current)
     spec = request.edit.spec_after(request.kind, current)
--- a/src/tealcove/resources/headers.py
+++ b/src/tealcove/resources/headers.py
@@ -1,4 +1,4 @@
-"""Headers and queries of the resource API's requests."""
+"""Request headers and query parameters of the resource API."""
 
 from __future__ import annotations
 
@@ -56,7 +56,7 @@
 
 
 def flag(request: web.Request, name: str) -> bool:
-    """Return a query parameter that is true or false; raises BadRequestError."""
+    """Return a boolean query parameter; raises BadRequestError."""
     text = request.query.get(name, "false")
     if text not in ("true", "false"):
         raise refusals.BadRequestError(
@@ -66,7 +66,7 @@
 
 
 def number(request: web.Request, name: str, default: int) -> int:
-    """Return a query parameter that is a number; raises BadRequestError."""
+    """Return an integer query parameter; raises BadRequestError."""
     text = request.query.get(name)
     if text is None:
         return default
@@ -79,7 +79,7 @@
 
 
 def limit(request: web.Request) -> int:
-    """Return how many items a page may have; raises BadRequestError."""
+    """Return the maximum number of items per page; raises BadRequestError."""
     wanted = number(request, "limit", DEFAULT_PAGE_SIZE)
     if not 1 <= wanted <= MAX_PAGE_SIZE:
         raise refusals.BadRequestError(
--- a/src/tealcove/resources/log.py
+++ b/src/tealcove/resources/log.py
@@ -1,4 +1,4 @@
-"""The log of configuration changes in the platform's table, and its head."""
+"""The log of configuration changes in the platform's table, and its head row."""
 
 from __future__ import annotations
 
@@ -15,26 +15,26 @@
 HEADS = "configuration-head"
 IDEMPOTENCY = "configuration-idempotency"
 HEAD_KEY = "head"
-# Digits of a revision in a key, so that keys sort as their numbers do.
+# Digits of a revision in a key: zero-padded, keys sort in numeric order.
 REVISION_DIGITS = 16
 # Rows in one read of the log.
 PAGE_ROWS = 500
-# How often a snapshot may vanish under a reader before it gives up.
+# Attempts to load a snapshot, each of which a compaction may defeat.
 LOAD_ATTEMPTS = 5
 
 
 class Head(msgspec.Struct, frozen=True):
-    """Where the log stands."""
+    """The state of the log: its newest revision and what of it is stored."""
 
     revision: ids.Revision = copy.NO_REVISION
-    # Revision of the newest snapshot in the object store; 0: there is none.
+    # Revision of the newest snapshot in the object store; 0 if there is none.
     snapshot: ids.Revision = copy.NO_REVISION
-    # The changes after this revision are kept one by one.
+    # The changes after this revision are kept individually.
     floor: ids.Revision = copy.NO_REVISION
 
 
 class HeadRow(msgspec.Struct, frozen=True):
-    """The head and the condition that it is still the same."""
+    """The head and the condition that its row is unchanged."""
 
     head: Head
     unchanged: table.Absent | table.VersionIs
@@ -56,7 +56,7 @@
 
 
 class ConfigurationLog:
-    """Reads the log and brings a copy up to its head."""
+    """Reads the log and advances a copy to its head."""
 
     def __init__(self, rows: table.TableService, store: objects.ObjectStore) -> None:
         self.rows = rows
@@ -77,7 +77,7 @@
         return None if row is None else codec.decode_change(row.value)
 
     async def changes_after(self, revision: ids.Revision) -> list[codec.Change]:
-        """Return the next changes, some hundreds at most.
+        """Return the next changes, at most `PAGE_ROWS`.
 
         Raises CompactedError if the next one is no longer kept, and
         PlatformUnavailableError.
@@ -91,8 +91,8 @@
     async def load_snapshot(self, head: Head) -> copy.Configuration:
         """Load the newest snapshot; raises PlatformUnavailableError.
 
-        A compaction may delete the snapshot between the read of the head and the
-        get, which shows as a missing object; the new head then names another.
+        A compaction may delete the snapshot after the head was read, so that the
+        object is missing; the head is then read again, as it names a newer one.
         """
         for _ in range(LOAD_ATTEMPTS):
             if head.snapshot == copy.NO_REVISION:
@@ -107,9 +107,9 @@
         )
 
     async def advance(self, own: copy.ConfigurationCopy, head: Head) -> None:
-        """Move a copy to the head's revision or beyond, in one step.
+        """Advance a copy atomically to the head's revision or a later one.
 
-        Raises PlatformUnavailableError; the copy then stays as it was.
+        Raises PlatformUnavailableError, and leaves the copy unchanged then.
         """
         async with self.advance_lock:
             configuration = own.current
@@ -123,9 +123,9 @@
     async def check_not_restored(self, own: copy.ConfigurationCopy) -> None:
         """Raise TableRestoredError if the table is older than a copy.
 
-        It shows when operators restore the table from a backup. A change on top
-        of it would get a revision that other copies take for one they have, and
-        they would differ from then on without any sign of it.
+        This is so after operators restored the table from a backup. A new change
+        would reuse a revision that other copies already have, and the copies would
+        diverge undetected.
         """
         revision = own.revision
         head = (await self.read_head()).head
@@ -135,7 +135,7 @@
     async def apply_changes(
         self, configuration: copy.Configuration, head: Head
     ) -> copy.Configuration:
-        """Apply changes until the head's revision is reached."""
+        """Return the configuration with all changes up to the head's revision."""
         while configuration.revision < head.revision:
             try:
                 changes = await self.changes_after(configuration.revision)
--- a/src/tealcove/resources/routing.py
+++ b/src/tealcove/resources/routing.py
@@ -1,4 +1,4 @@
-"""Routing rules compiled once per revision."""
+"""The routing table, compiled from the routing rules."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     def matches(
         self, path: str, method: str, model: str | None, account: str | None
     ) -> bool:
-        """Tell whether a request is one that the rule speaks of."""
+        """Tell whether a request matches the rule."""
         return (
             path.startswith(self.path_prefix)
             and (not self.methods or method in self.methods)
@@ -31,7 +31,7 @@
 
 
 def compile_rule(rule: kinds.Resource) -> CompiledRule:
-    """Compile one resource of kind RoutingRule."""
+    """Compile a resource of kind RoutingRule."""
     spec = rule.spec
     return CompiledRule(
         path_prefix=spec.path_prefix,
@@ -43,7 +43,7 @@
 
 
 class RoutingTable:
-    """All rules in the order in which they are tried; ties go by name."""
+    """All rules in order of evaluation: by `order`, then by name."""
 
     def __init__(self, rules: Iterable[kinds.Resource]) -> None:
         ordered = sorted(rules, key=lambda rule: (rule.spec.order, rule.metadata.name))
