--- a/src/tealcove/resources/kinds.py
+++ b/src/tealcove/resources/kinds.py
@@ -1,4 +1,4 @@
-"""The kinds of resources and the shape of each one's spec."""
+"""The kinds of resources and the schema of each kind's spec."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 ByteCount = Annotated[int, msgspec.Meta(ge=0)]
 KeyHash = Annotated[str, msgspec.Meta(pattern=r"^[0-9a-f]{64}\Z")]
 
-# Servers of one pool that one dispatcher's queue serves at the most.
+# Maximum number of servers of a pool that share one dispatcher's queue.
 CELL_SERVERS = 16
 
 
 class Kind(enum.Enum):
-    """A kind of resource, by its name in the API's paths."""
+    """A kind of resource; the value is its name in API paths."""
 
     CLIENT_ACCOUNT = "client-accounts"
     SERVICE_TIER = "service-tiers"
@@ -33,31 +33,31 @@
 
 
 class Spec(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """Base class of the specs, which operators write."""
+    """Base class of the specs that operators write."""
 
 
 class ClientAccountSpec(Spec):
-    """A customer of the deployment, with its keys and limits."""
+    """A client account with its keys and limits."""
 
     tier: Name
     # SHA-256 of each bearer key in hex; the keys themselves are never stored.
     key_hashes: tuple[KeyHash, ...] = ()
-    # Tokens (prompt and output together) a second in the long run; None: no limit.
+    # Sustained rate of tokens (prompt and output) a second; None: no limit.
     tokens_per_second: Positive | None = None
-    # Tokens that may be used at once after a pause; None: ten seconds' worth.
+    # Tokens that may be used in a burst; None: ten seconds' worth of the rate.
     burst_tokens: Positive | None = None
 
 
 class ServiceTierSpec(Spec):
-    """A class of service; requests of a lower rank number go first."""
+    """A class of service; a lower rank number means a higher priority."""
 
     rank: Annotated[int, msgspec.Meta(ge=0, le=99)]
-    # For requests that name no deadline of their own, in seconds.
+    # In seconds, for requests without a deadline of their own.
     default_deadline: Positive = 60.0
 
 
 class ServerState(enum.Enum):
-    """What an operator wants of a backend server."""
+    """The state of a backend server that the operator wants."""
 
     SERVING = "serving"
     LEAVING = "leaving"
@@ -72,21 +72,21 @@
 
 
 class BackendServerSpec(Spec):
-    """One backend server of a pool; `host` is an IP number."""
+    """A backend server of a pool; `host` is an IP address."""
 
     name: Name
     host: str
     port: Port
     data_centre: Name
-    # Requests that it runs at once; further ones would queue inside it.
+    # Requests that it runs concurrently; further ones would queue inside it.
     slots: Annotated[int, msgspec.Meta(ge=1, le=4096)] = 8
-    # Hardware generation: servers of one are expected to be equally fast.
+    # Hardware generation; servers of the same one are expected to be equally fast.
     generation: str = ""
     role: EngineRole = EngineRole.BOTH
     state: ServerState = ServerState.SERVING
-    # Tells its starts apart where it says when it started.
+    # Identifies a run of the server, if the server reports when it started.
     start: ids.ServerStart = ids.NO_START
-    # Of its software; empty where it doesn't say.
+    # Software version; empty if the server doesn't report it.
     version: str = ""
 
 
@@ -96,41 +96,41 @@
     servers: tuple[BackendServerSpec, ...] = ()
     models: tuple[Name, ...] = ()
     adapters: tuple[Name, ...] = ()
-    # Share of each server's slots that long work may not take.
+    # Share of each server's slots that is reserved for short requests.
     short_share: Fraction = 0.25
     # Requests of at most this many tokens (uncached prompt and output) are short.
     short_tokens: Annotated[int, msgspec.Meta(ge=1)] = 256
-    # Whether its servers refuse an order that carries an old fencing number.
+    # Whether its servers refuse an order with an outdated fencing number.
     checks_fencing: bool = False
 
 
 class ServicePoolSpec(Spec):
-    """Servers of a plain service."""
+    """Backend servers of a plain service."""
 
     servers: tuple[BackendServerSpec, ...] = ()
 
 
 class ModelSpec(Spec):
-    """A model in one version; the weight store knows it by `weights`."""
+    """A version of a model; `weights` is its name in the weight store."""
 
     version: str
     weights: str = ""
-    # Size of the weights, by which loads get their turn at the weight store.
+    # Size of the weights, by which the weight store schedules loads.
     weight_bytes: ByteCount = 0
 
 
 class AdapterSpec(Spec):
-    """An adapter of a model in one version."""
+    """A version of an adapter of a model."""
 
     model: Name
     version: str
     weights: str = ""
-    # Size of the weights, by which loads get their turn at the weight store.
+    # Size of the weights, by which the weight store schedules loads.
     weight_bytes: ByteCount = 0
 
 
 class RoutingRuleSpec(Spec, kw_only=True):
-    """Which requests go to which pool; the lowest `order` that matches wins."""
+    """Maps requests to a pool; the matching rule of the lowest `order` applies."""
 
     order: Annotated[int, msgspec.Meta(ge=0)] = 100
     pool: Name
@@ -141,7 +141,7 @@
     models: tuple[Name, ...] = ()
     # Empty: every client account.
     accounts: tuple[Name, ...] = ()
-    # Whether a call may be repeated; the caller's header can only say "no".
+    # Whether a call may be repeated; the caller's header can only forbid it.
     idempotent: bool = True
 
 
@@ -157,18 +157,18 @@
 
 
 class Metadata(msgspec.Struct, frozen=True, kw_only=True):
-    """What the system keeps about a resource."""
+    """Metadata of a resource, maintained by the system."""
 
     name: Name
-    # Revision of its last change; what `If-Match` must name.
+    # Revision of its last change, which `If-Match` must name.
     revision: ids.Revision
-    # How many times its spec has been written.
+    # Number of times that its spec has been written.
     generation: int
     changed_by: str
 
 
 class Resource(msgspec.Struct, frozen=True, kw_only=True):
-    """A resource as it stands in a copy of the configuration."""
+    """A resource in a copy of the configuration."""
 
     kind: Kind
     metadata: Metadata
--- a/src/tealcove/resources/peers.py
+++ b/src/tealcove/resources/peers.py
@@ -1,4 +1,4 @@
-"""Other instances as a source of the configuration while the platform is down."""
+"""Fetches the configuration from peers while the platform is unavailable."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class MeshPeerSource(reader.PeerSource):
-    """Asks the peers that are at a revision, one after the other."""
+    """Requests the configuration from peers at a given revision, one by one."""
 
     def __init__(
         self,
@@ -29,14 +29,14 @@
         self.pending_replies: dict[int, asyncio.Future[bytes]] = {}
 
     def start(self) -> None:
-        """Begin to ask and to answer."""
+        """Register the handlers of requests and replies."""
         self.transport.handle(messages.ConfigurationRequest, self.handle_request)
         self.transport.handle(messages.ConfigurationReply, self.handle_reply)
 
     def handle_request(
         self, sender: ids.InstanceId, request: messages.ConfigurationRequest
     ) -> None:
-        """Send a peer what is in force here."""
+        """Send the configuration in force here to a peer."""
         peer = self.members.endpoint_of(request.sender)
         if peer is None:
             return
@@ -47,13 +47,13 @@
     def handle_reply(
         self, sender: ids.InstanceId, reply: messages.ConfigurationReply
     ) -> None:
-        """Hand a peer's configuration to whoever waits for it."""
+        """Complete the pending request that a reply belongs to."""
         pending = self.pending_replies.pop(reply.number, None)
         if pending is not None and not pending.done():
             pending.set_result(reply.content)
 
     async def fetch(self, revision: ids.Revision) -> bytes:
-        """See PeerSource."""
+        """Return a peer's configuration; see the base class."""
         for heartbeat in self.members.alive(clock.now())[1:]:
             if heartbeat.revision < revision:
                 continue
@@ -66,7 +66,7 @@
         )
 
     async def request_from(self, instance: ids.InstanceId) -> bytes | None:
-        """Return one peer's configuration, or None when it's silent."""
+        """Return one peer's configuration, or None if it doesn't reply in time."""
         peer = self.members.endpoint_of(instance)
         if peer is None:
             return None
--- a/src/tealcove/resources/problems.py
+++ b/src/tealcove/resources/problems.py
@@ -15,7 +15,7 @@
 
 
 class Problem(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """The body of an error."""
+    """The body of an error response."""
 
     type: str
     title: str
@@ -23,13 +23,13 @@
     detail: str
     remedy: str
     field: str = ""
-    # Of a conflict: the resource's revision (0: it doesn't exist) and its author.
+    # On a conflict: the resource's revision (0 if it doesn't exist) and its author.
     current_revision: int | None = None
     changed_by: str = ""
 
 
 class ProblemType(msgspec.Struct, frozen=True):
-    """What a kind of error is answered with."""
+    """The status, name, title and headers for a class of errors."""
 
     error: type[errors.TealcoveError]
     status: int
@@ -38,7 +38,7 @@
     headers: dict[str, str] = {}
 
 
-# The first that fits counts, so subclasses come before their base classes.
+# The first match applies, so subclasses come before their base classes.
 PROBLEM_TYPES = (
     ProblemType(refusals.InUseError, 409, "in-use", "The resource is in use"),
     ProblemType(refusals.FieldError, 422, "invalid-field", "A field can't be accepted"),
@@ -97,7 +97,7 @@
 
 
 def problem_type_of(error: errors.TealcoveError) -> ProblemType:
-    """Return how an error is answered."""
+    """Return the problem type of an error."""
     return next(
         problem_type
         for problem_type in PROBLEM_TYPES
@@ -106,7 +106,7 @@
 
 
 def problem(error: errors.TealcoveError) -> Problem:
-    """Return the body that tells of an error."""
+    """Return the response body for an error."""
     problem_type = problem_type_of(error)
     current, changed_by = None, ""
     if isinstance(error, refusals.RevisionConflictError):
@@ -124,7 +124,7 @@
 
 
 def response(error: errors.TealcoveError) -> web.Response:
-    """Return the response that tells of an error."""
+    """Return the HTTP response for an error."""
     problem_type = problem_type_of(error)
     return web.Response(
         status=problem_type.status,
--- a/src/tealcove/resources/watch.py
+++ b/src/tealcove/resources/watch.py
@@ -1,4 +1,4 @@
-"""Changes of one kind as a stream of JSON lines."""
+"""Watches: the changes of one kind as a stream of JSON lines."""
 
 from __future__ import annotations
 
@@ -12,27 +12,27 @@
 from tealcove.resources import codec, copy, kinds, log, problems
 
 CONTENT_TYPE = "application/jsonl"
-# Seconds between lines of a quiet stream: by a failed write a broken connection is
-# found, and a watcher learns how far it may resume from.
+# Seconds between bookmarks on an idle stream: a failed write detects a broken
+# connection, and the bookmark tells the watcher the revision to resume from.
 BOOKMARK_INTERVAL = 10.0
-# Seconds that a line may wait for a watcher that doesn't read, before it is dropped.
+# Seconds that a write may block on a watcher that doesn't read, before it fails.
 WRITE_TIMEOUT = 30.0
-# Seconds before the log is asked again while the platform is down.
+# Seconds between reads of the log while the platform is down.
 RETRY_DELAY = 1.0
 
 
 class EventType(enum.Enum):
-    """What a line tells."""
+    """The type of an event."""
 
     PUT = "put"
     DELETED = "deleted"
-    # Nothing of this kind changed up to this revision.
+    # All changes of this kind up to this revision have been sent.
     BOOKMARK = "bookmark"
     ERROR = "error"
 
 
 class Event(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """A line of the stream; a watcher resumes from its revision."""
+    """An event, sent as one line; a watcher can resume from its revision."""
 
     type: EventType
     revision: ids.Revision
@@ -42,7 +42,7 @@
 
 
 def event_of(change: codec.Change) -> Event:
-    """Return the line that tells of a change."""
+    """Return the event for a change."""
     deleted = change.resource is None
     return Event(
         type=EventType.DELETED if deleted else EventType.PUT,
@@ -53,7 +53,7 @@
 
 
 class Watch:
-    """One watcher's stream."""
+    """The event stream of one watcher."""
 
     def __init__(
         self,
@@ -68,15 +68,15 @@
         self.kind = kind
         self.revision = revision
         self.written_revision = revision
-        # Set when the instance leaves: a watch never ends by itself, and would hold
-        # up the end of the instance.
+        # Set when the instance shuts down: a watch never ends by itself and would
+        # block the shutdown.
         self.stopping = stopping
         self.stream = web.StreamResponse(headers={"Content-Type": CONTENT_TYPE})
 
     async def run(self, request: web.Request) -> web.StreamResponse:
-        """Write lines until the instance leaves or the changes were compacted.
+        """Write events until the instance shuts down or the changes are compacted.
 
-        Raises CompactedError or PlatformUnavailableError before the first line,
+        Raises CompactedError or PlatformUnavailableError before the first event,
         and TimeoutError when the watcher stops reading.
         """
         changes = await self.log.changes_after(self.revision)
@@ -99,7 +99,7 @@
         return self.stream
 
     async def wait(self) -> None:
-        """Wait for the next change of any kind, and write a line if none comes."""
+        """Wait for the next change of any kind; write a bookmark on a timeout."""
         if self.written_revision < self.revision:
             await self.write_bookmark()
         following = ids.Revision(self.revision + 1)
@@ -118,17 +118,17 @@
             await self.write_bookmark()
 
     async def write(self, event: Event) -> None:
-        """Write one line."""
+        """Write one event as a line."""
         self.written_revision = event.revision
         async with asyncio.timeout(WRITE_TIMEOUT):
             await self.stream.write(msgspec.json.encode(event) + b"\n")
 
     async def write_bookmark(self) -> None:
-        """Write how far the watcher has seen."""
+        """Write a bookmark with the current revision."""
         await self.write(Event(type=EventType.BOOKMARK, revision=self.revision))
 
     async def write_error(self, error: errors.TealcoveError) -> None:
-        """Write why the stream ends."""
+        """Write the error that ends the stream."""
         problem = problems.problem(error)
         await self.write(
             Event(type=EventType.ERROR, revision=self.revision, problem=problem)
