--- a/src/tealcove/resources/compaction.py
+++ b/src/tealcove/resources/compaction.py
@@ -13,29 +13,29 @@
 
 LOG = logbook.Logger("resources")
 
-# Rows deleted in one transaction.
+# Number of change rows deleted in one transaction.
 DELETE_BATCH_ROWS = 100
-# Attempts to name a new snapshot in the head, each lost to a change.
+# Attempts to write a snapshot's revision to the head; a concurrent change fails one.
 ATTEMPTS = 10
 
 
 class CompactionSettings(msgspec.Struct, frozen=True):
-    """When the log is compacted, in changes."""
+    """How often the log is compacted and how much is retained, in changes."""
 
-    # A new snapshot is made so many changes after the one before.
+    # Number of changes between two snapshots.
     every: int = 500
-    # So many changes before the snapshot are kept one by one, for those who watch
+    # Number of changes before the snapshot that are kept individually, for watches
     # and for repeats with an Idempotency-Key; at least 1.
     retained: int = 1000
 
 
 class Compactor:
-    """Compacts the log now and then; it may run on several instances at once.
+    """Compacts the log on request; several instances may do so concurrently.
 
-    Any step may be left out or done twice: the snapshot is put before the head
-    names it, the head names it before changes go, and what a compactor that
-    died left behind, the next one deletes. Only a snapshot that was put but
-    never named may stay in the object store; it is never read.
+    Any step may be skipped or repeated: the snapshot is stored before the head
+    names it, and the head names it before changes are deleted. What a crashed
+    compactor left undeleted, the next one deletes. Only a snapshot that was stored
+    but never named can remain in the object store; it is never read.
     """
 
     def __init__(
@@ -47,7 +47,7 @@
         self.log = changes
         self.copy = own
         self.settings = settings or CompactionSettings()
-        # Set by whoever finds that a compaction is due.
+        # Set when a compaction is due.
         self.requested = asyncio.Event()
 
     async def run(self) -> None:
@@ -58,12 +58,15 @@
             try:
                 await self.compact()
             except errors.TealcoveError as error:
-                LOG.warning("The log wasn't compacted, the next time will: {}", error)
+                LOG.warning(
+                    "Compaction failed, the next one will make up for it: {}",
+                    error,
+                )
 
     async def compact(self) -> None:
-        """Make a snapshot of the copy, name it, and delete old changes.
+        """Store a snapshot of the copy, name it in the head and delete old changes.
 
-        Raises PlatformError; what was done so far does no harm.
+        Raises PlatformError; the steps done by then are harmless.
         """
         configuration = self.copy.current
         named = (await self.log.read_head()).head.snapshot
@@ -77,9 +80,9 @@
         await self.delete_old_changes()
 
     async def publish(self, revision: ids.Revision) -> ids.Revision:
-        """Name a snapshot in the head, unless a newer one is named there.
+        """Name a snapshot in the head, unless the head names a newer one.
 
-        Returns the snapshot that isn't named any more, or NO_REVISION.
+        Returns the revision of the superseded snapshot, or NO_REVISION.
         """
         replaced = copy.NO_REVISION
         for _ in range(ATTEMPTS):
@@ -102,7 +105,7 @@
     def head_update(
         self, head_row: log.HeadRow, revision: ids.Revision
     ) -> table.Transaction:
-        """Return the transaction that names a snapshot if the head is the same."""
+        """Return the transaction that names a snapshot if the head is unchanged."""
         floor = max(head_row.head.floor, revision - self.settings.retained)
         head = msgspec.structs.replace(
             head_row.head, snapshot=revision, floor=ids.Revision(floor)
@@ -111,7 +114,7 @@
         return table.Transaction((head_row.unchanged,), (write,))
 
     async def delete_old_changes(self) -> None:
-        """Delete the changes up to the floor, and their rows for repeats."""
+        """Delete the changes up to the floor and their idempotency rows."""
         head = (await self.log.read_head()).head
         while True:
             rows = await self.log.rows.scan(log.CHANGES, "", DELETE_BATCH_ROWS)
--- a/src/tealcove/resources/copy.py
+++ b/src/tealcove/resources/copy.py
@@ -1,4 +1,4 @@
-"""An instance's copy of the configuration, which only moves to higher revisions."""
+"""An instance's copy of the configuration; its revision only increases."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Configuration:
-    """All resources at one revision; never changed once built."""
+    """An immutable view of all resources at one revision."""
 
     def __init__(
         self,
@@ -40,7 +40,7 @@
         return sorted(self.resources[kind])
 
     def account_by_key_hash(self, key_hash: str) -> kinds.Resource | None:
-        """Return the client account of a key, by the key's SHA-256 in hex."""
+        """Return the client account that owns a key, given its SHA-256 in hex."""
         table = self.resources[kinds.Kind.CLIENT_ACCOUNT]
         name = table.name_by_key_hash(key_hash)
         return None if name is None else table[name]
@@ -67,7 +67,7 @@
     def has_left(
         self, name: str, server: ids.BackendServerId, revision: ids.Revision
     ) -> bool:
-        """Tell whether a server that a pool had at a revision has left since."""
+        """Tell whether a server has left a pool since the given revision."""
         pool = self.pool(name)
         if pool is None or pool.metadata.revision <= revision:
             return False
@@ -83,16 +83,18 @@
         return self.routing_table.route(path, method, model, account)
 
     def with_changes(self, changes: Iterable[codec.Change]) -> Configuration:
-        """Return the configuration after changes that follow on this revision.
+        """Return the configuration after changes that directly follow this revision.
 
-        Raises ValueError if a change doesn't follow on the one before it: with a
-        change left out the copy would differ from its peers' for ever, silently.
+        Raises ValueError if revisions aren't consecutive: with a change left out,
+        the copy would differ from its peers' permanently and undetected.
         """
         revision = self.revision
         latest: dict[kinds.Kind, dict[str, kinds.Resource | None]] = {}
         for change in changes:
             if change.revision != revision + 1:
-                raise ValueError(f"change {change.revision} follows on {revision}")
+                raise ValueError(
+                    f"change {change.revision} doesn't follow revision {revision}"
+                )
             revision = change.revision
             latest.setdefault(change.kind, {})[change.name] = change.resource
         resources = dict(self.resources)
@@ -107,7 +109,7 @@
     resources: Mapping[str, kinds.Resource],
     changed: Mapping[str, kinds.Resource | None],
 ) -> Mapping[str, kinds.Resource]:
-    """Return resources of one kind with some written or (None) deleted."""
+    """Return resources of one kind with some replaced, added or (if None) deleted."""
     if isinstance(resources, accounts.AccountTable):
         return resources.with_changes(changed)
     merged = {**resources, **changed}
@@ -123,7 +125,7 @@
     return Configuration(NO_REVISION, resources)
 
 
-# Called with the configuration before and the one now in force.
+# Called with the previous configuration and the one now in force.
 Subscriber = Callable[[Configuration, Configuration], None]
 
 
@@ -141,12 +143,12 @@
         return self.current.revision
 
     def subscribe(self, subscriber: Subscriber) -> Callable[[], None]:
-        """Call `subscriber` after each move; returns a function that ends it."""
+        """Call `subscriber` after each activation; return a function to unsubscribe."""
         self.subscribers.append(subscriber)
         return lambda: self.subscribers.remove(subscriber)
 
     def activate(self, configuration: Configuration) -> bool:
-        """Put a configuration in force, unless its revision isn't higher."""
+        """Put a configuration in force if its revision is higher."""
         if configuration.revision <= self.current.revision:
             return False
         previous = self.current
@@ -158,11 +160,13 @@
         return True
 
     def notify(self, subscriber: Subscriber, previous: Configuration) -> None:
-        """Tell one subscriber; its fault mustn't keep the news from the others."""
+        """Call one subscriber; its failure must not affect the others."""
         try:
             subscriber(previous, self.current)
         except Exception:
-            LOG.exception("A subscriber failed on the move to {}", self.revision)
+            LOG.exception(
+                "A subscriber failed on the activation of revision {}", self.revision
+            )
 
     async def wait_for(self, revision: ids.Revision) -> Configuration:
         """Wait until this revision or a higher one is in force."""
--- a/src/tealcove/resources/reader.py
+++ b/src/tealcove/resources/reader.py
@@ -1,4 +1,4 @@
-"""Keeps an instance's copy at the highest revision that it hears of."""
+"""Keeps an instance's copy at the highest revision that it knows of."""
 
 from __future__ import annotations
 
@@ -22,27 +22,27 @@
     async def fetch(self, revision: ids.Revision) -> bytes:
         """Return a peer's `snapshots.encode(copy.current)`; raises PeerError.
 
-        The peer's revision should be `revision` or higher; a lower one is of use
+        The peer's revision should be `revision` or higher; a lower one is useful
         only if it's higher than this instance's own.
         """
 
 
 class ReaderSettings(msgspec.Struct, frozen=True):
-    """How a copy is kept up to date, in seconds."""
+    """Intervals and time limits of the reader, in seconds."""
 
     # Between two reads of the head.
     poll_interval: float = 1.0
-    # Between two reads of the head where others are designated to read it.
+    # Between two reads of the head if other instances are designated to read it.
     relaxed_interval: float = 10.0
-    # With the platform out of reach since the start, time given to all peers to
-    # tell their revisions before the highest is taken for the highest there is.
+    # If the platform has been unreachable since the start: time for all peers to
+    # report their revisions before the highest received one counts as current.
     settling_seconds: float = 1.0
-    # Without platform and peers for so long, an instance counts as isolated.
+    # Without contact to platform or peers for this long, an instance is isolated.
     isolated_after: float = 30.0
 
 
 class ConfigurationReader:
-    """Moves the copy along the log, or to a peer's copy while the platform is down."""
+    """Advances the copy by the log, or by a peer while the platform is down."""
 
     def __init__(
         self,
@@ -56,8 +56,8 @@
         self.copy = own
         self.peers = peers
         self.settings = settings or ReaderSettings()
-        # Whether this instance reads the head often; the caller may clear it where
-        # others read it and tell the revision by heartbeat.
+        # Whether this instance reads the head every `poll_interval`. Cleared if other
+        # instances do so and announce the revision by heartbeat.
         self.designated = True
         self.highest = copy.NO_REVISION
         self.platform_reached: ids.Instant | None = None
@@ -68,7 +68,7 @@
     def record_revision(
         self, revision: ids.Revision, peer: str, now: ids.Instant
     ) -> None:
-        """Note the revision that is in force at a peer."""
+        """Record the revision in force at a peer."""
         self.last_contact = now
         if self.first_contact is None:
             self.first_contact = now
@@ -79,10 +79,10 @@
                 self.poll_requested.set()
 
     def ready(self, now: ids.Instant) -> bool:
-        """Tell whether the copy is at the highest revision heard of.
+        """Tell whether the copy is at the highest known revision.
 
-        Meant for the start of an instance. Until the platform was reached once,
-        it waits a while for all peers: one that is behind may be heard first.
+        Used at the start of an instance. Until the platform was reached once, it
+        waits `settling_seconds` for all peers: the first may have an old revision.
         """
         if self.copy.revision < self.highest:
             return False
@@ -93,18 +93,18 @@
         return now - self.first_contact >= self.settings.settling_seconds
 
     def isolated(self, now: ids.Instant) -> bool:
-        """Tell whether neither platform nor peers were reached for too long."""
+        """Tell whether the last contact to platform or peers was too long ago."""
         return now - self.last_contact > self.settings.isolated_after
 
     async def run(self, now: Callable[[], ids.Instant] = clock.now) -> None:
-        """Follow the log until cancelled."""
+        """Poll for new revisions until cancelled."""
         while True:
             self.poll_requested.clear()
             await self.poll(now())
             await self.wait()
 
     async def wait(self) -> None:
-        """Wait for the next poll, which news of a higher revision brings forward."""
+        """Wait until the next poll is due or requested for a higher revision."""
         settings = self.settings
         interval = settings.poll_interval
         if not self.designated and self.platform_reached is not None:
@@ -115,19 +115,19 @@
             return
 
     async def poll(self, now: ids.Instant) -> None:
-        """Catch up once, by the platform or else by a peer; logs what fails."""
+        """Catch up once from the platform, or else from a peer; log failures."""
         try:
             await self.follow_platform(now)
             return
         except errors.TealcoveError as error:
-            LOG.warning("The configuration can't be read: {}", error)
+            LOG.warning("The configuration can't be read from the platform: {}", error)
         try:
             await self.follow_peer()
         except errors.TealcoveError as error:
-            LOG.warning("No peer gave its configuration: {}", error)
+            LOG.warning("No peer sent its configuration: {}", error)
 
     async def follow_platform(self, now: ids.Instant) -> None:
-        """Move the copy to the head; raises PlatformError, ResourceError."""
+        """Advance the copy to the head; raises PlatformError, ResourceError."""
         head = (await self.log.read_head()).head
         self.last_contact = max(self.last_contact, now)
         self.highest = max(self.highest, head.revision)
@@ -137,7 +137,7 @@
             await self.log.check_not_restored(self.copy)
 
     async def follow_peer(self) -> None:
-        """Move the copy to a peer's; raises PeerError, ResourceError."""
+        """Advance the copy to a peer's; raises PeerError, ResourceError."""
         if self.highest <= self.copy.revision:
             return
         content = await self.peers.fetch(self.highest)
--- a/src/tealcove/resources/store.py
+++ b/src/tealcove/resources/store.py
@@ -1,4 +1,4 @@
-"""Changes of resources: one transaction each, safe against lost replies."""
+"""Changes of resources: one transaction each, robust against lost replies."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 from tealcove.storage import objects, table
 
 NONCE_BYTES = 12
-# Attempts of one change, each lost to another writer or of unknown outcome.
+# Attempts per change; one fails by a concurrent writer or has an unknown outcome.
 ATTEMPTS = 20
-# Seconds; the longest pause before the second attempt, doubled for each further.
+# Maximum back-off in seconds before the second attempt; doubles for each further one.
 FIRST_BACKOFF = 0.01
 MAX_BACKOFF = 0.5
 
 
 class IdempotencyRecord(msgspec.Struct, frozen=True, kw_only=True):
-    """The row by which a repeat of a change gets the same answer, as written."""
+    """The row that gives a repeated change the same answer, for encoding."""
 
     fingerprint: str
     revision: ids.Revision
@@ -31,7 +31,7 @@
 
 
 class StoredIdempotencyRecord(msgspec.Struct, frozen=True, kw_only=True):
-    """The same row as decoded in the first step."""
+    """The same row with the spec of its resource undecoded."""
 
     fingerprint: str
     revision: ids.Revision
@@ -40,7 +40,7 @@
 
 
 class Attempt(msgspec.Struct, frozen=True):
-    """One transaction and what it leads to if it is applied."""
+    """A transaction and its outcome if it is applied."""
 
     transaction: table.Transaction
     change: codec.Change
@@ -48,20 +48,20 @@
 
 
 class InDoubtAttempt(msgspec.Struct, frozen=True):
-    """An attempt whose reply was lost."""
+    """An attempt of unknown outcome because its reply was lost."""
 
     outcome: decision.Outcome
     error: errors.OutcomeUnknownError
 
 
 def fingerprint(request: decision.ChangeRequest) -> str:
-    """Return a digest that only the same change asked for again has."""
+    """Return a digest that is the same only for a repeat of the change."""
     target = f"{request.kind.value}/{request.name} {request.if_match} "
     return hashlib.sha256(target.encode() + request.edit.describe()).hexdigest()
 
 
 def idempotency_row(request: decision.ChangeRequest) -> str:
-    """Return the key of the row for a repeat, or "" if the caller gave no key."""
+    """Return the key of the idempotency row, or "" if the caller sent no key."""
     if request.idempotency_key is None:
         return ""
     digest = hashlib.sha256(request.idempotency_key.encode()).hexdigest()
@@ -69,7 +69,7 @@
 
 
 class ResourceStore:
-    """Writes resources through the platform's table, from any instance."""
+    """Writes resources to the platform's table; any instance may do so."""
 
     def __init__(
         self,
@@ -80,29 +80,29 @@
         self.rows = rows
         self.copy = own
         self.log = log.ConfigurationLog(rows, store)
-        # Changes through one instance go one by one: they would only make each
-        # other's transactions fail on the head.
+        # Serialises the changes of one instance, which would otherwise fail each
+        # other's transactions by the condition on the head.
         self.write_lock = asyncio.Lock()
 
     async def change(self, request: decision.ChangeRequest) -> decision.Outcome:
-        """Apply a change exactly once, or raise and leave everything as it was.
+        """Apply a change exactly once, or raise.
 
-        Raises ResourceError, PlatformUnavailableError (nothing was applied), or
-        OutcomeUnknownError (the platform failed before it could be found out; a
-        repeat with the same Idempotency-Key finds out).
+        Raises ResourceError or PlatformUnavailableError (nothing was applied), or
+        OutcomeUnknownError (the platform failed before the outcome could be
+        determined; a repeat with the same Idempotency-Key determines it).
         """
         async with self.write_lock:
             return await ChangeWriter(self, request).run()
 
     def apply_locally(self, change: codec.Change) -> None:
-        """Put an own change in force here at once, so that its caller can read it."""
+        """Put a committed change in force here at once, for the caller to read."""
         configuration = self.copy.current
         if configuration.revision + 1 == change.revision:
             self.copy.activate(configuration.with_changes([change]))
 
 
 class ChangeWriter:
-    """One change on its way, over all its attempts."""
+    """Writes one change, in as many attempts as it needs."""
 
     def __init__(self, store: ResourceStore, request: decision.ChangeRequest) -> None:
         self.store = store
@@ -113,7 +113,7 @@
         self.in_doubt: InDoubtAttempt | None = None
 
     async def run(self) -> decision.Outcome:
-        """Try until the change is applied or refused."""
+        """Repeat attempts until the change is applied or refused."""
         for number in range(ATTEMPTS):
             if number:
                 await back_off(number)
@@ -133,7 +133,7 @@
         )
 
     def outcome_unknown(self) -> errors.OutcomeUnknownError:
-        """Return the error for an attempt in doubt that couldn't be settled."""
+        """Return the error for an attempt in doubt that couldn't be resolved."""
         request = self.request
         return errors.OutcomeUnknownError(
             f"the platform didn't say whether the change of {request.kind.value}/"
@@ -142,11 +142,11 @@
         )
 
     async def attempt(self) -> decision.Outcome | None:
-        """Make one attempt; None means another one is needed.
+        """Make one attempt; return None if another one is needed.
 
-        The head is read before the attempt in in_doubt is resolved: an attempt with a lost reply
-        may still be on its way, and only a head at or beyond its revision shows
-        that it was applied or never will be.
+        The head is read before an attempt in doubt is resolved: its transaction may
+        still be in flight, and only a head at or beyond its revision shows that it
+        was applied or never will be.
         """
         head_row = await self.store.log.read_head()
         settled = await self.resolve_in_doubt(head_row.head)
@@ -166,7 +166,7 @@
         return await self.commit(await self.prepare(head_row, outcome))
 
     async def resolve_in_doubt(self, head: log.Head) -> decision.Outcome | None:
-        """Find out about an attempt with a lost reply."""
+        """Return the outcome of an attempt in doubt if it was applied, or None."""
         in_doubt = self.in_doubt
         if in_doubt is None or head.revision < in_doubt.outcome.revision:
             return None
@@ -177,7 +177,7 @@
         return in_doubt.outcome if change.nonce == self.nonce else None
 
     async def recorded_outcome(self) -> decision.Outcome | None:
-        """Return the answer that an earlier call with the same key got."""
+        """Return the outcome of an earlier call with the same key, or None."""
         if not self.idempotency_row:
             return None
         row = await self.store.rows.read(log.IDEMPOTENCY, self.idempotency_row)
@@ -219,7 +219,7 @@
         return Attempt(transaction, change, outcome)
 
     def change(self, outcome: decision.Outcome) -> codec.Change:
-        """Return the entry in the log of changes."""
+        """Return the entry for the change log."""
         request = self.request
         return codec.Change(
             revision=outcome.revision,
@@ -232,7 +232,7 @@
         )
 
     def record(self, outcome: decision.Outcome) -> table.Put:
-        """Return the write by which a repeat will get the same answer."""
+        """Return the write of the idempotency row."""
         recorded = IdempotencyRecord(
             fingerprint=self.fingerprint,
             revision=outcome.revision,
@@ -242,7 +242,7 @@
         return table.Put(log.IDEMPOTENCY, self.idempotency_row, codec.encode(recorded))
 
     async def commit(self, attempt: Attempt) -> decision.Outcome | None:
-        """Commit; None if the head moved or the reply was lost."""
+        """Commit; return None if the head has changed or the reply was lost."""
         try:
             await self.store.rows.commit(attempt.transaction)
         except table.ConditionFailedError as error:
@@ -258,13 +258,13 @@
 
 
 def write_for(key: str, resource: kinds.Resource | None) -> table.Put | table.Delete:
-    """Return the write that leaves a resource as wanted; None: deleted."""
+    """Return the write of a resource, or its deletion if None."""
     if resource is None:
         return table.Delete(log.RESOURCES, key)
     return table.Put(log.RESOURCES, key, codec.encode(resource))
 
 
 async def back_off(number: int) -> None:
-    """Wait before a further attempt, at random so that writers fall apart."""
+    """Wait before another attempt, with jitter so that writers don't collide again."""
     longest = min(MAX_BACKOFF, FIRST_BACKOFF * 2 ** (number - 1))
     await asyncio.sleep(random.uniform(0, longest))
