--- a/src/tealcove/resources/__init__.py
+++ b/src/tealcove/resources/__init__.py
@@ -1,1 +1,1 @@
-"""Declared resources, their API and their propagation."""
+"""Declared resources, the resource API and the propagation of changes."""
--- a/src/tealcove/resources/api.py
+++ b/src/tealcove/resources/api.py
@@ -34,7 +34,7 @@
 
 
 class ResourceApi:
-    """Handlers of the resource API; each instance has them all."""
+    """Request handlers of the resource API, which every instance serves."""
 
     def __init__(
         self,
@@ -52,7 +52,7 @@
         self.stopping = asyncio.Event()
 
     def routes(self) -> list[web.RouteDef]:
-        """Return the routes to mount in an application."""
+        """Return the routes for an application."""
         one = PREFIX + "/{kind}/{name}"
         return [
             web.get(f"{PREFIX}/status", self.answering(self.show_status)),
@@ -64,11 +64,11 @@
         ]
 
     def end_watches(self) -> None:
-        """End all watches, which resume at another instance; for a leaving one."""
+        """End all watches on shutdown; watchers resume at another instance."""
         self.stopping.set()
 
     def answering(self, handler: Handler) -> Handler:
-        """Return a handler that authorises and answers errors as problems."""
+        """Wrap a handler to authorise requests and to send errors as problems."""
 
         async def answer(request: web.Request) -> web.StreamResponse:
             try:
@@ -107,7 +107,7 @@
         return json_response(page)
 
     async def watch(self, request: web.Request, kind: kinds.Kind) -> web.StreamResponse:
-        """Stream changes after `revision`, by default after the one in force."""
+        """Stream changes after the given revision, by default the one in force."""
         revision = headers.number(request, "revision", self.copy.revision)
         one = watch.Watch(
             self.store.log, self.copy, kind, ids.Revision(revision), self.stopping
@@ -143,7 +143,7 @@
         return await self.change(request, edits.Delete())
 
     async def change(self, request: web.Request, edit: edits.Edit) -> web.Response:
-        """Apply a change and answer with what it led to."""
+        """Apply a change and answer with its outcome."""
         asked = decision.ChangeRequest(
             operator=request[OPERATOR],
             kind=kind_of(request),
@@ -166,12 +166,12 @@
         return self.shown(outcome.resource, 201 if outcome.created else 200)
 
     def document(self, resource: kinds.Resource) -> documents.Document:
-        """Return a resource with its present status."""
+        """Return the document of a resource with its current status."""
         shown_status = documents.status_of(resource, self.status, self.now())
         return documents.document(resource, shown_status)
 
     def shown(self, resource: kinds.Resource, code: int = 200) -> web.Response:
-        """Return the response that shows a resource."""
+        """Return a response with a resource and its ETag."""
         response = json_response(self.document(resource), code)
         response.headers["ETag"] = f'"{resource.metadata.revision}"'
         return response
@@ -183,7 +183,7 @@
     authorise: Authorise,
     source: status.StatusSource,
 ) -> list[web.RouteDef]:
-    """Return the routes of a resource API whose watches nobody needs to end."""
+    """Return the routes of a resource API without a way to end its watches."""
     return ResourceApi(resources, own, authorise, source).routes()
 
 
--- a/src/tealcove/resources/operators.py
+++ b/src/tealcove/resources/operators.py
@@ -1,4 +1,4 @@
-"""Who may use the administration API: the operators named in the settings."""
+"""Authentication of operators, who are declared in the settings."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Operators:
-    """Knows operators by the hashes of their bearer keys."""
+    """Authenticates operators by the hashes of their bearer keys."""
 
     def __init__(self, declared: tuple[settings.Operator, ...]) -> None:
         self.declared = declared
@@ -19,8 +19,8 @@
     def authorise(self, request: web.Request) -> str:
         """Return the operator's name; raises UnauthorisedError.
 
-        Every hash is compared, in constant time, so that how long it takes says
-        nothing about a key.
+        Compares every hash in constant time, so that the duration reveals nothing
+        about a key.
         """
         header = request.headers.get("Authorization", "")
         key = header.removeprefix(bearer.PREFIX)
--- a/src/tealcove/resources/role.py
+++ b/src/tealcove/resources/role.py
@@ -1,4 +1,4 @@
-"""The configuration's side of an instance: reader, store, API and compaction."""
+"""The configuration role of an instance: reader, store, API and compaction."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
 
 COMPACTION_KEY = "compaction"
 READERS_KEY = "configuration readers"
-# Instances of a data centre that read the head every poll_interval.
+# Instances per data centre that read the head every `poll_interval`.
 READERS = 2
 
 
 class ConfigurationRole:
-    """Keeps the copy current, and serves the resource API from it."""
+    """Keeps the local copy up to date and serves the resource API from it."""
 
     def __init__(
         self,
@@ -59,7 +59,7 @@
             self.status,
         )
         self.tasks: list[asyncio.Task[None]] = []
-        # The revision that each peer's last heartbeat told of.
+        # The revision in each peer's last heartbeat.
         self.revisions: dict[ids.InstanceId, ids.Revision] = {}
 
     def routes(self) -> list[web.RouteDef]:
@@ -67,7 +67,7 @@
         return self.api.routes()
 
     def start(self, beats: heartbeats.HeartbeatService) -> None:
-        """Begin to follow the log and to learn from heartbeats."""
+        """Subscribe to heartbeats and membership, and start the background tasks."""
         self.source.start()
         self.copy.subscribe(self.schedule_compaction)
         beats.listeners.append(self.handle_heartbeat)
@@ -78,31 +78,32 @@
         ]
 
     async def stop(self) -> None:
-        """End all tasks."""
+        """End the watches and stop all tasks."""
         self.api.end_watches()
         await tasks.stop(self.tasks)
 
     def handle_heartbeat(self, heartbeat: membership_messages.Heartbeat) -> None:
-        """Learn of a peer's revision."""
+        """Record the revision in a peer's heartbeat."""
         now = clock.now()
         self.reader.record_revision(heartbeat.revision, heartbeat.instance, now)
-        # Looking at all members for each heartbeat took half a millisecond at 580.
+        # Scanning all members on each heartbeat took half a millisecond with 580.
         if self.revisions.get(heartbeat.instance) != heartbeat.revision:
             self.revisions[heartbeat.instance] = heartbeat.revision
             self.status.note(now)
 
     def handle_membership_change(self) -> None:
-        """Decide anew whether this instance reads the head often.
+        """Determine again whether this instance is designated to read the head.
 
-        Two in each data centre do, and tell the others by heartbeat; if all did,
-        580 instances would spend a third of the platform's reads on it.
+        Two in each data centre read it often and announce its revision by
+        heartbeat; if all did, 580 instances would use a third of the platform's
+        read rate for it.
         """
         now = clock.now()
         own = self.members.own
         ranked = self.members.rank(READERS_KEY, now, own.data_centre)
         designated = own.instance in ranked[:READERS] or not ranked
         if designated and not self.reader.designated:
-            # It may be in the middle of a long pause.
+            # Ends a relaxed interval that may have just begun.
             self.reader.poll_requested.set()
         self.reader.designated = designated
         present = {heartbeat.instance for heartbeat in self.members.alive(now)}
@@ -111,18 +112,17 @@
         self.status.note(now)
 
     def may_serve(self, now: ids.Instant) -> bool:
-        """Tell whether requests may be decided by the copy.
+        """Tell whether requests may be handled by the local copy.
 
-        An instance that reaches neither platform nor peers can't know whether
-        its configuration still holds; accepting by it would bring an older
-        configuration back to life.
+        An isolated instance can't know whether its configuration is still current;
+        accepting requests by it might apply an outdated configuration.
         """
         return self.reader.ready(now) and not self.reader.isolated(now)
 
     def schedule_compaction(
         self, previous: copy.Configuration, current: copy.Configuration
     ) -> None:
-        """Let one instance, by the ranking, compact the log when it is due."""
+        """Request a compaction every `every` changes, on the top-ranked instance."""
         every = self.compactor.settings.every
         if previous.revision // every == current.revision // every:
             return
@@ -132,7 +132,7 @@
 
 
 def reader_settings(found: settings.Configuration) -> reader.ReaderSettings:
-    """Return the settings of the reader."""
+    """Return the reader's part of the configuration settings."""
     return reader.ReaderSettings(
         poll_interval=found.poll_interval, isolated_after=found.isolated_after
     )
--- a/src/tealcove/resources/status.py
+++ b/src/tealcove/resources/status.py
@@ -1,4 +1,4 @@
-"""Where a revision is in force, as the daemon knows it from heartbeats."""
+"""On which instances a revision is in force, as known from heartbeats."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 
 class InForce(msgspec.Struct, frozen=True, kw_only=True):
-    """On how many of the serving instances a revision, or a higher one, is in force."""
+    """How many serving instances have a revision, or a higher one, in force."""
 
     instances: int
     of: int
-    # Seconds since it is in force on all of them; None while it isn't.
+    # Seconds for which it has been in force on all; None if it isn't.
     since: float | None
 
 
@@ -23,4 +23,4 @@
 
     @abc.abstractmethod
     def in_force(self, revision: ids.Revision, now: ids.Instant) -> InForce:
-        """Tell where a revision is in force."""
+        """Return on how many instances a revision is in force."""
