--- a/src/tealcove/resources/references.py
+++ b/src/tealcove/resources/references.py
@@ -1,4 +1,4 @@
-"""Which fields of a resource name other resources."""
+"""References: the fields of a resource that name other resources."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from tealcove.resources import kinds
 
 POOLS = (kinds.Kind.ENGINE_POOL, kinds.Kind.SERVICE_POOL)
-# A caller names an adapter where it would name a model.
+# Callers name an adapter in place of a model.
 MODELS = (kinds.Kind.MODEL, kinds.Kind.ADAPTER)
 
 
 class Reference(msgspec.Struct, frozen=True):
-    """A field that names a resource of one of some kinds."""
+    """A field that names a resource of one of the given kinds."""
 
     field: str
     kinds: tuple[kinds.Kind, ...]
@@ -24,13 +24,13 @@
 def references_in(
     field: str, wanted: tuple[kinds.Kind, ...], names: tuple[str, ...]
 ) -> Iterator[Reference]:
-    """Yield a reference for each name in a list."""
+    """Yield a reference for each name in a list field."""
     for number, name in enumerate(names):
         yield Reference(f"{field}[{number}]", wanted, name)
 
 
 def references(resource: kinds.Resource) -> Iterator[Reference]:
-    """Yield each reference that a resource makes."""
+    """Yield all references of a resource."""
     spec = resource.spec
     if isinstance(spec, kinds.ClientAccountSpec):
         yield Reference("spec.tier", (kinds.Kind.SERVICE_TIER,), spec.tier)
--- a/src/tealcove/resources/refusals.py
+++ b/src/tealcove/resources/refusals.py
@@ -1,4 +1,4 @@
-"""The reasons for which a change or a read of resources is refused."""
+"""Exceptions for refused changes and reads of resources."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class FieldError(errors.ResourceError):
-    """A refusal because of one field, as `spec.servers[0].port`."""
+    """A refusal because of one field, for example `spec.servers[0].port`."""
 
     def __init__(self, problem: str, remedy: str, field: str) -> None:
         super().__init__(f"{field}: {problem}", remedy)
@@ -18,19 +18,19 @@
 
 
 class MissingReferenceError(FieldError):
-    """A field that names a resource which doesn't exist."""
+    """A field that names a missing resource."""
 
 
 class DuplicateError(FieldError):
-    """A field whose value must be unique and is taken."""
+    """A field whose value must be unique and is already in use."""
 
 
 class InUseError(FieldError):
-    """A resource that can't go or change because others name it."""
+    """A resource that can't be deleted or changed because others refer to it."""
 
 
 class NotFoundError(errors.ResourceError):
-    """No resource, or no kind, has this name."""
+    """A resource or kind that doesn't exist."""
 
 
 class PreconditionRequiredError(errors.ResourceError):
@@ -38,7 +38,7 @@
 
 
 class RevisionConflictError(errors.ResourceError):
-    """A change based on another revision than the current one.
+    """A change that isn't based on the current revision.
 
     `current` is 0 and `changed_by` is empty when the resource doesn't exist.
     """
@@ -52,15 +52,15 @@
 
 
 class BusyError(errors.ResourceError):
-    """Other changes were faster at each attempt; nothing was applied."""
+    """Concurrent changes defeated each attempt; nothing was applied."""
 
 
 class IdempotencyMismatchError(errors.ResourceError):
-    """An Idempotency-Key that this operator used for another change."""
+    """An Idempotency-Key that the operator already used for another change."""
 
 
 class CompactedError(errors.ResourceError):
-    """The changes after this revision are no longer kept one by one."""
+    """The changes after this revision are no longer kept individually."""
 
 
 class UnauthorisedError(errors.ResourceError):
@@ -68,11 +68,11 @@
 
 
 class BadRequestError(errors.ResourceError):
-    """A header, query or body that isn't what the API takes."""
+    """A header, query or body that the API doesn't accept."""
 
 
 class TooLargeError(errors.ResourceError):
-    """A body beyond the limit of this instance."""
+    """A body larger than the limit of this instance."""
 
     def __init__(self) -> None:
         super().__init__(
--- a/src/tealcove/resources/servers.py
+++ b/src/tealcove/resources/servers.py
@@ -1,4 +1,4 @@
-"""Checks of the backend servers that pools declare."""
+"""Validation of the backend servers that pools declare."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 
 class ServerEntry(msgspec.Struct, frozen=True):
-    """Where a backend server is declared."""
+    """A declared backend server and the path of its field."""
 
     field: str
     server: kinds.BackendServerSpec
 
 
 def entries_of(pool: kinds.Resource, prefix: str = "") -> Iterator[ServerEntry]:
-    """Yield the servers of a pool with the paths of their fields."""
+    """Yield the server entries of a pool."""
     for number, server in enumerate(pool.spec.servers):
         yield ServerEntry(f"{prefix}spec.servers[{number}]", server)
 
@@ -26,7 +26,7 @@
 def entries_of_other_pools(
     configuration: copy.Configuration, pool: kinds.Resource
 ) -> Iterator[ServerEntry]:
-    """Yield the servers of all other pools."""
+    """Yield the server entries of all pools but one."""
     for kind in references.POOLS:
         for name, other in configuration.resources[kind].items():
             if kind is not pool.kind or name != pool.metadata.name:
@@ -34,7 +34,7 @@
 
 
 def check_host(entry: ServerEntry) -> str:
-    """Return the host in its usual form; raises InvalidFieldError."""
+    """Return the host as a normalised IP address; raises InvalidFieldError."""
     field = f"{entry.field}.host"
     try:
         address = ipaddress.ip_address(entry.server.host)
@@ -55,10 +55,10 @@
 
 
 def check_servers(configuration: copy.Configuration, pool: kinds.Resource) -> None:
-    """Refuse servers with bad hosts, or with names or addresses taken already.
+    """Refuse servers with invalid hosts or with duplicate names or addresses.
 
-    Two entries for one server would each fill its slots, so that it queues work
-    itself, where tiers mean nothing.
+    Two entries for one server would each fill its slots, so that it would queue
+    requests itself, without regard to tiers.
     """
     names: dict[str, str] = {}
     addresses: dict[tuple[str, int], str] = {}
@@ -74,7 +74,7 @@
 
 
 def check_unique(holder: str | None, field: str) -> None:
-    """Raise DuplicateError if another entry has the value already."""
+    """Raise DuplicateError if another entry already has the value."""
     if holder is not None:
         raise refusals.DuplicateError(
             f"is the same as that of {holder}",
--- a/src/tealcove/resources/snapshots.py
+++ b/src/tealcove/resources/snapshots.py
@@ -1,4 +1,4 @@
-"""A whole configuration as bytes, for the object store and for peers."""
+"""Snapshots: whole configurations encoded for the object store and for peers."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def encode(configuration: copy.Configuration) -> bytes:
-    """Encode a configuration; the same one always gives the same bytes."""
+    """Encode a configuration deterministically."""
     table = configuration.resources[kinds.Kind.CLIENT_ACCOUNT]
     others = []
     for kind in kinds.Kind:
--- a/src/tealcove/resources/validation.py
+++ b/src/tealcove/resources/validation.py
@@ -1,4 +1,4 @@
-"""Checks of a resource against the others that it names or that name it."""
+"""Validation of a resource and of the references from and to it."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     servers,
 )
 
-# The kinds whose resources name a resource of each kind.
+# For each kind, the kinds whose resources may refer to it.
 REFERRING_KINDS = {
     kinds.Kind.CLIENT_ACCOUNT: (kinds.Kind.ROUTING_RULE,),
     kinds.Kind.SERVICE_TIER: (kinds.Kind.CLIENT_ACCOUNT,),
@@ -33,7 +33,7 @@
 
 
 def check_name(name: str) -> None:
-    """Refuse a name that can't stand in a path; raises InvalidFieldError."""
+    """Refuse a name that isn't valid in a path; raises InvalidFieldError."""
     try:
         msgspec.convert(name, kinds.Name)
     except msgspec.ValidationError as error:
@@ -41,7 +41,7 @@
 
 
 def check(configuration: copy.Configuration, resource: kinds.Resource) -> None:
-    """Refuse a resource that the others don't fit; raises FieldError."""
+    """Refuse a resource inconsistent with the others; raises FieldError."""
     check_name(resource.metadata.name)
     for reference in references.references(resource):
         check_reference(configuration, reference)
@@ -62,7 +62,7 @@
 def check_reference(
     configuration: copy.Configuration, reference: references.Reference
 ) -> None:
-    """Refuse a reference to nothing; raises MissingReferenceError."""
+    """Refuse a reference to a missing resource; raises MissingReferenceError."""
     for kind in reference.kinds:
         if reference.name in configuration.resources[kind]:
             return
@@ -75,7 +75,7 @@
 
 
 def check_keys(configuration: copy.Configuration, account: kinds.Resource) -> None:
-    """Refuse a key of another account: its requests would count for the wrong one."""
+    """Refuse a duplicate key: its requests would count for the wrong account."""
     table = configuration.resources[kinds.Kind.CLIENT_ACCOUNT]
     seen = set()
     for number, key_hash in enumerate(account.spec.key_hashes):
@@ -91,7 +91,7 @@
 
 
 def check_pool_name(configuration: copy.Configuration, pool: kinds.Resource) -> None:
-    """Refuse a name that a pool of the other kind has; rules name no kind."""
+    """Refuse the name of a pool of the other kind; rules don't state the kind."""
     for kind in references.POOLS:
         name = pool.metadata.name
         if kind is not pool.kind and name in configuration.resources[kind]:
@@ -103,7 +103,7 @@
 
 
 def check_prefix(spec: kinds.RoutingRuleSpec) -> None:
-    """Refuse a path prefix that no path can have; raises InvalidFieldError."""
+    """Refuse a path prefix that matches no path; raises InvalidFieldError."""
     if not spec.path_prefix.startswith("/"):
         raise refusals.InvalidFieldError(
             f"{spec.path_prefix!r} doesn't begin with /",
@@ -129,7 +129,7 @@
 def check_pools_of_adapter(
     configuration: copy.Configuration, adapter: kinds.Resource
 ) -> None:
-    """Refuse a new model of an adapter that a pool serves without that model."""
+    """Refuse a change of an adapter's model to one that a pool of it doesn't serve."""
     for name, pool in configuration.engine_pools.items():
         is_served = adapter.metadata.name in pool.spec.adapters
         if is_served and adapter.spec.model not in pool.spec.models:
@@ -144,7 +144,7 @@
 def referring_fields(
     configuration: copy.Configuration, resource: kinds.Resource
 ) -> Iterator[str]:
-    """Yield each field that names a resource, after its own resource's name."""
+    """Yield the resource and path of each field that refers to a resource."""
     for kind in REFERRING_KINDS[resource.kind]:
         for name, user in configuration.resources[kind].items():
             for reference in references.references(user):
@@ -154,7 +154,7 @@
 
 
 def check_deletion(configuration: copy.Configuration, resource: kinds.Resource) -> None:
-    """Refuse the deletion of a resource that others name; raises InUseError."""
+    """Refuse to delete a resource that others refer to; raises InUseError."""
     if resource.kind is kinds.Kind.SERVICE_TIER:
         table = configuration.resources[kinds.Kind.CLIENT_ACCOUNT]
         if not table.counts_by_tier.get(resource.metadata.name):
