--- a/src/tealcove/storage/__init__.py
+++ b/src/tealcove/storage/__init__.py
@@ -1,1 +1,1 @@
-"""Interfaces to the platform's services and their clients."""
+"""Interfaces of the platform's services; implementations in memory and by rows."""
--- a/src/tealcove/storage/faults.py
+++ b/src/tealcove/storage/faults.py
@@ -1,4 +1,4 @@
-"""Faults of the in-memory platform that can be switched while it runs."""
+"""Faults that can be injected into the running in-memory platform."""
 
 from __future__ import annotations
 
@@ -12,29 +12,29 @@
 
 
 class RateLimitedError(errors.PlatformUnavailableError):
-    """The call was refused because there were too many in this second."""
+    """The call was refused because it exceeds the rate limit of this second."""
 
 
 class Faults(msgspec.Struct, forbid_unknown_fields=True):
-    """What goes wrong at present; the default is nothing."""
+    """The faults injected at present; by default there are none."""
 
     # Every call is refused.
     down: bool = False
-    # Seconds that every call takes before it has any effect.
+    # Delay in seconds before each call has any effect.
     slow: float = 0.0
-    # The next so many writes are applied and their replies lost.
+    # Number of next writes that are applied but whose replies are lost.
     lose_replies: int = 0
     # Calls beyond these rates are refused; None: no limit.
     writes_per_second: float | None = None
     reads_per_second: float | None = None
-    # IP numbers of callers that are turned away while others are served.
+    # IP addresses of callers that are refused while others are served.
     refused_callers: tuple[str, ...] = ()
-    # Seconds by which the instance list is behind.
+    # Seconds by which the instance list lags.
     list_lag: float = 0.0
 
 
 class RateLimiter:
-    """Counts the calls of one kind and refuses those beyond a rate."""
+    """Counts the calls of one kind and refuses those above a rate."""
 
     def __init__(self, clock: Callable[[], float]) -> None:
         self.clock = clock
@@ -43,7 +43,7 @@
         self.used = 0
 
     def acquire(self, rate: float | None) -> None:
-        """Count one call; raises RateLimitedError beyond `rate` a second."""
+        """Count one call; raises RateLimitedError above `rate` calls a second."""
         second = int(self.clock())
         if second != self.second:
             self.second = second
@@ -58,7 +58,7 @@
 
 
 class Gate:
-    """Every call of the in-memory platform passes here and meets the faults."""
+    """Applies the faults to every call of the in-memory platform."""
 
     def __init__(self, clock: Callable[[], float] = time.monotonic) -> None:
         self.clock = clock
@@ -67,19 +67,19 @@
         self.writes = RateLimiter(clock)
 
     async def admit_read(self) -> None:
-        """Let a read in; raises PlatformUnavailableError."""
+        """Admit a read; raises PlatformUnavailableError."""
         self.refuse_when_down()
         self.reads.acquire(self.faults.reads_per_second)
         await self.delay()
 
     async def admit_write(self) -> None:
-        """Let a write in before it has any effect; raises PlatformUnavailableError."""
+        """Admit a write before it has any effect; raises PlatformUnavailableError."""
         self.refuse_when_down()
         self.writes.acquire(self.faults.writes_per_second)
         await self.delay()
 
     def confirm_write(self) -> None:
-        """Confirm an applied write; raises OutcomeUnknownError for a lost reply."""
+        """Confirm an applied write; raises OutcomeUnknownError if its reply is lost."""
         if self.faults.lose_replies < 1:
             return
         self.faults.lose_replies -= 1
@@ -89,7 +89,7 @@
         )
 
     async def delay(self) -> None:
-        """Wait while slow; raises PlatformUnavailableError if it went down since."""
+        """Delay a call; raises PlatformUnavailableError if the platform went down."""
         if self.faults.slow > 0:
             await asyncio.sleep(self.faults.slow)
             self.refuse_when_down()
--- a/src/tealcove/storage/feed.py
+++ b/src/tealcove/storage/feed.py
@@ -1,4 +1,4 @@
-"""A table as something to follow: all rows of a moment, then what has changed."""
+"""A change feed of a table: a consistent read of all rows, then the changes."""
 
 from __future__ import annotations
 
@@ -11,31 +11,31 @@
 
 
 class Entry(msgspec.Struct, frozen=True):
-    """A row of the followed table; no value means that the row was dropped."""
+    """A row of the table; `value` is None if the row was deleted."""
 
     key: str
     value: bytes | None
-    # The version at which the row became so; grows with every change.
+    # The version of the change that led to this state; grows with every change.
     version: int
 
 
 class Page(msgspec.Struct, frozen=True):
-    """Rows or changes, and the version up to which nothing else has changed."""
+    """Rows or changes, complete up to a version."""
 
     entries: tuple[Entry, ...]
     version: int
 
 
 class HistoryLostError(errors.PlatformError):
-    """The changes since the version asked for are no longer kept."""
+    """The changes since the requested version are no longer kept."""
 
 
 class Feed(abc.ABC):
-    """Reads a table whole, and waits for its changes."""
+    """Reads a whole table and waits for its changes."""
 
     @abc.abstractmethod
     async def read_all(self, table: str) -> Page:
-        """Return all rows of a table as of one moment.
+        """Return all rows of a table at one version.
 
         Raises PlatformUnavailableError.
         """
@@ -48,11 +48,11 @@
         seconds: float,
         arriving: Callable[[], None] | None = None,
     ) -> Page:
-        """Return what has changed after a version, or nothing after `seconds`.
+        """Return the changes after a version, or none after a timeout of `seconds`.
 
-        `arriving` is called when the answer begins to come; the rest of it may take
-        long on a slow link.
+        `arriving` is called when the response starts; receiving the rest of it may
+        take long on a slow link.
 
-        Raises HistoryLostError, after which the table must be read whole, or
+        Raises HistoryLostError, after which the whole table must be read, or
         PlatformUnavailableError.
         """
--- a/src/tealcove/storage/memory.py
+++ b/src/tealcove/storage/memory.py
@@ -1,4 +1,4 @@
-"""The platform in memory, for tests and as the core of the stand-in."""
+"""An in-memory platform, for tests and as the core of the stand-in."""
 
 from __future__ import annotations
 
@@ -19,21 +19,21 @@
     table,
 )
 
-# Changes of the instance list older than this are merged: the greatest lag.
+# Maximum lag in seconds; older changes of the instance list are merged.
 MAX_LIST_LAG = 600.0
-# Changes that are kept for those who follow a table.
+# Number of changes that are kept for the change feed.
 MAX_CHANGES = 10_000
 
 
 class RowChange(msgspec.Struct, frozen=True):
-    """A row that was written or dropped."""
+    """The write or deletion of a row."""
 
     table: str
     entry: feed.Entry
 
 
 class MemoryTableService(table.TimedTable, feed.Feed):
-    """Rows in memory; versions come from one counter, over deletes too."""
+    """Rows in memory; all versions, also over deletes, come from one counter."""
 
     def __init__(self, gate: faults.Gate) -> None:
         self.gate = gate
@@ -41,7 +41,7 @@
         self.rows: dict[tuple[str, str], table.Row] = {}
         self.sorted_keys: dict[str, list[str]] = {}
         self.changes: list[RowChange] = []
-        # The version from which on all changes are still kept.
+        # All changes after this version are still kept.
         self.history_start = 0
         self.changed = asyncio.Condition()
 
@@ -78,7 +78,7 @@
         seconds: float,
         arriving: Callable[[], None] | None = None,
     ) -> feed.Page:
-        """Return what has changed after a version; see the base class."""
+        """Return the changes after a version; see the base class."""
         await self.gate.admit_read()
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(seconds), self.changed:
@@ -91,7 +91,7 @@
         return feed.Page(tuple(self.changes_after(table, since)), self.last_version)
 
     def has_changes(self, table: str, since: int) -> bool:
-        """Tell whether a table has changed after a version, or may have."""
+        """Tell whether a table has, or may have, changed after a version."""
         return since < self.history_start or bool(self.changes_after(table, since))
 
     def changes_after(self, table: str, since: int) -> list[feed.Entry]:
@@ -103,14 +103,14 @@
         ]
 
     async def discard_history(self) -> None:
-        """Keep none of the changes so far."""
+        """Discard all changes so far."""
         self.changes.clear()
         self.history_start = self.last_version
         async with self.changed:
             self.changed.notify_all()
 
     def record_change(self, table: str, entry: feed.Entry) -> None:
-        """Keep a change for those who follow its table."""
+        """Add a change to the history and discard the oldest beyond `MAX_CHANGES`."""
         self.changes.append(RowChange(table, entry))
         if len(self.changes) > MAX_CHANGES:
             self.history_start = self.changes.pop(0).entry.version
@@ -131,7 +131,7 @@
     def find_conflicts(
         self, transaction: table.Transaction
     ) -> tuple[table.Conflict, ...]:
-        """Return every condition that doesn't hold at present."""
+        """Return a conflict for every condition that doesn't hold."""
         conflicts = []
         for index, condition in enumerate(transaction.conditions):
             row = self.rows.get((condition.table, condition.key))
@@ -140,7 +140,7 @@
         return tuple(conflicts)
 
     def apply(self, write: table.Put | table.Delete) -> None:
-        """Apply one write at the version of its transaction."""
+        """Apply one write at the current version, that of its transaction."""
         place = (write.table, write.key)
         keys = self.sorted_keys.setdefault(write.table, [])
         if isinstance(write, table.Put):
@@ -161,14 +161,14 @@
 def condition_holds(
     condition: table.Absent | table.VersionIs, row: table.Row | None
 ) -> bool:
-    """Whether a condition holds of the row that stands there."""
+    """Tell whether a condition holds for the current row."""
     if isinstance(condition, table.Absent):
         return row is None
     return row is not None and row.version == condition.version
 
 
 class MemoryObjectStore(objects.ObjectStore):
-    """Whole objects in memory."""
+    """An object store in memory."""
 
     def __init__(self, gate: faults.Gate) -> None:
         self.gate = gate
@@ -193,7 +193,7 @@
 
 
 class ListChange(msgspec.Struct, frozen=True):
-    """A change of the list: when, and the new entry or None for a removal."""
+    """A change of the list: its time and the new entry, None for a removal."""
 
     at: float
     name: str
@@ -201,7 +201,7 @@
 
 
 class MemoryInstanceList(instances.InstanceList):
-    """A list that shows each change only after the lag that is switched on."""
+    """An instance list in memory that shows each change after the injected lag."""
 
     def __init__(self, gate: faults.Gate) -> None:
         self.gate = gate
@@ -209,7 +209,7 @@
         self.changes: list[ListChange] = []
 
     async def listed(self) -> tuple[instances.ListedInstance, ...]:
-        """Return the entries as they stood a lag ago; see the base class."""
+        """Return the entries as of one lag ago; see the base class."""
         await self.gate.admit_read()
         shown_until = self.gate.clock() - self.gate.faults.list_lag
         entries = dict(self.merged)
@@ -219,7 +219,7 @@
         return tuple(entries[name] for name in sorted(entries))
 
     def register(self, entry: instances.ListedInstance) -> None:
-        """Add an entry, or replace the one of its name."""
+        """Add an entry, or replace the one with its name."""
         self.record(entry.name, entry)
 
     def remove(self, name: str) -> None:
@@ -227,7 +227,7 @@
         self.record(name, None)
 
     def record(self, name: str, entry: instances.ListedInstance | None) -> None:
-        """Append a change, and merge those that no lag can hide any more."""
+        """Append a change, and merge those older than the maximum lag."""
         now = self.gate.clock()
         self.changes.append(ListChange(now, name, entry))
         while self.changes[0].at < now - MAX_LIST_LAG:
@@ -235,7 +235,7 @@
 
 
 def merge(entries: dict[str, instances.ListedInstance], change: ListChange) -> None:
-    """Apply a change to entries by name."""
+    """Apply a change to a mapping of entries by name."""
     if change.entry is None:
         entries.pop(change.name, None)
     else:
@@ -243,7 +243,7 @@
 
 
 class MemoryPlatform:
-    """The four services over one set of faults; embed it in tests."""
+    """The platform's four services with one common set of faults."""
 
     def __init__(
         self,
@@ -262,7 +262,7 @@
 
     @property
     def faults(self) -> faults.Faults:
-        """The faults at present; change its attributes or replace it."""
+        """The faults injected at present; may be changed in place or replaced."""
         return self.gate.faults
 
     @faults.setter
@@ -271,10 +271,10 @@
 
     @property
     def read_count(self) -> int:
-        """Reads admitted since the start, those of the list included."""
+        """Number of reads admitted since the start, including those of the list."""
         return self.gate.reads.count
 
     @property
     def write_count(self) -> int:
-        """Writes admitted since the start, refused conditions included."""
+        """Number of writes admitted since the start, including failed conditions."""
         return self.gate.writes.count
--- a/src/tealcove/storage/table.py
+++ b/src/tealcove/storage/table.py
@@ -10,7 +10,7 @@
 
 
 class Row(msgspec.Struct, frozen=True):
-    """A stored row; `version` goes up at each write and is never used again."""
+    """A stored row; `version` increases with each write and is never reused."""
 
     table: str
     key: str
@@ -49,27 +49,27 @@
 
 
 class Transaction(msgspec.Struct, frozen=True):
-    """Writes that apply all together, or not at all if a condition fails."""
+    """Writes that apply atomically, or not at all if a condition fails."""
 
     conditions: tuple[Absent | VersionIs, ...]
     writes: tuple[Put | Delete, ...]
 
 
 class Committed(msgspec.Struct, frozen=True):
-    """The version that all rows of the transaction now have."""
+    """The version of all rows that the transaction wrote."""
 
     version: int
 
 
 class Reading(msgspec.Struct, frozen=True):
-    """A row, or None, and the table service's own clock in seconds."""
+    """A row, or None, and the time of the table service's clock in seconds."""
 
     row: Row | None
     seconds: float
 
 
 class Conflict(msgspec.Struct, frozen=True):
-    """A condition that failed: its index, and the row that stands there now."""
+    """A failed condition: its index and the current row."""
 
     index: int
     row: Row | None
@@ -105,11 +105,11 @@
     async def scan(
         self, table: str, after: str = "", limit: int = 1000
     ) -> tuple[Row, ...]:
-        """Return rows in order of key, those beyond `after`, at most `limit`."""
+        """Return at most `limit` rows in key order, with keys greater than `after`."""
 
 
 class TimedTable(TableService):
-    """A table service that tells the time of its own clock with a row."""
+    """A table service that returns the time of its clock with a row."""
 
     async def read(self, table: str, key: str) -> Row | None:
         """Return a row, or None; see the base class."""
@@ -121,7 +121,7 @@
 
 
 def unchanged(row: Row | None, table: str, key: str) -> Absent | VersionIs:
-    """Return the condition that a row is still as it was read; None: absent."""
+    """Return the condition that a row, or its absence (None), is unchanged."""
     if row is None:
         return Absent(table, key)
     return VersionIs(table, key, row.version)
@@ -130,9 +130,9 @@
 async def replace(
     rows: TableService, row: Row | None, table: str, key: str, value: bytes
 ) -> Row:
-    """Write a row on condition that it's still as it was read, and return it.
+    """Write a row if it's unchanged since it was read, and return it.
 
-    Raises as `TableService.commit` does.
+    Raises the same errors as `TableService.commit`.
     """
     condition = unchanged(row, table, key)
     put = Put(table, key, value)
