--- a/src/tealcove/storage/instances.py
+++ b/src/tealcove/storage/instances.py
@@ -1,4 +1,4 @@
-"""The platform's lagging list of live and leaving instances."""
+"""The platform's list of live and leaving instances, which may lag."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 
 class ListedKind(enum.Enum):
-    """What a listed process is."""
+    """The type of a listed process."""
 
     INSTANCE = "instance"
     BACKEND_SERVER = "backend_server"
 
 
 class ListedState(enum.Enum):
-    """What the platform believes of a listed process, some seconds ago."""
+    """The state of a listed process, as the platform saw it some seconds ago."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -37,7 +37,7 @@
 
 
 class InstanceList(abc.ABC):
-    """Who is live or leaving, as the platform saw it some seconds ago."""
+    """Lists the live and leaving processes as of some seconds ago."""
 
     @abc.abstractmethod
     async def listed(self) -> tuple[ListedInstance, ...]:
--- a/src/tealcove/storage/objects.py
+++ b/src/tealcove/storage/objects.py
@@ -6,7 +6,7 @@
 
 
 class ObjectStore(abc.ABC):
-    """Whole objects by name; a put replaces the object in one step."""
+    """Stores objects by name; a put replaces the object atomically."""
 
     @abc.abstractmethod
     async def put(self, name: str, content: bytes) -> None:
--- a/src/tealcove/storage/rowlist.py
+++ b/src/tealcove/storage/rowlist.py
@@ -1,4 +1,4 @@
-"""The list of instances, kept as rows that the instances write themselves."""
+"""The instance list as rows of the table that the instances write themselves."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 log = logbook.Logger("storage")
 
 TABLE = "instances"
-# Instances beyond these are found through the ones listed.
+# Further instances are discovered through the listed ones.
 MAX_LISTED = 500
 
 
 class RowInstanceList(instances.InstanceList):
-    """Lets instances find each other when none of the seeds answers.
+    """Lets instances discover each other when none of the seeds responds.
 
-    Each writes its row once, at its start. Rows of instances that are gone stay
-    until an instance of that name starts again; whoever reads the list finds out
-    by heartbeats who lives.
+    Each writes its row once, at its start. Rows of stopped instances remain until
+    an instance of that name starts again; readers of the list determine by
+    heartbeats which instances are alive.
     """
 
     def __init__(
@@ -29,12 +29,12 @@
         own: instances.ListedInstance | None = None,
     ) -> None:
         self.rows = rows
-        # Absent: somebody else keeps the list.
+        # None if another party maintains the list.
         self.own = own
         self.is_listed = False
 
     async def listed(self) -> tuple[instances.ListedInstance, ...]:
-        """Return all entries; the first call writes this instance's own."""
+        """Return all entries; the first call writes this instance's row."""
         found = await self.rows.scan(TABLE, limit=MAX_LISTED)
         listed = {row.key: decode(row) for row in found}
         if self.own is not None and not self.is_listed:
@@ -44,19 +44,19 @@
         return tuple(entry for entry in listed.values() if entry is not None)
 
     async def write_own(self, own: instances.ListedInstance) -> None:
-        """Write this instance's row, whatever stands there."""
+        """Write this instance's row unconditionally."""
         put = table.Put(TABLE, own.name, msgspec.json.encode(own))
         try:
             await self.rows.commit(table.Transaction((), (put,)))
         except errors.OutcomeUnknownError as error:
-            # Written a second time it is the same row; the next start looks again.
-            log.info("the own row may be missing: {}", error)
+            # Writing the row is idempotent, and the next start checks it again.
+            log.info("the row of this instance may be missing: {}", error)
 
 
 def decode(row: table.Row) -> instances.ListedInstance | None:
-    """Return a row's entry; None when it can't be read."""
+    """Return a row's entry, or None if it can't be decoded."""
     try:
         return msgspec.json.decode(row.value, type=instances.ListedInstance)
     except msgspec.MsgspecError as error:
-        log.warning("the row of {} is passed over: {}", row.key, error)
+        log.warning("the row of {} can't be decoded and is ignored: {}", row.key, error)
         return None
--- a/src/tealcove/storage/rowweights.py
+++ b/src/tealcove/storage/rowweights.py
@@ -1,4 +1,4 @@
-"""The turns of loading weights, kept in one row of the table."""
+"""The schedule of weight loads, kept in one row of the table."""
 
 from __future__ import annotations
 
@@ -9,21 +9,21 @@
 
 TABLE = "weights"
 KEY = "turns"
-# Bytes a second of loads together, where the operator's row names no rate.
+# Total rate of all loads in bytes a second, unless the operator's row sets one.
 DEFAULT_RATE = 1e9
-# Tries of one reservation: each fails only because another one has succeeded.
+# Attempts per reservation; each fails only because another one succeeded.
 MAX_ATTEMPTS = 10
 
 
 class LoadSchedule(msgspec.Struct, frozen=True):
-    """The row: the rate, and until when it's taken by the table's own clock."""
+    """The row: the rate, and the end of the last load by the table's clock."""
 
     rate: float = DEFAULT_RATE
     busy_until: float = 0.0
 
 
 class RowWeightStore(weights.WeightStore):
-    """Gives loads their turn one behind the other, over all instances."""
+    """Schedules the loads of all instances one after another."""
 
     def __init__(self, rows: table.TimedTable) -> None:
         self.rows = rows
@@ -48,7 +48,7 @@
 
 
 def decode(row: table.Row) -> LoadSchedule:
-    """Return what a row says; raises PlatformUnavailableError."""
+    """Decode the row; raises PlatformUnavailableError."""
     try:
         return msgspec.json.decode(row.value, type=LoadSchedule)
     except msgspec.MsgspecError as error:
--- a/src/tealcove/storage/weights.py
+++ b/src/tealcove/storage/weights.py
@@ -6,7 +6,7 @@
 
 
 class WeightStore(abc.ABC):
-    """Hands out the right to load weights, so that loads share one rate."""
+    """Reserves loads of weights, so that all loads share one rate."""
 
     @abc.abstractmethod
     async def reserve(self, size: int) -> float:
