--- a/src/tealcove/resources/tests/__init__.py
+++ b/src/tealcove/resources/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of this slice."""
+"""Tests of the resources package."""
--- a/src/tealcove/resources/tests/builders.py
+++ b/src/tealcove/resources/tests/builders.py
@@ -1,4 +1,4 @@
-"""Test data: specs, requests, and instances on one platform in memory."""
+"""Test data: specs, requests, and instances that share an in-memory platform."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class YieldingTable(table.TableService):
-    """Lets other tasks run around each call, so that writers really race."""
+    """Yields to other tasks before and after each commit, so that writers race."""
 
     def __init__(self, inner: table.TableService) -> None:
         self.inner = inner
@@ -37,7 +37,7 @@
 
 
 class Instance:
-    """One instance's copy and store over a platform."""
+    """The copy, store and compactor of one instance."""
 
     def __init__(self, rows: table.TableService, kept: objects.ObjectStore) -> None:
         self.copy = copy.ConfigurationCopy()
@@ -46,7 +46,7 @@
         self.compactor = compaction.Compactor(self.log, self.copy)
 
     async def catch_up(self) -> copy.Configuration:
-        """Bring the copy up to the head of the log."""
+        """Advance the copy to the head of the log."""
         row = await self.log.read_head()
         await self.log.advance(self.copy, row.head)
         return self.copy.current
@@ -58,7 +58,7 @@
 
 
 def die_after_next_write(platform: memory.MemoryPlatform) -> None:
-    """Make the platform lose the next write's reply and go down at once."""
+    """Make the platform go down after the next write, whose reply is lost."""
     confirm = platform.gate.confirm_write
 
     def confirm_and_die() -> None:
@@ -81,12 +81,12 @@
 
 
 def account(number: int = 0, tier: str = "gold") -> kinds.ClientAccountSpec:
-    """Return the spec of a client account with one key of its own."""
+    """Return the spec of a client account with a unique key."""
     return kinds.ClientAccountSpec(tier=tier, key_hashes=(key_hash(number),))
 
 
 def server(number: int = 1) -> kinds.BackendServerSpec:
-    """Return a backend server with a name and an address of its own."""
+    """Return a backend server with a unique name and address."""
     return kinds.BackendServerSpec(
         name=f"e{number}", host="127.0.0.1", port=9000 + number, data_centre="vannes"
     )
--- a/src/tealcove/resources/tests/test_api.py
+++ b/src/tealcove/resources/tests/test_api.py
@@ -1,4 +1,4 @@
-"""A session of operators with the resource API."""
+"""Tests of the resource API over HTTP, some against a recorded session."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class Session:
-    """Calls through an instance, noted for the golden file."""
+    """Calls the API of an instance and records them for the snapshot."""
 
     def __init__(self, client: test_utils.TestClient) -> None:
         self.client = client
@@ -135,7 +135,7 @@
 
 
 async def test_watch_is_resumed_and_compacted(session, own, platform):
-    """A watcher sees what others change, resumes, and is told when it's too late."""
+    """A watch shows changes of other instances, resumes, and fails once compacted."""
     other = builders.instance(platform)
     operator = {"Authorization": "Bearer erwan"}
     path = "/admin/v1/service-tiers?watch=true&revision="
@@ -158,8 +158,8 @@
         assert reply.status == 200
 
 
-async def test_platform_faults_are_told_apart(session, platform):
-    """Before a write: nothing was applied. After one: it may have been."""
+async def test_platform_faults_are_distinguished(session, platform):
+    """A fault before the write and one after it have different status codes."""
     gold = {"spec": {"rank": 1}}
     platform.faults.down = True
     told = await session.call("PUT", "service-tiers/gold", gold)
--- a/src/tealcove/resources/tests/test_compaction.py
+++ b/src/tealcove/resources/tests/test_compaction.py
@@ -1,4 +1,4 @@
-"""The log is compacted while others write and read."""
+"""Tests of compaction with concurrent writers and readers."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
         await own.store.change(request)
 
 
-async def test_old_changes_and_repeats_go_new_ones_stay(platform):
+async def test_only_old_changes_and_idempotency_rows_are_deleted(platform):
     own = builders.instance(platform)
     own.compactor.settings = SETTINGS
     await write(own, range(1, 21))
@@ -43,11 +43,11 @@
     assert (await new.catch_up()).names(TIER) == own.copy.current.names(TIER)
 
 
-async def test_writers_and_readers_go_on_during_compaction(platform):
-    """Symptom: a copy misses a change, or a reader finds no snapshot.
+async def test_writes_and_reads_continue_during_compaction(platform):
+    """Guards against a copy that misses a change, or a missing snapshot.
 
-    Events: three compactors delete changes and snapshots while others write and read.
-    Cause: deleting something before the head names what takes its place.
+    Three compactors delete changes and snapshots during writes and reads. Nothing may
+    be deleted before the head names its replacement.
     """
     writers = [builders.instance(platform) for _ in range(3)]
     reading = builders.instance(platform)
@@ -69,12 +69,11 @@
         task.cancel()
 
 
-async def test_late_compactor_takes_no_newer_snapshot_back(platform):
-    """Symptom: the head names an older snapshot, whose following changes are gone.
+async def test_late_compactor_does_not_replace_a_newer_snapshot(platform):
+    """Guards against a head with an old snapshot whose next changes are deleted.
 
-    Events: a compactor is paused before it names its snapshot; another compacts
-    at a later revision; the first wakes.
-    Cause: writing the head without looking at what it names.
+    A compactor is paused before it names its snapshot; another compacts at a later
+    revision; the first resumes. It must read the head before it writes it.
     """
     own = builders.instance(platform)
     await write(own, range(5))
@@ -89,11 +88,10 @@
 
 
 async def test_two_compactors_leave_one_snapshot(platform):
-    """Symptom: old snapshots stay in the object store for ever.
+    """Guards against old snapshots that are never deleted from the object store.
 
-    Events: a compactor has read the head; another names a newer snapshot; then the
-    first names its own.
-    Cause: deleting the snapshot that was read, not the one that was replaced.
+    A compactor has read the head; another names a newer snapshot; then the first
+    names its own. It must delete the snapshot that it replaced, not the one it read.
     """
     own, other = builders.instance(platform), builders.instance(platform)
     await write(own, range(3))
--- a/src/tealcove/resources/tests/test_copy.py
+++ b/src/tealcove/resources/tests/test_copy.py
@@ -1,4 +1,4 @@
-"""A copy never goes back and is always whole, whatever moves it."""
+"""Tests that copies never regress and are always complete."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class Copies(stateful.RuleBasedStateMachine):
-    """Three instances that write, follow, compact, restart and copy from peers."""
+    """Three instances that write, advance, compact, restart and fetch from peers."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -36,7 +36,7 @@
         self.instances = [builders.instance(self.platform) for _ in range(3)]
         self.seen = [copy.NO_REVISION] * 3
         self.heads = [log.Head()]
-        # What the configuration holds at each revision, by the writers' answers.
+        # Expected resources at each revision, according to the outcomes of writes.
         self.model: list[dict[str, kinds.Resource]] = [{}]
         self.write(0, builders.put(kinds.Kind.SERVICE_TIER, "gold", builders.tier()))
 
@@ -44,7 +44,7 @@
         self.runner.close()
 
     def write(self, number: int, request) -> None:
-        """Apply a change that must succeed, and note its effect."""
+        """Apply a change that must succeed, and record its effect."""
         outcome = self.runner.run(self.instances[number].store.change(request))
         after = dict(self.model[-1])
         key = log.resource_key(request.kind, request.name)
@@ -79,7 +79,7 @@
 
     @stateful.rule(number=INSTANCES, data=st.data())
     def advance(self, number: int, data: st.DataObject) -> None:
-        """Follow a head that may have been read long ago."""
+        """Advance to a head that may be outdated."""
         own = self.instances[number]
         head = data.draw(st.sampled_from(self.heads))
         self.runner.run(own.log.advance(own.copy, head))
@@ -106,7 +106,7 @@
         self.seen[number] = copy.NO_REVISION
 
     @stateful.invariant()
-    def never_back_and_whole(self) -> None:
+    def never_regresses_and_is_complete(self) -> None:
         for number, own in enumerate(self.instances):
             current = own.copy.current
             assert current.revision >= self.seen[number]
@@ -130,7 +130,7 @@
 TestCopies = Copies.TestCase
 
 
-def test_subscribers_learn_of_moves_and_survive_each_other():
+def test_subscribers_are_called_despite_failures_of_others():
     own = copy.ConfigurationCopy()
     told = []
 
--- a/src/tealcove/resources/tests/test_reader.py
+++ b/src/tealcove/resources/tests/test_reader.py
@@ -1,4 +1,4 @@
-"""Instances follow the log, and each other while the platform is down."""
+"""Tests of following the log, and peers while the platform is down."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class OnePeer(reader.PeerSource):
-    """Gives the copy of one instance, or nothing."""
+    """Returns the copy of one instance, or fails if it is unreachable."""
 
     def __init__(self, peer: builders.Instance) -> None:
         self.peer = peer
@@ -28,7 +28,7 @@
 
 
 class Following:
-    """An instance that was up before, and one that starts."""
+    """A running instance and one that starts."""
 
     def __init__(self) -> None:
         self.platform = memory.MemoryPlatform()
@@ -59,11 +59,10 @@
 
 
 async def test_start_while_the_platform_is_down(following):
-    """Symptom: a replaced instance serves at an older revision, or at none.
+    """Guards against an instance that serves an outdated revision, or none.
 
-    Events: the platform is down; an instance starts and hears first a peer that
-    is behind, then one that is not.
-    Cause: taking the first revision heard for the highest there is.
+    The platform is down; an instance starts and receives the revision of an outdated
+    peer first, then that of a current one. The first one mustn't count as current.
     """
     own = following.reader
     following.platform.faults.down = True
@@ -82,12 +81,11 @@
     assert following.new.copy.current.names(TIER) == ["gold", "tin"]
 
 
-async def test_peer_that_is_behind_takes_nothing_back(following):
-    """Symptom: an instance goes back to an older configuration.
+async def test_copy_does_not_regress_to_an_outdated_peer(following):
+    """Guards against an instance that returns to an older configuration.
 
-    Events: the platform is down, a heartbeat tells of a higher revision, and the peer
-    that answers is at a lower one.
-    Cause: taking a peer's copy whatever its revision.
+    The platform is down, a heartbeat announces a higher revision, and the peer that
+    replies is at a lower one. Its copy must not be activated.
     """
     await following.reader.poll(ids.Instant(100.0))
     following.peers.peer = builders.instance(following.platform)
@@ -99,10 +97,10 @@
 
 
 async def test_isolated_without_platform_and_peers(following):
-    """Symptom: requests are decided by a configuration that changed long ago.
+    """Guards against serving requests by an outdated configuration.
 
-    Events: an instance reaches neither platform nor peers, and its callers reach it.
-    Cause: no bound on the time since the last word from others.
+    An instance reaches neither platform nor peers, but callers reach it. The time
+    since its last contact must have a limit.
     """
     own = following.reader
     limit = own.settings.isolated_after
@@ -115,11 +113,11 @@
     assert not own.isolated(ids.Instant(150.0 + limit))
 
 
-async def test_snapshot_store_down_is_made_good_by_a_peer(following):
-    """Symptom: a replaced instance never serves.
+async def test_missing_snapshot_is_fetched_from_a_peer(following):
+    """Guards against a replaced instance that never serves.
 
-    Events: the table answers, but the snapshot that the instance needs is lost.
-    Cause: asking peers only while the table is down.
+    The table is available, but the snapshot that the instance needs is lost. Peers
+    must be asked then too, and not only while the table is down.
     """
     await following.old.compactor.compact()
     following.platform.objects.contents.clear()
@@ -130,8 +128,8 @@
     assert following.new.copy.revision == 2
 
 
-async def test_news_from_a_peer_bring_the_poll_forward(following):
-    """Without the news, the next poll would come in an hour."""
+async def test_higher_revision_of_a_peer_triggers_a_poll(following):
+    """Otherwise, the next poll would be an hour later."""
     following.reader.settings = reader.ReaderSettings(poll_interval=3600.0)
     running = asyncio.create_task(following.reader.run(lambda: ids.Instant(100.0)))
     async with asyncio.timeout(20):
--- a/src/tealcove/resources/tests/test_role.py
+++ b/src/tealcove/resources/tests/test_role.py
@@ -1,4 +1,4 @@
-"""The configuration's side of a whole instance."""
+"""Tests of the configuration role of an instance."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 
 def make_roles(count: int) -> list[role.ConfigurationRole]:
-    """Return the roles of instances that have all heard each other."""
+    """Return the roles of instances with heartbeats from one another."""
     platform = memory.MemoryPlatform()
     made = []
     for number in range(count):
         known = membership_builders.known(number)
-        # However slow the machine is, nobody counts as silent.
+        # Keeps members from being suspected on a slow machine.
         known.suspect_after = known.forget_after = 3600.0
         for peer in range(count):
             known.record_heartbeat(membership_builders.heartbeat(peer), clock.now())
@@ -43,11 +43,11 @@
 
 
 async def test_two_instances_of_a_data_centre_read_the_head_often():
-    """The platform is asked by every instance for what two could tell all.
+    """Guards against reads of the head by every instance.
 
-    Symptom: reads grow with the instances, beyond the platform's rate at 580.
-    Sequence: five instances of one data centre serve; one reader is gone.
-    Cause: nobody was ever told to read less often.
+    Reads would grow with the number of instances, beyond the platform's rate at 580.
+    Of five instances of one data centre, only two may read often, and if one of the
+    two stops, another must take its place.
     """
     roles = make_roles(5)
     for each in roles:
--- a/src/tealcove/resources/tests/test_store.py
+++ b/src/tealcove/resources/tests/test_store.py
@@ -1,4 +1,4 @@
-"""Changes of resources race, and their replies get lost."""
+"""Tests of resource changes with concurrent writers and lost replies."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 
 
 async def write_in_turn(own: builders.Instance, name: str, ranks: range) -> list[int]:
-    """Raise a tier's rank as automation does: read, change, on conflict again."""
+    """Change a tier's rank as automation does: read, change, retry on conflict."""
     applied = []
     for rank in ranks:
         while True:
@@ -65,13 +65,12 @@
     return applied
 
 
-async def test_each_racing_change_is_applied_exactly_once(platform):
-    """Symptom: a change applied twice, or one undone by an older one.
+async def test_each_concurrent_change_is_applied_exactly_once(platform):
+    """Guards against a change applied twice or overwritten by an older one.
 
-    Events: three writers change one tier through three instances; the platform
-    applies writes whose replies it then loses.
-    Cause: a writer that takes a lost reply for a failure writes again over what
-    another wrote in between.
+    Three writers change one tier through three instances, and replies to applied
+    writes are lost. A writer that treats a lost reply as a failure would write again
+    and overwrite a change made by another in between.
     """
     instances = [builders.instance(platform) for _ in range(3)]
     platform.faults.lose_replies = 9
@@ -91,7 +90,7 @@
     assert b'"revision":30' in row.value
 
 
-async def test_repeat_with_the_same_key_answers_the_same(platform):
+async def test_repeat_with_the_same_key_returns_the_same_outcome(platform):
     own, other = builders.instance(platform), builders.instance(platform)
     request = builders.put(TIER, "gold", builders.tier(1), key="k1")
     first = await own.store.change(request)
@@ -103,12 +102,11 @@
         )
 
 
-async def test_platform_that_dies_after_a_lost_reply(platform):
-    """Symptom: a change said to have failed is in force.
+async def test_platform_that_goes_down_after_a_lost_reply(platform):
+    """Guards against a change that is in force although reported as failed.
 
-    Events: the write is applied, its reply is lost, and the platform goes down
-    before the writer can look.
-    Cause: taking "unavailable now" for "not applied then".
+    The write is applied, its reply is lost, and the platform goes down before the
+    writer can check. "Unavailable" then doesn't mean "not applied".
     """
     own = builders.instance(platform)
     builders.die_after_next_write(platform)
@@ -121,10 +119,10 @@
 
 
 async def test_platform_down_means_nothing_applied(platform):
-    """Symptom: a change of which its operator was told "not applied" is in force.
+    """Guards against a change that is in force although reported as not applied.
 
-    Events: the platform is down during the change, then comes back.
-    Cause: a write that is kept and sent later.
+    The platform is down during the change and recovers. The write mustn't be kept
+    and sent later.
     """
     own = builders.instance(platform)
     platform.faults.down = True
@@ -135,7 +133,7 @@
 
 
 class LateTable(builders.YieldingTable):
-    """Applies one write only after it has given up on its reply."""
+    """Applies the first write only after its timeout."""
 
     def __init__(self, inner: table.TableService) -> None:
         super().__init__(inner)
@@ -157,12 +155,11 @@
         return found
 
 
-async def test_write_that_arrives_after_its_time_out(platform):
-    """Symptom: an operator is told of a conflict with a change of their own.
+async def test_write_that_arrives_after_its_timeout(platform):
+    """Guards against reporting a conflict of an operator's change with itself.
 
-    Events: the time-out of a write passes; the writer finds the head unmoved and
-    tries again; then the first write arrives.
-    Cause: taking a write that isn't there yet for one that never will be.
+    A write times out; the writer finds the head unchanged and tries again; then the
+    first write arrives. A write that hasn't arrived yet still may.
     """
     own = builders.Instance(LateTable(platform.table), platform.objects)
     outcome = await own.store.change(builders.put(TIER, "gold", builders.tier(1)))
@@ -170,11 +167,11 @@
     assert (await own.catch_up()).revision == 1
 
 
-async def test_foreign_change_of_a_row_is_not_written_over(platform):
-    """Symptom: what was repaired by hand in the table is written over.
+async def test_manual_change_of_a_row_is_not_overwritten(platform):
+    """Guards against overwriting a manual repair of the table.
 
-    Events: a row changes between read and commit, and the head doesn't.
-    Cause: the head as the only condition.
+    A row changes between read and commit, but the head doesn't. The head mustn't be
+    the only condition of the transaction.
     """
     own = builders.instance(platform)
     await own.store.change(builders.put(TIER, "gold", builders.tier(1)))
@@ -192,7 +189,7 @@
 
 
 class LosingTable(builders.YieldingTable):
-    """Loses one write on its way, and another writer takes its revision."""
+    """Loses the first write in transit; another writer takes its revision."""
 
     def __init__(self, platform: memory.MemoryPlatform) -> None:
         super().__init__(platform.table)
@@ -208,11 +205,10 @@
 
 
 async def test_write_that_never_arrives(platform):
-    """Symptom: a change is confirmed and in force nowhere.
+    """Guards against confirming a change that was never applied.
 
-    Events: a write is lost on its way, not its reply; another writer's change
-    gets the revision that it would have had.
-    Cause: taking any change at that revision for the own one.
+    A write is lost in transit, rather than its reply, and another writer's change
+    gets its revision. The writer mustn't take that change for its own.
     """
     own = builders.Instance(LosingTable(platform), platform.objects)
     outcome = await own.store.change(builders.put(TIER, "gold", builders.tier(1)))
@@ -220,12 +216,11 @@
     assert (await own.catch_up()).names(TIER) == ["gold", "tin"]
 
 
-async def test_table_that_was_put_back_takes_no_change(platform):
-    """Symptom: copies that differ at one revision.
+async def test_restored_table_accepts_no_change(platform):
+    """Guards against copies that differ at the same revision.
 
-    Events: operators restore the table from a backup; instances stay up with
-    later revisions; somebody writes.
-    Cause: giving revisions out a second time.
+    Operators restore the table from a backup while instances keep running at later
+    revisions, and an operator writes. No revision may be assigned twice.
     """
     own = builders.instance(platform)
     await own.store.change(builders.put(TIER, "gold", builders.tier(1)))
--- a/src/tealcove/resources/tests/test_validation.py
+++ b/src/tealcove/resources/tests/test_validation.py
@@ -1,4 +1,4 @@
-"""Resources that don't fit the others are refused, with the field's path."""
+"""Tests that inconsistent resources are refused with the path of the field."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 Kind = kinds.Kind
 
-STANDING = (
+EXISTING = (
     (Kind.SERVICE_TIER, "gold", builders.tier()),
     (Kind.CLIENT_ACCOUNT, "armor", builders.account(0)),
     (Kind.MODEL, "m", kinds.ModelSpec(version="1")),
@@ -35,7 +35,7 @@
 @pytest.fixture
 def configuration() -> copy.Configuration:
     return copy.empty().with_changes(
-        builders.change(number, *each) for number, each in enumerate(STANDING, 1)
+        builders.change(number, *each) for number, each in enumerate(EXISTING, 1)
     )
 
 
@@ -139,8 +139,8 @@
     assert caught.value.field == field
 
 
-@pytest.mark.parametrize(("kind", "name", "spec"), STANDING)
-def test_what_stands_may_be_written_again(configuration, kind, name, spec):
+@pytest.mark.parametrize(("kind", "name", "spec"), EXISTING)
+def test_existing_resource_may_be_rewritten(configuration, kind, name, spec):
     validation.check(configuration, builders.change(99, kind, name, spec).resource)
 
 
