--- a/src/tealcove/storage/tests/builders.py
+++ b/src/tealcove/storage/tests/builders.py
@@ -1,4 +1,4 @@
-"""Test data of the platform slice."""
+"""Test data and a platform stand-in for the storage tests."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 async def serving(
     timeouts: store_client.Timeouts = PATIENT,
 ) -> AsyncIterator[tuple[platform.PlatformStandin, store_client.StoreClient]]:
-    """Run a stand-in on a free port and a client of it."""
+    """Run a stand-in on a free port and connect a client to it."""
     standin = platform.PlatformStandin()
     await standin.start()
     connected = store_client.StoreClient(standin.url, timeouts)
--- a/src/tealcove/storage/tests/test_memory.py
+++ b/src/tealcove/storage/tests/test_memory.py
@@ -1,4 +1,4 @@
-"""The in-memory platform's promises that don't show through one client."""
+"""Tests of guarantees of the in-memory platform that clients can't observe."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Clock:
-    """A clock that the test moves."""
+    """A clock that the test advances."""
 
     def __init__(self) -> None:
         self.now = 1000.0
@@ -39,7 +39,7 @@
     assert len(platform.instances.changes) == 1
 
 
-async def test_rate_limits_count_reads_and_writes_apart_by_the_second():
+async def test_rate_limits_count_reads_and_writes_separately_per_second():
     clock = Clock()
     platform = memory.MemoryPlatform(clock)
     platform.faults = faults.Faults(writes_per_second=2, reads_per_second=1)
@@ -55,11 +55,11 @@
     assert (platform.read_count, platform.write_count) == (1, 3)
 
 
-async def test_version_is_never_used_again_after_a_delete():
-    """Symptom: a write on an old condition overwrites a newer row.
+async def test_version_is_never_reused_after_a_delete():
+    """Guards against a write with an outdated condition that overwrites a newer row.
 
-    Events: a row is deleted and written again; the old condition still holds.
-    Cause: versions counted per row.
+    If versions were counted per row, the condition would hold again after the row is
+    deleted and written anew.
     """
     platform = memory.MemoryPlatform()
     first = await platform.table.commit(builders.put("a"))
@@ -71,11 +71,11 @@
         await platform.table.commit(builders.put("a", b"x", stale))
 
 
-async def test_call_that_is_slow_when_the_platform_goes_down_is_refused():
-    """Symptom: a write is applied in the midst of an outage.
+async def test_delayed_call_is_refused_when_the_platform_goes_down():
+    """Guards against a write that is applied during an outage.
 
-    Events: a slow call is on its way when the platform goes down.
-    Cause: looking for faults only when the call begins.
+    A delayed call is in progress when the platform goes down. Faults must be checked
+    after the delay too, and not only when the call begins.
     """
     platform = memory.MemoryPlatform()
     platform.faults.slow = 1e-3
@@ -87,7 +87,7 @@
     assert platform.table.rows == {}
 
 
-async def test_weight_loads_wait_for_those_before():
+async def test_weight_loads_wait_for_earlier_ones():
     clock = Clock()
     platform = memory.MemoryPlatform(clock, weight_rate=10.0)
     assert await platform.weights.reserve(50) == 0.0
--- a/src/tealcove/storage/tests/test_services.py
+++ b/src/tealcove/storage/tests/test_services.py
@@ -1,4 +1,4 @@
-"""The platform's clients over loopback sockets, with each class of error."""
+"""Tests of the platform's clients over loopback, with each class of error."""
 
 from __future__ import annotations
 
@@ -71,11 +71,11 @@
     ],
     ids=["down", "rate limit"],
 )
-async def test_refused_calls_are_certainly_not_applied(fault):
-    """Symptom: a write reported as failed has been applied all the same.
+async def test_refused_calls_are_not_applied(fault):
+    """Guards against a write that was applied although reported as failed.
 
-    Events: the platform answers 503 (down) or 429 (rate limit).
-    Cause: a refusal taken for a lost reply, or the other way round.
+    The platform responds with 503 (down) or 429 (rate limit). A refusal mustn't be
+    confused with a lost reply, or vice versa.
     """
     async with builders.serving() as (standin, platform):
         rows = services.StoreTable(platform)
@@ -90,11 +90,11 @@
         assert await rows.read("t", "a") is None
 
 
-async def test_refused_connection_is_certainly_not_applied():
-    """Symptom: non-idempotent work waits on a row that nobody wrote.
+async def test_call_over_a_refused_connection_is_not_applied():
+    """Guards against non-idempotent requests that wait for a row never written.
 
-    Events: the platform's process is gone; connections are refused.
-    Cause: a refusal before anything was sent, taken for an unknown outcome.
+    The platform's process has ended and connections are refused. As nothing was sent,
+    the outcome isn't unknown.
     """
     async with builders.serving() as (standin, platform):
         rows = services.StoreTable(platform)
@@ -105,11 +105,11 @@
             await rows.read("t", "a")
 
 
-async def test_lost_reply_is_an_unknown_outcome_and_is_not_sent_again():
-    """Symptom: a write is applied twice, and its lost reply goes unnoticed.
+async def test_lost_reply_is_an_unknown_outcome_and_is_not_retried():
+    """Guards against a write that is applied twice while its lost reply is missed.
 
-    Events: a connection is reused; the write is applied; the reply is lost.
-    Cause: aiohttp sends a PUT or DELETE again when a reused connection breaks.
+    The write is applied over a reused connection and its reply is lost. aiohttp
+    retries a PUT or DELETE when a reused connection breaks.
     """
     async with builders.serving() as (standin, platform):
         rows = services.StoreTable(platform)
@@ -129,10 +129,10 @@
 
 
 async def test_timeout_of_a_sent_write_is_an_unknown_outcome():
-    """Symptom: a write reported as not applied appears later.
+    """Guards against a write that is applied after it was reported as not applied.
 
-    Events: the platform is slow; the caller's timeout passes; then it applies.
-    Cause: a timeout after sending, taken for a refusal.
+    The platform is slow and applies the write after the caller's timeout. A timeout
+    after sending isn't a refusal.
     """
     short = store_client.Timeouts(connect=10.0, total=1.0)
     async with builders.serving(short) as (standin, platform):
