--- a/src/tealcove/resources/api.py
+++ b/src/tealcove/resources/api.py
@@ -39,13 +39,13 @@
     def __init__(
         self,
         resources: store.ResourceStore,
-        own: copy.ConfigurationCopy,
+        local_copy: copy.ConfigurationCopy,
         authorise: Authorise,
         source: status.StatusSource,
         now: Callable[[], ids.Instant] = clock.now,
     ) -> None:
         self.store = resources
-        self.copy = own
+        self.copy = local_copy
         self.authorise = authorise
         self.status = source
         self.now = now
@@ -53,14 +53,14 @@
 
     def routes(self) -> list[web.RouteDef]:
         """Return the routes for an application."""
-        one = PREFIX + "/{kind}/{name}"
+        resource_path = PREFIX + "/{kind}/{name}"
         return [
             web.get(f"{PREFIX}/status", self.answering(self.show_status)),
             web.get(PREFIX + "/{kind}", self.answering(self.list_or_watch)),
-            web.get(one, self.answering(self.get)),
-            web.put(one, self.answering(self.put)),
-            web.patch(one, self.answering(self.patch)),
-            web.delete(one, self.answering(self.delete)),
+            web.get(resource_path, self.answering(self.get)),
+            web.put(resource_path, self.answering(self.put)),
+            web.patch(resource_path, self.answering(self.patch)),
+            web.delete(resource_path, self.answering(self.delete)),
         ]
 
     def end_watches(self) -> None:
@@ -109,10 +109,10 @@
     async def watch(self, request: web.Request, kind: kinds.Kind) -> web.StreamResponse:
         """Stream changes after the given revision, by default the one in force."""
         revision = headers.number(request, "revision", self.copy.revision)
-        one = watch.Watch(
+        stream = watch.Watch(
             self.store.log, self.copy, kind, ids.Revision(revision), self.stopping
         )
-        return await one.run(request)
+        return await stream.run(request)
 
     async def get(self, request: web.Request) -> web.Response:
         """Answer GET /admin/v1/{kind}/{name}."""
@@ -144,7 +144,7 @@
 
     async def change(self, request: web.Request, edit: edits.Edit) -> web.Response:
         """Apply a change and answer with its outcome."""
-        asked = decision.ChangeRequest(
+        change_request = decision.ChangeRequest(
             operator=request[OPERATOR],
             kind=kind_of(request),
             name=request.match_info["name"],
@@ -154,14 +154,16 @@
             idempotency_key=headers.idempotency_key(request),
             dry_run=headers.flag(request, "dry_run"),
         )
-        outcome = await self.store.change(asked)
+        outcome = await self.store.change(change_request)
         if outcome.resource is None:
             return json_response(
                 documents.Deleted(
-                    kind=asked.kind, name=asked.name, revision=outcome.revision
+                    kind=change_request.kind,
+                    name=change_request.name,
+                    revision=outcome.revision,
                 )
             )
-        if asked.dry_run:
+        if change_request.dry_run:
             return json_response(documents.document(outcome.resource, None))
         return self.shown(outcome.resource, 201 if outcome.created else 200)
 
@@ -179,12 +181,12 @@
 
 def routes(
     resources: store.ResourceStore,
-    own: copy.ConfigurationCopy,
+    local_copy: copy.ConfigurationCopy,
     authorise: Authorise,
     source: status.StatusSource,
 ) -> list[web.RouteDef]:
     """Return the routes of a resource API without a way to end its watches."""
-    return ResourceApi(resources, own, authorise, source).routes()
+    return ResourceApi(resources, local_copy, authorise, source).routes()
 
 
 def kind_of(request: web.Request) -> kinds.Kind:
--- a/src/tealcove/resources/codec.py
+++ b/src/tealcove/resources/codec.py
@@ -82,7 +82,7 @@
     return msgspec.json.encode(value)
 
 
-def finish_resource(stored: StoredResource) -> kinds.Resource:
+def decode_stored_resource(stored: StoredResource) -> kinds.Resource:
     """Decode the spec of a stored resource; raises InvalidFieldError."""
     return kinds.Resource(
         kind=stored.kind,
@@ -97,7 +97,7 @@
         stored = msgspec.json.decode(document, type=StoredResource)
     except msgspec.DecodeError as error:
         raise field_error(error, "resource") from error
-    return finish_resource(stored)
+    return decode_stored_resource(stored)
 
 
 def decode_change(document: bytes) -> Change:
@@ -108,7 +108,7 @@
         raise field_error(error, "change") from error
     resource = None
     if stored.resource is not None:
-        resource = finish_resource(stored.resource)
+        resource = decode_stored_resource(stored.resource)
     return Change(
         revision=stored.revision,
         kind=stored.kind,
--- a/src/tealcove/resources/compaction.py
+++ b/src/tealcove/resources/compaction.py
@@ -40,12 +40,12 @@
 
     def __init__(
         self,
-        changes: log.ConfigurationLog,
-        own: copy.ConfigurationCopy,
+        change_log: log.ConfigurationLog,
+        local_copy: copy.ConfigurationCopy,
         settings: CompactionSettings | None = None,
     ) -> None:
-        self.log = changes
-        self.copy = own
+        self.log = change_log
+        self.copy = local_copy
         self.settings = settings or CompactionSettings()
         # Set when a compaction is due.
         self.requested = asyncio.Event()
@@ -59,7 +59,7 @@
                 await self.compact()
             except errors.TealcoveError as error:
                 LOG.warning(
-                    "Compaction failed, the next one will make up for it: {}",
+                    "Compaction failed; the next one will complete it: {}",
                     error,
                 )
 
@@ -123,7 +123,7 @@
                 return
             deletes = [table.Delete(log.CHANGES, row.key) for row in old]
             for row in old:
-                repeat = codec.decode_change(row.value).idempotency_row
-                if repeat:
-                    deletes.append(table.Delete(log.IDEMPOTENCY, repeat))
+                idempotency_row = codec.decode_change(row.value).idempotency_row
+                if idempotency_row:
+                    deletes.append(table.Delete(log.IDEMPOTENCY, idempotency_row))
             await self.log.rows.commit(table.Transaction((), tuple(deletes)))
--- a/src/tealcove/resources/documents.py
+++ b/src/tealcove/resources/documents.py
@@ -31,7 +31,7 @@
 class Page(msgspec.Struct, frozen=True, kw_only=True):
     """A page of a list; `next` is the `after` of the next page, None on the last."""
 
-    # The revision that was read; a watch from the first page's misses no change.
+    # Revision of this page; a watch from that of the first page misses no change.
     revision: ids.Revision
     items: tuple[Document, ...]
     next: str | None
--- a/src/tealcove/resources/log.py
+++ b/src/tealcove/resources/log.py
@@ -106,28 +106,28 @@
             "Check that the object store keeps what was put there.",
         )
 
-    async def advance(self, own: copy.ConfigurationCopy, head: Head) -> None:
+    async def advance(self, local_copy: copy.ConfigurationCopy, head: Head) -> None:
         """Advance a copy atomically to the head's revision or a later one.
 
         Raises PlatformUnavailableError, and leaves the copy unchanged then.
         """
         async with self.advance_lock:
-            configuration = own.current
+            configuration = local_copy.current
             if configuration.revision >= head.revision:
                 return
             if configuration.revision < head.floor:
                 configuration = await self.load_snapshot(head)
             configuration = await self.apply_changes(configuration, head)
-            own.activate(configuration)
+            local_copy.activate(configuration)
 
-    async def check_not_restored(self, own: copy.ConfigurationCopy) -> None:
+    async def check_not_restored(self, local_copy: copy.ConfigurationCopy) -> None:
         """Raise TableRestoredError if the table is older than a copy.
 
         This is so after operators restored the table from a backup. A new change
         would reuse a revision that other copies already have, and the copies would
         diverge undetected.
         """
-        revision = own.revision
+        revision = local_copy.revision
         head = (await self.read_head()).head
         if head.revision < revision:
             raise refusals.TableRestoredError(head.revision, revision)
--- a/src/tealcove/resources/peers.py
+++ b/src/tealcove/resources/peers.py
@@ -20,11 +20,11 @@
         self,
         transport: mesh.Mesh,
         known: members.Members,
-        own: copy.ConfigurationCopy,
+        local_copy: copy.ConfigurationCopy,
     ) -> None:
         self.transport = transport
         self.members = known
-        self.copy = own
+        self.copy = local_copy
         self.request_numbers = itertools.count()
         self.pending_replies: dict[int, asyncio.Future[bytes]] = {}
 
--- a/src/tealcove/resources/reader.py
+++ b/src/tealcove/resources/reader.py
@@ -46,20 +46,20 @@
 
     def __init__(
         self,
-        changes: log.ConfigurationLog,
-        own: copy.ConfigurationCopy,
+        change_log: log.ConfigurationLog,
+        local_copy: copy.ConfigurationCopy,
         peers: PeerSource,
         now: ids.Instant,
         settings: ReaderSettings | None = None,
     ) -> None:
-        self.log = changes
-        self.copy = own
+        self.log = change_log
+        self.copy = local_copy
         self.peers = peers
         self.settings = settings or ReaderSettings()
         # Whether this instance reads the head every `poll_interval`. Cleared if other
         # instances do so and announce the revision by heartbeat.
         self.designated = True
-        self.highest = copy.NO_REVISION
+        self.highest_known = copy.NO_REVISION
         self.platform_reached: ids.Instant | None = None
         self.first_contact: ids.Instant | None = None
         self.last_contact = now
@@ -72,9 +72,9 @@
         self.last_contact = now
         if self.first_contact is None:
             self.first_contact = now
-        if revision > self.highest:
+        if revision > self.highest_known:
             LOG.debug("Peer {} is at revision {}", peer, revision)
-            self.highest = revision
+            self.highest_known = revision
             if revision > self.copy.revision:
                 self.poll_requested.set()
 
@@ -84,7 +84,7 @@
         Used at the start of an instance. Until the platform was reached once, it
         waits `settling_seconds` for all peers: the first may have an old revision.
         """
-        if self.copy.revision < self.highest:
+        if self.copy.revision < self.highest_known:
             return False
         if self.platform_reached is not None:
             return True
@@ -130,7 +130,7 @@
         """Advance the copy to the head; raises PlatformError, ResourceError."""
         head = (await self.log.read_head()).head
         self.last_contact = max(self.last_contact, now)
-        self.highest = max(self.highest, head.revision)
+        self.highest_known = max(self.highest_known, head.revision)
         await self.log.advance(self.copy, head)
         self.platform_reached = now
         if self.copy.revision > head.revision:
@@ -138,7 +138,7 @@
 
     async def follow_peer(self) -> None:
         """Advance the copy to a peer's; raises PeerError, ResourceError."""
-        if self.highest <= self.copy.revision:
+        if self.highest_known <= self.copy.revision:
             return
-        content = await self.peers.fetch(self.highest)
+        content = await self.peers.fetch(self.highest_known)
         self.copy.activate(await asyncio.to_thread(snapshots.decode, content))
--- a/src/tealcove/resources/role.py
+++ b/src/tealcove/resources/role.py
@@ -25,7 +25,7 @@
 COMPACTION_KEY = "compaction"
 READERS_KEY = "configuration readers"
 # Instances per data centre that read the head every `poll_interval`.
-READERS = 2
+READERS_PER_DATA_CENTRE = 2
 
 
 class ConfigurationRole:
@@ -43,15 +43,15 @@
         self.copy = copy.ConfigurationCopy()
         self.source = peers.MeshPeerSource(transport, known, self.copy)
         self.status = revision_status.HeartbeatStatus(known)
-        self.changes = log.ConfigurationLog(rows, object_store)
+        self.log = log.ConfigurationLog(rows, object_store)
         self.reader = reader.ConfigurationReader(
-            self.changes,
+            self.log,
             self.copy,
             self.source,
             clock.now(),
             reader_settings(found.configuration),
         )
-        self.compactor = compaction.Compactor(self.changes, self.copy)
+        self.compactor = compaction.Compactor(self.log, self.copy)
         self.api = api.ResourceApi(
             store.ResourceStore(rows, object_store, self.copy),
             self.copy,
@@ -66,11 +66,11 @@
         """Return the handlers of the resource API."""
         return self.api.routes()
 
-    def start(self, beats: heartbeats.HeartbeatService) -> None:
+    def start(self, heartbeat_service: heartbeats.HeartbeatService) -> None:
         """Subscribe to heartbeats and membership, and start the background tasks."""
         self.source.start()
         self.copy.subscribe(self.schedule_compaction)
-        beats.listeners.append(self.handle_heartbeat)
+        heartbeat_service.listeners.append(self.handle_heartbeat)
         self.members.listen(self.handle_membership_change)
         self.tasks = [
             tasks.start(self.reader.run(), "reader of the configuration"),
@@ -101,7 +101,7 @@
         now = clock.now()
         own = self.members.own
         ranked = self.members.rank(READERS_KEY, now, own.data_centre)
-        designated = own.instance in ranked[:READERS] or not ranked
+        designated = own.instance in ranked[:READERS_PER_DATA_CENTRE] or not ranked
         if designated and not self.reader.designated:
             # Ends a relaxed interval that may have just begun.
             self.reader.poll_requested.set()
--- a/src/tealcove/resources/servers.py
+++ b/src/tealcove/resources/servers.py
@@ -73,11 +73,11 @@
         addresses[address] = entry.field
 
 
-def check_unique(holder: str | None, field: str) -> None:
+def check_unique(duplicate_of: str | None, field: str) -> None:
     """Raise DuplicateError if another entry already has the value."""
-    if holder is not None:
+    if duplicate_of is not None:
         raise refusals.DuplicateError(
-            f"is the same as that of {holder}",
+            f"is the same as that of {duplicate_of}",
             "Declare each backend server once, in one pool.",
             field,
         )
--- a/src/tealcove/resources/store.py
+++ b/src/tealcove/resources/store.py
@@ -75,10 +75,10 @@
         self,
         rows: table.TableService,
         store: objects.ObjectStore,
-        own: copy.ConfigurationCopy,
+        local_copy: copy.ConfigurationCopy,
     ) -> None:
         self.rows = rows
-        self.copy = own
+        self.copy = local_copy
         self.log = log.ConfigurationLog(rows, store)
         # Serialises the changes of one instance, which would otherwise fail each
         # other's transactions by the condition on the head.
@@ -192,7 +192,7 @@
             )
         resource = None
         if recorded.resource is not None:
-            resource = codec.finish_resource(recorded.resource)
+            resource = codec.decode_stored_resource(recorded.resource)
         return decision.Outcome(
             revision=recorded.revision, created=recorded.created, resource=resource
         )
@@ -266,5 +266,5 @@
 
 async def back_off(number: int) -> None:
     """Wait before another attempt, with jitter so that writers don't collide again."""
-    longest = min(MAX_BACKOFF, FIRST_BACKOFF * 2 ** (number - 1))
-    await asyncio.sleep(random.uniform(0, longest))
+    max_pause = min(MAX_BACKOFF, FIRST_BACKOFF * 2 ** (number - 1))
+    await asyncio.sleep(random.uniform(0, max_pause))
--- a/src/tealcove/resources/tests/test_role.py
+++ b/src/tealcove/resources/tests/test_role.py
@@ -53,14 +53,14 @@
     for each in roles:
         each.handle_membership_change()
     readers = [each for each in roles if each.reader.designated]
-    assert len(readers) == role.READERS
+    assert len(readers) == role.READERS_PER_DATA_CENTRE
     gone = readers[0].members.own.instance
     left = [each for each in roles if each is not readers[0]]
     for each in left:
         del each.members.peers[gone]
         each.members.rankings.clear()
         each.handle_membership_change()
-    assert sum(each.reader.designated for each in left) == role.READERS
+    assert sum(each.reader.designated for each in left) == role.READERS_PER_DATA_CENTRE
     new = [r for r in left if r.reader.designated and r not in readers]
     assert all(each.reader.poll_requested.is_set() for each in new)
 
--- a/src/tealcove/resources/watch.py
+++ b/src/tealcove/resources/watch.py
@@ -57,14 +57,14 @@
 
     def __init__(
         self,
-        changes: log.ConfigurationLog,
-        own: copy.ConfigurationCopy,
+        change_log: log.ConfigurationLog,
+        local_copy: copy.ConfigurationCopy,
         kind: kinds.Kind,
         revision: ids.Revision,
         stopping: asyncio.Event,
     ) -> None:
-        self.log = changes
-        self.copy = own
+        self.log = change_log
+        self.copy = local_copy
         self.kind = kind
         self.revision = revision
         self.written_revision = revision
--- a/src/tealcove/storage/memory.py
+++ b/src/tealcove/storage/memory.py
@@ -141,17 +141,17 @@
 
     def apply(self, write: table.Put | table.Delete) -> None:
         """Apply one write at the current version, that of its transaction."""
-        place = (write.table, write.key)
+        row_id = (write.table, write.key)
         keys = self.sorted_keys.setdefault(write.table, [])
         if isinstance(write, table.Put):
-            if place not in self.rows:
+            if row_id not in self.rows:
                 bisect.insort(keys, write.key)
-            self.rows[place] = table.Row(
+            self.rows[row_id] = table.Row(
                 write.table, write.key, write.value, self.last_version
             )
             entry = feed.Entry(write.key, write.value, self.last_version)
             self.record_change(write.table, entry)
-        elif self.rows.pop(place, None) is not None:
+        elif self.rows.pop(row_id, None) is not None:
             del keys[bisect.bisect_left(keys, write.key)]
             self.record_change(
                 write.table, feed.Entry(write.key, None, self.last_version)
