--- a/src/tealcove/resources/api.py
+++ b/src/tealcove/resources/api.py
@@ -55,19 +55,19 @@
         """Return the routes for an application."""
         resource_path = PREFIX + "/{kind}/{name}"
         return [
-            web.get(f"{PREFIX}/status", self.answering(self.show_status)),
-            web.get(PREFIX + "/{kind}", self.answering(self.list_or_watch)),
-            web.get(resource_path, self.answering(self.get)),
-            web.put(resource_path, self.answering(self.put)),
-            web.patch(resource_path, self.answering(self.patch)),
-            web.delete(resource_path, self.answering(self.delete)),
+            web.get(f"{PREFIX}/status", self.wrap_handler(self.show_status)),
+            web.get(PREFIX + "/{kind}", self.wrap_handler(self.list_or_watch)),
+            web.get(resource_path, self.wrap_handler(self.get)),
+            web.put(resource_path, self.wrap_handler(self.put)),
+            web.patch(resource_path, self.wrap_handler(self.patch)),
+            web.delete(resource_path, self.wrap_handler(self.delete)),
         ]
 
     def end_watches(self) -> None:
         """End all watches on shutdown; watchers resume at another instance."""
         self.stopping.set()
 
-    def answering(self, handler: Handler) -> Handler:
+    def wrap_handler(self, handler: Handler) -> Handler:
         """Wrap a handler to authorise requests and to send errors as problems."""
 
         async def answer(request: web.Request) -> web.StreamResponse:
@@ -120,7 +120,7 @@
         resource = self.copy.current.get(kind, name)
         if resource is None:
             raise decision.not_found(kind, name)
-        return self.shown(resource)
+        return self.resource_response(resource)
 
     async def put(self, request: web.Request) -> web.Response:
         """Answer PUT /admin/v1/{kind}/{name}."""
@@ -165,14 +165,16 @@
             )
         if change_request.dry_run:
             return json_response(documents.document(outcome.resource, None))
-        return self.shown(outcome.resource, 201 if outcome.created else 200)
+        return self.resource_response(outcome.resource, 201 if outcome.created else 200)
 
     def document(self, resource: kinds.Resource) -> documents.Document:
         """Return the document of a resource with its current status."""
-        shown_status = documents.status_of(resource, self.status, self.now())
-        return documents.document(resource, shown_status)
+        resource_status = documents.status_of(resource, self.status, self.now())
+        return documents.document(resource, resource_status)
 
-    def shown(self, resource: kinds.Resource, code: int = 200) -> web.Response:
+    def resource_response(
+        self, resource: kinds.Resource, code: int = 200
+    ) -> web.Response:
         """Return a response with a resource and its ETag."""
         response = json_response(self.document(resource), code)
         response.headers["ETag"] = f'"{resource.metadata.revision}"'
--- a/src/tealcove/resources/documents.py
+++ b/src/tealcove/resources/documents.py
@@ -77,13 +77,15 @@
     spec: dict[str, Any]
 
 
-def document(resource: kinds.Resource, shown_status: ResourceStatus | None) -> Document:
+def document(
+    resource: kinds.Resource, resource_status: ResourceStatus | None
+) -> Document:
     """Return the document that shows a resource and its status."""
     return Document(
         kind=resource.kind,
         metadata=resource.metadata,
         spec=resource.spec,
-        status=shown_status,
+        status=resource_status,
     )
 
 
--- a/src/tealcove/resources/peers.py
+++ b/src/tealcove/resources/peers.py
@@ -19,11 +19,11 @@
     def __init__(
         self,
         transport: mesh.Mesh,
-        known: members.Members,
+        known_members: members.Members,
         local_copy: copy.ConfigurationCopy,
     ) -> None:
         self.transport = transport
-        self.members = known
+        self.members = known_members
         self.copy = local_copy
         self.request_numbers = itertools.count()
         self.pending_replies: dict[int, asyncio.Future[bytes]] = {}
--- a/src/tealcove/resources/role.py
+++ b/src/tealcove/resources/role.py
@@ -33,29 +33,29 @@
 
     def __init__(
         self,
-        found: settings.Settings,
+        instance_settings: settings.Settings,
         rows: table.TableService,
         object_store: objects.ObjectStore,
         transport: mesh.Mesh,
-        known: members.Members,
+        known_members: members.Members,
     ) -> None:
-        self.members = known
+        self.members = known_members
         self.copy = copy.ConfigurationCopy()
-        self.source = peers.MeshPeerSource(transport, known, self.copy)
-        self.status = revision_status.HeartbeatStatus(known)
+        self.source = peers.MeshPeerSource(transport, known_members, self.copy)
+        self.status = revision_status.HeartbeatStatus(known_members)
         self.log = log.ConfigurationLog(rows, object_store)
         self.reader = reader.ConfigurationReader(
             self.log,
             self.copy,
             self.source,
             clock.now(),
-            reader_settings(found.configuration),
+            reader_settings(instance_settings.configuration),
         )
         self.compactor = compaction.Compactor(self.log, self.copy)
         self.api = api.ResourceApi(
             store.ResourceStore(rows, object_store, self.copy),
             self.copy,
-            operators.Operators(found.operators).authorise,
+            operators.Operators(instance_settings.operators).authorise,
             self.status,
         )
         self.tasks: list[asyncio.Task[None]] = []
@@ -131,8 +131,8 @@
             self.compactor.requested.set()
 
 
-def reader_settings(found: settings.Configuration) -> reader.ReaderSettings:
+def reader_settings(declared: settings.Configuration) -> reader.ReaderSettings:
     """Return the reader's part of the configuration settings."""
     return reader.ReaderSettings(
-        poll_interval=found.poll_interval, isolated_after=found.isolated_after
+        poll_interval=declared.poll_interval, isolated_after=declared.isolated_after
     )
--- a/src/tealcove/resources/tests/test_api.py
+++ b/src/tealcove/resources/tests/test_api.py
@@ -59,13 +59,13 @@
 
 
 @pytest.fixture
-async def own(platform) -> builders.Instance:
+async def instance(platform) -> builders.Instance:
     return builders.instance(platform)
 
 
 @pytest.fixture
-async def handlers(own) -> api.ResourceApi:
-    return api.ResourceApi(own.store, own.copy, authorise, AllOfThree())
+async def handlers(instance) -> api.ResourceApi:
+    return api.ResourceApi(instance.store, instance.copy, authorise, AllOfThree())
 
 
 @pytest.fixture
@@ -120,10 +120,10 @@
     assert "\n".join(session.notes) == snapshot
 
 
-async def test_list_in_pages(session, own):
+async def test_list_in_pages(session, instance):
     for number in range(5):
         spec = builders.tier(number)
-        await own.store.change(
+        await instance.store.change(
             builders.put(kinds.Kind.SERVICE_TIER, f"t{number}", spec)
         )
     names, after = [], ""
@@ -134,7 +134,7 @@
     assert names == [["t0", "t1"], ["t2", "t3"], ["t4"]]
 
 
-async def test_watch_is_resumed_and_compacted(session, own, platform):
+async def test_watch_is_resumed_and_compacted(session, instance, platform):
     """A watch shows changes of other instances, resumes, and fails once compacted."""
     other = builders.instance(platform)
     operator = {"Authorization": "Bearer erwan"}
@@ -145,7 +145,7 @@
             await other.store.change(
                 builders.put(kinds.Kind.SERVICE_TIER, f"t{number}", spec)
             )
-        await own.catch_up()
+        await instance.catch_up()
         lines = [json.loads(line) for line in await read_lines(reply, 3)]
     assert [line["revision"] for line in lines] == [1, 2, 3]
     async with session.client.get(path + "2", headers=operator) as reply:
@@ -162,14 +162,14 @@
     """A fault before the write and one after it have different status codes."""
     gold = {"spec": {"rank": 1}}
     platform.faults.down = True
-    told = await session.call("PUT", "service-tiers/gold", gold)
-    assert (told["status"], told["title"][-19:]) == (503, "nothing was applied")
+    problem = await session.call("PUT", "service-tiers/gold", gold)
+    assert (problem["status"], problem["title"][-19:]) == (503, "nothing was applied")
     platform.faults.down = False
     builders.die_after_next_write(platform)
-    told = await session.call("PUT", "service-tiers/gold", gold)
-    assert (told["status"], told["type"][-15:]) == (504, "outcome-unknown")
+    problem = await session.call("PUT", "service-tiers/gold", gold)
+    assert (problem["status"], problem["type"][-15:]) == (504, "outcome-unknown")
 
 
 async def test_large_body_is_refused(session):
-    told = await session.call("PUT", "models/m", {"spec": {"version": "v" * 20_000}})
-    assert told["status"] == 413
+    problem = await session.call("PUT", "models/m", {"spec": {"version": "v" * 20_000}})
+    assert problem["status"] == 413
--- a/src/tealcove/resources/tests/test_compaction.py
+++ b/src/tealcove/resources/tests/test_compaction.py
@@ -19,28 +19,28 @@
     return memory.MemoryPlatform()
 
 
-async def write(own: builders.Instance, numbers: range) -> None:
+async def write(instance: builders.Instance, numbers: range) -> None:
     for number in numbers:
         request = builders.put(TIER, f"t{number}", builders.tier(), key=f"k{number}")
-        await own.store.change(request)
+        await instance.store.change(request)
 
 
 async def test_only_old_changes_and_idempotency_rows_are_deleted(platform):
-    own = builders.instance(platform)
-    own.compactor.settings = SETTINGS
-    await write(own, range(1, 21))
+    instance = builders.instance(platform)
+    instance.compactor.settings = SETTINGS
+    await write(instance, range(1, 21))
     for _ in range(2):
-        await own.compactor.compact()
+        await instance.compactor.compact()
     changes = await platform.table.scan(log.CHANGES)
     assert [int(row.key) for row in changes] == [16, 17, 18, 19, 20]
     assert len(await platform.table.scan(log.IDEMPOTENCY)) == 5
-    await write(own, range(21, 31))
-    await own.compactor.compact()
+    await write(instance, range(21, 31))
+    await instance.compactor.compact()
     assert list(platform.objects.contents) == [log.snapshot_name(30)]
     with pytest.raises(refusals.CompactedError):
-        await own.log.changes_after(24)
+        await instance.log.changes_after(24)
     new = builders.instance(platform)
-    assert (await new.catch_up()).names(TIER) == own.copy.current.names(TIER)
+    assert (await new.catch_up()).names(TIER) == instance.copy.current.names(TIER)
 
 
 async def test_writes_and_reads_continue_during_compaction(platform):
@@ -52,15 +52,15 @@
     writers = [builders.instance(platform) for _ in range(3)]
     reading = builders.instance(platform)
     tasks = []
-    for own in writers:
-        own.compactor.settings = compaction.CompactionSettings(3, 1)
-        tasks.append(asyncio.create_task(own.compactor.run()))
+    for instance in writers:
+        instance.compactor.settings = compaction.CompactionSettings(3, 1)
+        tasks.append(asyncio.create_task(instance.compactor.run()))
     writing = asyncio.gather(
-        *(write(own, range(n, 60, 3)) for n, own in enumerate(writers))
+        *(write(instance, range(n, 60, 3)) for n, instance in enumerate(writers))
     )
     while not writing.done():
-        for own in writers:
-            own.compactor.requested.set()
+        for instance in writers:
+            instance.compactor.requested.set()
         await reading.catch_up()
     await writing
     assert len((await reading.catch_up()).names(TIER)) == 60
@@ -75,15 +75,15 @@
     A compactor is paused before it names its snapshot; another compacts at a later
     revision; the first resumes. It must read the head before it writes it.
     """
-    own = builders.instance(platform)
-    await write(own, range(5))
+    instance = builders.instance(platform)
+    await write(instance, range(5))
     late = builders.instance(platform)
     await late.catch_up()
-    await write(own, range(5, 9))
-    own.compactor.settings = SETTINGS
-    await own.compactor.compact()
+    await write(instance, range(5, 9))
+    instance.compactor.settings = SETTINGS
+    await instance.compactor.compact()
     assert await late.compactor.publish(late.copy.revision) == 5
-    assert (await own.log.read_head()).head.snapshot == 9
+    assert (await instance.log.read_head()).head.snapshot == 9
     assert (await builders.instance(platform).catch_up()).revision == 9
 
 
@@ -93,14 +93,14 @@
     A compactor has read the head; another names a newer snapshot; then the first
     names its own. It must delete the snapshot that it replaced, not the one it read.
     """
-    own, other = builders.instance(platform), builders.instance(platform)
-    await write(own, range(3))
-    await own.compactor.compact()
+    instance, other = builders.instance(platform), builders.instance(platform)
+    await write(instance, range(3))
+    await instance.compactor.compact()
     publish = other.compactor.publish
 
     async def publish_late(revision):
-        await write(own, range(3, 4))
-        await own.compactor.compact()
+        await write(instance, range(3, 4))
+        await instance.compactor.compact()
         return await publish(revision)
 
     await write(other, range(4, 6))
--- a/src/tealcove/resources/tests/test_copy.py
+++ b/src/tealcove/resources/tests/test_copy.py
@@ -80,10 +80,10 @@
     @stateful.rule(number=INSTANCES, data=st.data())
     def advance(self, number: int, data: st.DataObject) -> None:
         """Advance to a head that may be outdated."""
-        own = self.instances[number]
+        instance = self.instances[number]
         head = data.draw(st.sampled_from(self.heads))
-        self.runner.run(own.log.advance(own.copy, head))
-        assert own.copy.revision >= head.revision
+        self.runner.run(instance.log.advance(instance.copy, head))
+        assert instance.copy.revision >= head.revision
 
     @stateful.rule(number=INSTANCES, peer=INSTANCES)
     def fetch(self, number: int, peer: int) -> None:
@@ -107,8 +107,8 @@
 
     @stateful.invariant()
     def never_regresses_and_is_complete(self) -> None:
-        for number, own in enumerate(self.instances):
-            current = own.copy.current
+        for number, instance in enumerate(self.instances):
+            current = instance.copy.current
             assert current.revision >= self.seen[number]
             self.seen[number] = current.revision
             assert contents(current) == self.model[current.revision]
@@ -131,25 +131,27 @@
 
 
 def test_subscribers_are_called_despite_failures_of_others():
-    own = copy.ConfigurationCopy()
-    told = []
+    local_copy = copy.ConfigurationCopy()
+    activations = []
 
     def faulty(before, after):
         raise RuntimeError("a subscriber's fault")
 
-    own.subscribe(faulty)
-    end = own.subscribe(lambda *moved: told.append([each.revision for each in moved]))
+    local_copy.subscribe(faulty)
+    end = local_copy.subscribe(
+        lambda *moved: activations.append([each.revision for each in moved])
+    )
     spec = builders.tier()
-    first = own.current.with_changes(
+    first = local_copy.current.with_changes(
         [builders.change(1, kinds.Kind.SERVICE_TIER, "gold", spec)]
     )
-    assert own.activate(first)
-    assert not own.activate(first)
+    assert local_copy.activate(first)
+    assert not local_copy.activate(first)
     end()
-    own.activate(
+    local_copy.activate(
         first.with_changes([builders.change(2, kinds.Kind.SERVICE_TIER, "tin", spec)])
     )
-    assert told == [[0, 1]]
+    assert activations == [[0, 1]]
 
 
 def test_routes_by_order_then_name():
--- a/src/tealcove/resources/tests/test_reader.py
+++ b/src/tealcove/resources/tests/test_reader.py
@@ -45,10 +45,10 @@
 
 @pytest.fixture
 async def following() -> Following:
-    made = Following()
-    await made.write("gold")
-    await made.write("tin")
-    return made
+    created = Following()
+    await created.write("gold")
+    await created.write("tin")
+    return created
 
 
 async def test_start_with_the_platform(following):
@@ -64,20 +64,20 @@
     The platform is down; an instance starts and receives the revision of an outdated
     peer first, then that of a current one. The first one mustn't count as current.
     """
-    own = following.reader
+    config_reader = following.reader
     following.platform.faults.down = True
-    await own.poll(ids.Instant(100.0))
-    assert not own.ready(ids.Instant(200.0))
-    own.record_revision(ids.Revision(0), "behind", ids.Instant(200.0))
-    assert not own.ready(ids.Instant(200.5))
-    own.record_revision(ids.Revision(2), "ahead", ids.Instant(200.6))
-    assert not own.ready(ids.Instant(201.5))
+    await config_reader.poll(ids.Instant(100.0))
+    assert not config_reader.ready(ids.Instant(200.0))
+    config_reader.record_revision(ids.Revision(0), "behind", ids.Instant(200.0))
+    assert not config_reader.ready(ids.Instant(200.5))
+    config_reader.record_revision(ids.Revision(2), "ahead", ids.Instant(200.6))
+    assert not config_reader.ready(ids.Instant(201.5))
     following.peers.reachable = False
-    await own.poll(ids.Instant(201.5))
-    assert not own.ready(ids.Instant(201.5))
+    await config_reader.poll(ids.Instant(201.5))
+    assert not config_reader.ready(ids.Instant(201.5))
     following.peers.reachable = True
-    await own.poll(ids.Instant(201.6))
-    assert own.ready(ids.Instant(201.6))
+    await config_reader.poll(ids.Instant(201.6))
+    assert config_reader.ready(ids.Instant(201.6))
     assert following.new.copy.current.names(TIER) == ["gold", "tin"]
 
 
@@ -102,15 +102,15 @@
     An instance reaches neither platform nor peers, but callers reach it. The time
     since its last contact must have a limit.
     """
-    own = following.reader
-    limit = own.settings.isolated_after
-    await own.poll(ids.Instant(110.0))
+    config_reader = following.reader
+    limit = config_reader.settings.isolated_after
+    await config_reader.poll(ids.Instant(110.0))
     following.platform.faults.down = True
-    await own.poll(ids.Instant(120.0))
-    assert not own.isolated(ids.Instant(110.0 + limit))
-    assert own.isolated(ids.Instant(110.1 + limit))
-    own.record_revision(ids.Revision(2), "peer", ids.Instant(150.0))
-    assert not own.isolated(ids.Instant(150.0 + limit))
+    await config_reader.poll(ids.Instant(120.0))
+    assert not config_reader.isolated(ids.Instant(110.0 + limit))
+    assert config_reader.isolated(ids.Instant(110.1 + limit))
+    config_reader.record_revision(ids.Revision(2), "peer", ids.Instant(150.0))
+    assert not config_reader.isolated(ids.Instant(150.0 + limit))
 
 
 async def test_missing_snapshot_is_fetched_from_a_peer(following):
--- a/src/tealcove/resources/tests/test_store.py
+++ b/src/tealcove/resources/tests/test_store.py
@@ -20,13 +20,15 @@
 
 
 async def test_create_change_delete(platform):
-    own = builders.instance(platform)
-    created = await own.store.change(builders.put(TIER, "gold", builders.tier(1)))
+    instance = builders.instance(platform)
+    created = await instance.store.change(builders.put(TIER, "gold", builders.tier(1)))
     assert created.created
-    changed = await own.store.change(builders.put(TIER, "gold", builders.tier(2), 1))
+    changed = await instance.store.change(
+        builders.put(TIER, "gold", builders.tier(2), 1)
+    )
     assert changed.resource.metadata.generation == 2
     assert changed.resource.metadata.changed_by == builders.OPERATOR
-    gone = await own.store.change(builders.delete(TIER, "gold", 2))
+    gone = await instance.store.change(builders.delete(TIER, "gold", 2))
     assert gone.revision == 3
     other = builders.instance(platform)
     configuration = await other.catch_up()
@@ -35,27 +37,29 @@
 
 
 async def test_conflict_names_the_current_revision_and_its_author(platform):
-    own = builders.instance(platform)
-    await own.store.change(builders.put(TIER, "gold", builders.tier(1)))
+    instance = builders.instance(platform)
+    await instance.store.change(builders.put(TIER, "gold", builders.tier(1)))
     with pytest.raises(refusals.PreconditionRequiredError):
-        await own.store.change(builders.put(TIER, "gold", builders.tier(2)))
+        await instance.store.change(builders.put(TIER, "gold", builders.tier(2)))
     with pytest.raises(refusals.RevisionConflictError) as caught:
-        await own.store.change(builders.put(TIER, "gold", builders.tier(2), 7))
+        await instance.store.change(builders.put(TIER, "gold", builders.tier(2), 7))
     assert (caught.value.current, caught.value.changed_by) == (1, builders.OPERATOR)
 
 
-async def write_in_turn(own: builders.Instance, name: str, ranks: range) -> list[int]:
+async def write_in_turn(
+    instance: builders.Instance, name: str, ranks: range
+) -> list[int]:
     """Change a tier's rank as automation does: read, change, retry on conflict."""
     applied = []
     for rank in ranks:
         while True:
-            current = (await own.catch_up()).get(TIER, "gold")
+            current = (await instance.catch_up()).get(TIER, "gold")
             base = None if current is None else current.metadata.revision
             request = builders.put(
                 TIER, "gold", builders.tier(rank), base, f"{name}-{rank}", name
             )
             try:
-                applied.append((await own.store.change(request)).revision)
+                applied.append((await instance.store.change(request)).revision)
                 break
             except (
                 refusals.RevisionConflictError,
@@ -83,18 +87,18 @@
     assert revisions == list(range(1, 31))
     changes = await instances[0].log.changes_after(0)
     assert sorted(change.resource.spec.rank for change in changes) == list(range(30))
-    for own in instances:
-        await own.catch_up()
-        assert own.copy.current.get(TIER, "gold") == changes[-1].resource
+    for instance in instances:
+        await instance.catch_up()
+        assert instance.copy.current.get(TIER, "gold") == changes[-1].resource
     row = await platform.table.read(log.RESOURCES, "service-tiers/gold")
     assert b'"revision":30' in row.value
 
 
 async def test_repeat_with_the_same_key_returns_the_same_outcome(platform):
-    own, other = builders.instance(platform), builders.instance(platform)
+    instance, other = builders.instance(platform), builders.instance(platform)
     request = builders.put(TIER, "gold", builders.tier(1), key="k1")
-    first = await own.store.change(request)
-    await own.store.change(builders.put(TIER, "gold", builders.tier(5), 1))
+    first = await instance.store.change(request)
+    await instance.store.change(builders.put(TIER, "gold", builders.tier(5), 1))
     assert await other.store.change(request) == first
     with pytest.raises(refusals.IdempotencyMismatchError):
         await other.store.change(
@@ -108,14 +112,14 @@
     The write is applied, its reply is lost, and the platform goes down before the
     writer can check. "Unavailable" then doesn't mean "not applied".
     """
-    own = builders.instance(platform)
+    instance = builders.instance(platform)
     builders.die_after_next_write(platform)
     request = builders.put(TIER, "gold", builders.tier(1), key="k1")
     with pytest.raises(errors.OutcomeUnknownError):
-        await own.store.change(request)
+        await instance.store.change(request)
     platform.faults.down = False
-    assert (await own.store.change(request)).revision == 1
-    assert (await own.catch_up()).revision == 1
+    assert (await instance.store.change(request)).revision == 1
+    assert (await instance.catch_up()).revision == 1
 
 
 async def test_platform_down_means_nothing_applied(platform):
@@ -124,12 +128,12 @@
     The platform is down during the change and recovers. The write mustn't be kept
     and sent later.
     """
-    own = builders.instance(platform)
+    instance = builders.instance(platform)
     platform.faults.down = True
     with pytest.raises(errors.PlatformUnavailableError):
-        await own.store.change(builders.put(TIER, "gold", builders.tier(1)))
+        await instance.store.change(builders.put(TIER, "gold", builders.tier(1)))
     platform.faults.down = False
-    assert (await own.catch_up()).revision == 0
+    assert (await instance.catch_up()).revision == 0
 
 
 class LateTable(builders.YieldingTable):
@@ -161,10 +165,10 @@
     A write times out; the writer finds the head unchanged and tries again; then the
     first write arrives. A write that hasn't arrived yet still may.
     """
-    own = builders.Instance(LateTable(platform.table), platform.objects)
-    outcome = await own.store.change(builders.put(TIER, "gold", builders.tier(1)))
+    instance = builders.Instance(LateTable(platform.table), platform.objects)
+    outcome = await instance.store.change(builders.put(TIER, "gold", builders.tier(1)))
     assert (outcome.revision, outcome.created) == (1, True)
-    assert (await own.catch_up()).revision == 1
+    assert (await instance.catch_up()).revision == 1
 
 
 async def test_manual_change_of_a_row_is_not_overwritten(platform):
@@ -173,8 +177,8 @@
     A row changes between read and commit, but the head doesn't. The head mustn't be
     the only condition of the transaction.
     """
-    own = builders.instance(platform)
-    await own.store.change(builders.put(TIER, "gold", builders.tier(1)))
+    instance = builders.instance(platform)
+    await instance.store.change(builders.put(TIER, "gold", builders.tier(1)))
 
     class Racing(builders.YieldingTable):
         async def commit(self, transaction: table.Transaction) -> table.Committed:
@@ -182,10 +186,10 @@
             await platform.table.commit(table.Transaction((), (foreign,)))
             return await platform.table.commit(transaction)
 
-    own.store.rows = Racing(platform.table)
+    instance.store.rows = Racing(platform.table)
     with pytest.raises(table.ConditionFailedError):
-        await own.store.change(builders.put(TIER, "gold", builders.tier(2), 1))
-    assert (await own.catch_up()).revision == 1
+        await instance.store.change(builders.put(TIER, "gold", builders.tier(2), 1))
+    assert (await instance.catch_up()).revision == 1
 
 
 class LosingTable(builders.YieldingTable):
@@ -210,10 +214,10 @@
     A write is lost in transit, rather than its reply, and another writer's change
     gets its revision. The writer mustn't take that change for its own.
     """
-    own = builders.Instance(LosingTable(platform), platform.objects)
-    outcome = await own.store.change(builders.put(TIER, "gold", builders.tier(1)))
+    instance = builders.Instance(LosingTable(platform), platform.objects)
+    outcome = await instance.store.change(builders.put(TIER, "gold", builders.tier(1)))
     assert outcome.revision == 2
-    assert (await own.catch_up()).names(TIER) == ["gold", "tin"]
+    assert (await instance.catch_up()).names(TIER) == ["gold", "tin"]
 
 
 async def test_restored_table_accepts_no_change(platform):
@@ -222,10 +226,10 @@
     Operators restore the table from a backup while instances keep running at later
     revisions, and an operator writes. No revision may be assigned twice.
     """
-    own = builders.instance(platform)
-    await own.store.change(builders.put(TIER, "gold", builders.tier(1)))
+    instance = builders.instance(platform)
+    await instance.store.change(builders.put(TIER, "gold", builders.tier(1)))
     backup = memory.MemoryPlatform()
-    own.store.rows = own.log.rows = backup.table
+    instance.store.rows = instance.log.rows = backup.table
     with pytest.raises(refusals.TableRestoredError):
-        await own.store.change(builders.put(TIER, "tin", builders.tier(2)))
+        await instance.store.change(builders.put(TIER, "tin", builders.tier(2)))
     assert await backup.table.scan(log.CHANGES) == ()
