--- a/src/tealcove/client.py
+++ b/src/tealcove/client.py
@@ -25,7 +25,7 @@
 NOT_JSON = "An instance of another version may answer; compare their versions."
 
 
-class Held(msgspec.Struct, frozen=True, kw_only=True):
+class ResourceView(msgspec.Struct, frozen=True, kw_only=True):
     """A resource as an instance shows it."""
 
     kind: kinds.Kind
@@ -45,7 +45,7 @@
 class Page(msgspec.Struct, frozen=True):
     """A part of a list."""
 
-    items: tuple[Held, ...]
+    items: tuple[ResourceView, ...]
     next: str | None
 
 
@@ -55,7 +55,7 @@
     type: str
     revision: ids.Revision
     name: str = ""
-    resource: Held | None = None
+    resource: ResourceView | None = None
     problem: connection.Problem | None = None
 
 
@@ -70,21 +70,21 @@
     async def entry_points(self) -> points.EntryPoints:
         """Return the addresses to use, and turn to them too from now on."""
         found = decode(await self.call("GET", ENTRY_POINTS), points.EntryPoints)
-        self.learn(point.url for point in found.entry_points)
+        self.add_servers(point.url for point in found.entry_points)
         return found
 
-    async def get(self, kind: kinds.Kind, name: str) -> Held | None:
+    async def get(self, kind: kinds.Kind, name: str) -> ResourceView | None:
         """Return a resource, or None."""
         try:
-            return decode(await self.call("GET", path_of(kind, name)), Held)
+            return decode(await self.call("GET", path_of(kind, name)), ResourceView)
         except connection.RefusedError as refusal:
             if refusal.status == connection.HTTP_NOT_FOUND:
                 return None
             raise
 
-    async def list(self, kind: kinds.Kind) -> list[Held]:
+    async def list(self, kind: kinds.Kind) -> list[ResourceView]:
         """Return all resources of a kind, in order of name."""
-        found: list[Held] = []
+        found: list[ResourceView] = []
         after: str | None = ""
         while after is not None:
             params = {"limit": str(PAGE_SIZE), "after": after}
@@ -99,7 +99,7 @@
         declared: resourcefiles.Declared,
         based_on: ids.Revision | None,
         dry_run: bool = False,
-    ) -> Held:
+    ) -> ResourceView:
         """Write a resource that is at revision `based_on`; None: it's new.
 
         Raises ConflictError if it isn't so any more.
@@ -110,7 +110,7 @@
         answer = await self.call(
             "PUT", path, data=body, headers=write_headers(based_on), params=params
         )
-        return decode(answer, Held)
+        return decode(answer, ResourceView)
 
     async def delete(
         self, kind: kinds.Kind, name: str, based_on: ids.Revision
@@ -169,7 +169,7 @@
                         yield event
             except (aiohttp.ClientError, TimeoutError):
                 # Cut off: the next attempt goes to the same or another instance.
-                self.put_last(self.servers[0])
+                self.move_to_end(self.servers[0])
             await asyncio.sleep(WATCH_RETRY_SECONDS)
 
     async def watch_once(
--- a/src/tealcove/commands/apply.py
+++ b/src/tealcove/commands/apply.py
@@ -14,10 +14,10 @@
 
 
 class Step(msgspec.Struct, frozen=True):
-    """What is to be written; `now` is None for a new resource."""
+    """What is to be written; `current` is None for a new resource."""
 
     declared: resourcefiles.Declared
-    now: client.Held | None
+    current: client.ResourceView | None
 
     @property
     def title(self) -> str:
@@ -27,11 +27,13 @@
     @property
     def changed(self) -> bool:
         """Tell whether anything is to be written."""
-        return self.now is None or self.declared.spec != self.now.resource().spec
+        return (
+            self.current is None or self.declared.spec != self.current.resource().spec
+        )
 
     def diff(self) -> str:
         """Show what changes, defaults included."""
-        before = None if self.now is None else self.now.resource().spec
+        before = None if self.current is None else self.current.resource().spec
         return output.diff(self.title, before, self.declared.spec)
 
 
@@ -70,7 +72,7 @@
 
     async def __call__(self) -> None:
         """Read all, check all, then write one after the other."""
-        declared = plan.in_order(resourcefiles.read(self.paths))
+        declared = plan.by_dependency(resourcefiles.read(self.paths))
         async with self.connect() as link:
             await link.entry_points()
             steps = await compare(link, declared)
@@ -92,11 +94,13 @@
     link: client.Client, declared: list[resourcefiles.Declared]
 ) -> list[Step]:
     """Return what is to be written, after showing it and checking it as a whole."""
-    held: dict[tuple[kinds.Kind, str], client.Held] = {}
+    held: dict[tuple[kinds.Kind, str], client.ResourceView] = {}
     for kind in kinds.Kind:
         for one in await link.list(kind):
             held[kind, one.metadata.name] = one
-    plan.check(plan.built(one.resource() for one in held.values()), declared)
+    plan.check(
+        plan.build_configuration(one.resource() for one in held.values()), declared
+    )
     steps = [Step(one, held.get((one.kind, one.name))) for one in declared]
     changing = [step for step in steps if step.changed]
     for step in changing:
@@ -106,5 +110,5 @@
 
 async def write(link: client.Client, step: Step) -> int:
     """Write a resource if it's still as it was read; returns its new revision."""
-    based_on = None if step.now is None else step.now.metadata.revision
+    based_on = None if step.current is None else step.current.metadata.revision
     return (await link.put(step.declared, based_on)).metadata.revision
--- a/src/tealcove/commands/get.py
+++ b/src/tealcove/commands/get.py
@@ -33,7 +33,9 @@
         print(output.pretty(found) if self.json else listed(found))
 
 
-async def existing(link: client.Client, kind: kinds.Kind, name: str) -> client.Held:
+async def existing(
+    link: client.Client, kind: kinds.Kind, name: str
+) -> client.ResourceView:
     """Return a resource; raises ClientError if there is none."""
     found = await link.get(kind, name)
     if found is None:
@@ -44,7 +46,7 @@
     return found
 
 
-def listed(found: list[client.Held]) -> str:
+def listed(found: list[client.ResourceView]) -> str:
     """Return a line for each resource."""
     rows: list[tuple[object, ...]] = [("NAME", "REVISION", "CHANGED BY", "IN FORCE")]
     for one in found:
@@ -53,7 +55,7 @@
     return output.table(rows)
 
 
-def where(found: client.Held) -> str:
+def where(found: client.ResourceView) -> str:
     """Say on how many instances a resource's last change is in force."""
     if found.status is None:
         return ""
--- a/src/tealcove/commands/request.py
+++ b/src/tealcove/commands/request.py
@@ -72,12 +72,12 @@
             stream=self.stream,
         )
         key = self.idempotency_key or secrets.token_hex(KEY_BYTES)
-        terms = completion.Terms(
+        options = completion.Options(
             idempotency_key=key, deadline=self.deadline, idempotent=not self.once
         )
         output.progress(f"Idempotency-Key: {key}")
         async with self.connect() as link:
-            async for text in completion.send(link, wanted, terms):
+            async for text in completion.send(link, wanted, options):
                 print(text, end="", flush=True)
         print()
 
--- a/src/tealcove/completion.py
+++ b/src/tealcove/completion.py
@@ -28,7 +28,7 @@
     stream: bool = False
 
 
-class Terms(msgspec.Struct, frozen=True, kw_only=True):
+class Options(msgspec.Struct, frozen=True, kw_only=True):
     """What the caller asks besides; None and "" leave a header out."""
 
     idempotency_key: str = ""
@@ -63,7 +63,7 @@
 
 
 async def send(
-    link: connection.Connection, completion: Completion, terms: Terms
+    link: connection.Connection, completion: Completion, options: Options
 ) -> typing.AsyncIterator[str]:
     """Send a request once and yield its text, in one piece unless it's streamed.
 
@@ -71,8 +71,8 @@
     LostReplyError when the answer broke off: its text isn't the whole answer.
     """
     body = msgspec.json.encode(completion)
-    opening = link.open("POST", PATH, None, data=body, headers=terms.headers())
-    response = await read(opening)
+    request = link.open("POST", PATH, None, data=body, headers=options.headers())
+    response = await read(request)
     async with response:
         if response.status >= connection.HTTP_FIRST_ERROR:
             raise refusal(response.status, await read(response.read()))
@@ -80,15 +80,15 @@
             body = await read(response.read())
             yield msgspec.json.decode(body, type=Part).choices[0].text
             return
-        whole = False
+        complete = False
         while line := await read(response.content.readline()):
             content = line.removeprefix(DATA).strip()
             if not content or content == DONE:
                 continue
             part = msgspec.json.decode(content, type=Part)
-            whole = whole or part.count is not None
+            complete = complete or part.count is not None
             yield part.choices[0].text
-        if not whole:
+        if not complete:
             raise broken()
 
 
--- a/src/tealcove/connection.py
+++ b/src/tealcove/connection.py
@@ -17,13 +17,13 @@
 HTTP_UNAVAILABLE = 503
 HTTP_GATEWAY_TIMEOUT = 504
 # Answers after which another instance is worth a try.
-PASSED_OVER = (HTTP_UNAVAILABLE, HTTP_GATEWAY_TIMEOUT)
+RETRIED_STATUSES = (HTTP_UNAVAILABLE, HTTP_GATEWAY_TIMEOUT)
 HTTP_FIRST_ERROR = 400
 # An "in use" is status 409 too, but no conflict with another change.
 CONFLICT_TYPE = "urn:tealcove:problem:revision-conflict"
 CALL_SECONDS = 10.0
 CONNECT_SECONDS = 2.0
-SSL_ANY = True
+SYSTEM_AUTHORITIES = True
 
 
 class ClientError(errors.TealcoveError):
@@ -82,7 +82,7 @@
         self.servers = [server.rstrip("/") for server in servers]
         self.key = key
         # Plain True has aiohttp check certificates against the system's authorities.
-        self.tls = ssl.create_default_context(cafile=ca) if ca else SSL_ANY
+        self.tls = ssl.create_default_context(cafile=ca) if ca else SYSTEM_AUTHORITIES
         self.session: aiohttp.ClientSession | None = None
 
     async def __aenter__(self) -> typing.Self:
@@ -96,7 +96,7 @@
         assert self.session is not None
         await self.session.close()
 
-    def learn(self, servers: typing.Iterable[str]) -> None:
+    def add_servers(self, servers: typing.Iterable[str]) -> None:
         """Add instances to turn to when the known ones fail."""
         for server in servers:
             if server not in self.servers:
@@ -129,7 +129,7 @@
             try:
                 return await self.send(server, method, path, seconds, options)
             except aiohttp.ClientConnectorError:
-                self.put_last(server)
+                self.move_to_end(server)
         raise self.unavailable()
 
     async def call(self, method: str, path: str, **options: typing.Any) -> bytes:
@@ -149,14 +149,18 @@
             except (aiohttp.ClientError, TimeoutError):
                 lost = True
             except RefusedError as refusal:
-                if refusal.status not in PASSED_OVER:
+                if refusal.status not in RETRIED_STATUSES:
                     raise
                 lost = lost or refusal.status == HTTP_GATEWAY_TIMEOUT
                 last_refusal = refusal
-            self.put_last(server)
+            self.move_to_end(server)
         if lost and method != "GET":
             raise lost_reply(method, path)
-        raise self.unavailable() if last_refusal is None else gave_up(last_refusal)
+        raise (
+            self.unavailable()
+            if last_refusal is None
+            else unavailable_everywhere(last_refusal)
+        )
 
     async def call_at(
         self, server: str, method: str, path: str, options: dict[str, typing.Any]
@@ -169,7 +173,7 @@
             raise refusal(response.status, body)
         return body
 
-    def put_last(self, server: str) -> None:
+    def move_to_end(self, server: str) -> None:
         """Turn to an instance that failed only after all others."""
         if server in self.servers:
             self.servers.remove(server)
@@ -191,7 +195,7 @@
     )
 
 
-def gave_up(last: RefusedError) -> UnavailableError:
+def unavailable_everywhere(last: RefusedError) -> UnavailableError:
     """Return the error for the case that every instance said: not now."""
     return UnavailableError(last.problem, "Try again later; nothing was done.")
 
--- a/src/tealcove/count.py
+++ b/src/tealcove/count.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 # Digits of the longest number that is read, far beyond any count or port.
-MOST_DIGITS = 18
+MAX_DIGITS = 18
 
 
 def read(text: str) -> int | None:
@@ -13,5 +13,5 @@
     converted, and a conversion of thousands of digits fails.
     """
     found = text.strip()
-    is_count = found.isascii() and found.isdigit() and len(found) <= MOST_DIGITS
+    is_count = found.isascii() and found.isdigit() and len(found) <= MAX_DIGITS
     return int(found) if is_count else None
--- a/src/tealcove/demo.py
+++ b/src/tealcove/demo.py
@@ -12,7 +12,7 @@
 
 PROGRESS_INTERVAL = 1.0
 
-Tell = typing.Callable[[str], None]
+ProgressWriter = typing.Callable[[str], None]
 
 
 class DemoError(errors.TealcoveError):
@@ -33,44 +33,48 @@
         )
 
 
-async def play(seed: int, seconds: float, tell: Tell) -> report.Report:
+async def play(seed: int, seconds: float, write: ProgressWriter) -> report.Report:
     """Start all parts, send the mix of requests, and return what became of it."""
     running = parts.Parts(seed)
     handler = logs.JsonHandler(parts.instance_settings(running))
     with handler.applicationbound():
-        tell(f"Starting 1 instance, a platform, {len(mix.ENGINES)} engines, a service.")
+        write(
+            f"Starting 1 instance, a platform, {len(mix.ENGINES)} engines, a service."
+        )
         async with running:
             revision = await running.declare()
-            tell(f"The declared resources are in force at revision {revision}.")
-            sent = await send(running, mix.requests(seed, seconds), tell)
-            return judge(running, sent, seed, seconds)
+            write(f"The declared resources are in force at revision {revision}.")
+            sent = await send(running, mix.requests(seed, seconds), write)
+            return build_report(running, sent, seed, seconds)
 
 
 async def send(
-    running: parts.Parts, requests: list[mix.Request], tell: Tell
+    running: parts.Parts, requests: list[mix.Request], write: ProgressWriter
 ) -> list[callers.Sent]:
     """Send all requests and tell from time to time how far they are."""
     sending = callers.Callers(running.url, running.keys)
-    telling = asyncio.create_task(tell_progress(sending, len(requests), tell))
+    reporting = asyncio.create_task(report_progress(sending, len(requests), write))
     try:
         return await sending.send_all(requests)
     finally:
-        telling.cancel()
+        reporting.cancel()
         with contextlib.suppress(asyncio.CancelledError):
-            await telling
+            await reporting
 
 
-async def tell_progress(sending: callers.Callers, total: int, tell: Tell) -> None:
+async def report_progress(
+    sending: callers.Callers, total: int, write: ProgressWriter
+) -> None:
     """Tell how many requests are sent and ended, until cancelled."""
     start = clock.now()
     while True:
         await asyncio.sleep(PROGRESS_INTERVAL)
         seconds = clock.now() - start
         ended = len(sending.ended)
-        tell(f"{seconds:4.0f} s: {sending.sent} of {total} sent, {ended} answered")
+        write(f"{seconds:4.0f} s: {sending.sent} of {total} sent, {ended} answered")
 
 
-def judge(
+def build_report(
     running: parts.Parts, sent: list[callers.Sent], seed: int, seconds: float
 ) -> report.Report:
     """Compare what the callers saw with what the stand-ins counted."""
--- a/src/tealcove/demonstration/parts.py
+++ b/src/tealcove/demonstration/parts.py
@@ -80,7 +80,7 @@
         """
         async with client.Client([self.url], self.operator_key) as operator:
             revision = 0
-            for declared in plan.in_order(self.resources()):
+            for declared in plan.by_dependency(self.resources()):
                 held = await operator.put(declared, None)
                 revision = held.metadata.revision
             waiting = self.wait_until_served(operator, revision)
--- a/src/tealcove/entry/tests/builders.py
+++ b/src/tealcove/entry/tests/builders.py
@@ -91,7 +91,7 @@
         ),
     ]
     held = copy.ConfigurationCopy()
-    held.move(plan.built(found))
+    held.move(plan.build_configuration(found))
     return held
 
 
--- a/src/tealcove/plan.py
+++ b/src/tealcove/plan.py
@@ -20,14 +20,16 @@
 NOBODY = "nobody"
 
 
-def in_order(
+def by_dependency(
     declared: typing.Iterable[resourcefiles.Declared],
 ) -> list[resourcefiles.Declared]:
     """Return resources so that each comes after those that it names."""
     return sorted(declared, key=lambda one: (ORDER.index(one.kind), one.name))
 
 
-def built(resources: typing.Iterable[kinds.Resource]) -> copy.Configuration:
+def build_configuration(
+    resources: typing.Iterable[kinds.Resource],
+) -> copy.Configuration:
     """Return a configuration that holds resources as they were read."""
     return add_all(copy.empty(), resources)
 
@@ -58,7 +60,7 @@
 
     Returns the configuration that they lead to; raises errors.SettingsError.
     """
-    for one in in_order(declared):
+    for one in by_dependency(declared):
         resource = as_resource(one)
         try:
             validation.check(configuration, resource)
--- a/src/tealcove/resourcefiles.py
+++ b/src/tealcove/resourcefiles.py
@@ -41,7 +41,7 @@
     for path in paths:
         for file in files_of(path):
             found.extend(read_file(file))
-    refuse_doubles(found)
+    check_duplicates(found)
     return found
 
 
@@ -79,7 +79,7 @@
     return Declared(kind=written.kind, name=written.name, spec=spec, path=path)
 
 
-def refuse_doubles(found: list[Declared]) -> None:
+def check_duplicates(found: list[Declared]) -> None:
     """Raise errors.SettingsError if a resource stands twice."""
     seen: dict[tuple[kinds.Kind, str], str] = {}
     for one in found:
--- a/src/tealcove/settings.py
+++ b/src/tealcove/settings.py
@@ -243,14 +243,14 @@
 def check_heartbeat(path: str, heartbeat: Heartbeat) -> None:
     """Refuse times by which a healthy peer would be suspected or forgotten."""
     if heartbeat.suspect_after <= heartbeat.interval:
-        raise settingsfile.refused(
+        raise settingsfile.location_error(
             path,
             "$.heartbeat.suspect_after",
             f"{heartbeat.suspect_after} isn't above the interval",
             f"Write more than {heartbeat.interval}",
         )
     if heartbeat.forget_after <= heartbeat.suspect_after:
-        raise settingsfile.refused(
+        raise settingsfile.location_error(
             path,
             "$.heartbeat.forget_after",
             f"{heartbeat.forget_after} isn't above suspect_after",
@@ -265,19 +265,19 @@
     for index, centre in enumerate(found.data_centres):
         where = f"$.data_centres[{index}]"
         if centre.name in names[:index]:
-            raise settingsfile.refused(
+            raise settingsfile.location_error(
                 path, where, f"`{centre.name}` stands twice", "Remove one of the two"
             )
         for other in centre.delays:
             if other not in names:
-                raise settingsfile.refused(
+                raise settingsfile.location_error(
                     path,
                     f"{where}.delays",
                     f"`{other}` isn't in $.data_centres",
                     f"Write one of: {known}",
                 )
     if names and found.data_centre not in names:
-        raise settingsfile.refused(
+        raise settingsfile.location_error(
             path,
             "$.data_centre",
             f"`{found.data_centre}` isn't in $.data_centres",
--- a/src/tealcove/settingsfile.py
+++ b/src/tealcove/settingsfile.py
@@ -15,7 +15,7 @@
 
 T = typing.TypeVar("T")
 
-KEY_WORD = "key"
+SECRET_WORD = "key"
 TYPE_WORDS = {
     "int": "a whole number",
     "float": "a number",
@@ -54,7 +54,7 @@
     try:
         return msgspec.convert(content, shape, dec_hook=checked.decode_checked)
     except msgspec.ValidationError as failure:
-        raise explained(path, place, str(failure), content, shape) from None
+        raise conversion_error(path, place, str(failure), content, shape) from None
 
 
 def parse(path: str) -> object:
@@ -88,12 +88,14 @@
     return f"line {line}: isn't JSON"
 
 
-def refused(path: str, place: str, problem: str, remedy: str) -> errors.SettingsError:
+def location_error(
+    path: str, place: str, problem: str, remedy: str
+) -> errors.SettingsError:
     """Return the error for one place in a file."""
     return errors.SettingsError(f"{path}: {place}: {problem}", f"{remedy}.")
 
 
-def explained(
+def conversion_error(
     path: str, root: str, message: str, content: object, shape: type
 ) -> errors.SettingsError:
     """Turn msgspec's message into one line that says what to write."""
@@ -105,21 +107,23 @@
     unknown = UNKNOWN_FIELD.search(problem)
     if unknown is not None:
         known = ", ".join(known_fields(shape, inner))
-        return refused(
+        return location_error(
             path, f"{place}.{unknown[1]}", "unknown key", f"Write one of: {known}"
         )
     missing = MISSING_FIELD.search(problem)
     if missing is not None:
         remedy = "Write that key; it has no default"
-        return refused(path, f"{place}.{missing[1]}", "missing", remedy)
+        return location_error(path, f"{place}.{missing[1]}", "missing", remedy)
     expected = EXPECTED.match(problem)
     if expected is not None:
-        found = shown_value(content, inner)
-        return refused(path, place, f"{found}doesn't fit", f"Write {wanted(expected)}")
-    return refused(path, place, problem, remedy_for(problem, shape, inner))
+        found = quote_value(content, inner)
+        return location_error(
+            path, place, f"{found}doesn't fit", f"Write {describe_expected(expected)}"
+        )
+    return location_error(path, place, problem, remedy_for(problem, shape, inner))
 
 
-def wanted(expected: re.Match[str]) -> str:
+def describe_expected(expected: re.Match[str]) -> str:
     """Say in words what msgspec expected."""
     bound = expected["bound"] or ""
     pattern = PATTERN.search(bound)
@@ -128,12 +132,12 @@
     return TYPE_WORDS.get(expected["type"], expected["type"]) + bound
 
 
-def shown_value(content: object, inner: str) -> str:
+def quote_value(content: object, inner: str) -> str:
     """Return the refused value in quotes, or "it " for a key or a group.
 
     A plain key that was written where its hash belongs must not reach a log.
     """
-    if KEY_WORD in inner:
+    if SECRET_WORD in inner:
         return "it "
     for step in STEP.finditer(inner):
         key: str | int = step[1] or int(step[2])
