--- a/src/tealcove/catalog/tests/test_follower.py
+++ b/src/tealcove/catalog/tests/test_follower.py
@@ -9,7 +9,7 @@
 
 from tealcove import clock, errors, ids
 from tealcove.catalog import copies, follower, messages, serverlist
-from tealcove.front import parts
+from tealcove.front import factories
 from tealcove.platform import store
 from tealcove.storage import feed
 from tealcove.tests import virtual
@@ -112,7 +112,7 @@
         raise errors.PlatformUnavailableError("no answer", "wait")
 
 
-@pytest.mark.parametrize("hangs", [0.0, parts.CONNECT_SECONDS, store.PROBE_MARGIN])
+@pytest.mark.parametrize("hangs", [0.0, factories.CONNECT_SECONDS, store.PROBE_MARGIN])
 def test_a_lapse_ends_before_its_instance_counts_as_up_to_date(
     hangs: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
--- a/src/tealcove/daemon.py
+++ b/src/tealcove/daemon.py
@@ -74,14 +74,14 @@
         await self.engines.start()
         await self.services.start()
         self.start_roles()
-        self.show_roles()
+        self.register_metrics()
         await self.start_http()
         self.members.update_own(http_port=self.http_port)
-        self.heart.start()
-        self.configuration.start(self.heart)
+        self.heartbeats.start()
+        self.configuration.start(self.heartbeats)
         self.mesh.start_receiving()
-        watched = readiness.Readiness(self.members, self.heart, self.configuration)
-        self.tasks.append(tasks.start(watched.run(), "readiness"))
+        monitor = readiness.Readiness(self.members, self.heartbeats, self.configuration)
+        self.tasks.append(tasks.start(monitor.run(), "readiness"))
 
     def start_mesh(self) -> None:
         """Listen for peers."""
@@ -105,7 +105,7 @@
         )
         beat = found.heartbeat
         self.members = members.Members(own, beat.suspect_after, beat.forget_after)
-        self.heart = heartbeats.HeartbeatService(
+        self.heartbeats = heartbeats.HeartbeatService(
             self.mesh,
             self.members,
             rowlist.RowInstanceList(self.rows),
@@ -115,7 +115,7 @@
 
     def start_roles(self) -> None:
         """Start all roles, each after those that it asks."""
-        self.start_guards()
+        self.start_configuration()
         self.start_dispatcher()
         self.start_claims()
         self.start_entry()
@@ -128,7 +128,7 @@
         )
         self.stewards.start()
 
-    def start_guards(self) -> None:
+    def start_configuration(self) -> None:
         """Start the configuration, and what decides by account and content."""
         self.configuration = configuration.ConfigurationRole(
             self.settings, self.rows, self.objects, self.mesh, self.members
@@ -136,7 +136,7 @@
         self.quarantine = quarantine_role.Quarantine(
             self.mesh,
             self.members,
-            self.heart,
+            self.heartbeats,
             self.rows,
             self.settings.quarantine.seconds,
         )
@@ -157,7 +157,7 @@
             self.engines,
             self.settings.dispatch.load_poll_interval,
             self.quarantine,
-            lambda: self.heart.listed,
+            lambda: self.heartbeats.listed,
             source=self.telemetry,
         )
         self.dispatcher.start()
@@ -184,7 +184,7 @@
             source=self.telemetry,
             witness=self.start_witness(),
         )
-        self.configuration.copy.subscribe(self.take_configuration)
+        self.configuration.copy.subscribe(self.apply_configuration)
 
     def start_claims(self) -> None:
         """Start the writer of claims, and the side that takes them."""
@@ -205,16 +205,16 @@
         found.start()
         return found
 
-    def show_roles(self) -> None:
+    def register_metrics(self) -> None:
         """Add what the roles count to the metrics."""
-        shown = gauges.Gauges(self.telemetry.meter)
-        shown.add_mesh(self.mesh)
-        shown.add_platform(self.platform)
-        shown.add_members(self.members)
-        shown.add_configuration(self.configuration.copy)
-        shown.add_dispatcher(self.dispatcher)
-        shown.add_requester(self.tickets)
-        shown.add_claims(self.claim_writer)
+        instruments = gauges.Gauges(self.telemetry.meter)
+        instruments.add_mesh(self.mesh)
+        instruments.add_platform(self.platform)
+        instruments.add_members(self.members)
+        instruments.add_configuration(self.configuration.copy)
+        instruments.add_dispatcher(self.dispatcher)
+        instruments.add_requester(self.tickets)
+        instruments.add_claims(self.claim_writer)
 
     async def start_http(self) -> None:
         """Listen for callers and operators."""
@@ -255,13 +255,13 @@
         delay = self.settings.delay_to(other)
         return math.inf if delay is None else delay
 
-    def take_configuration(
+    def apply_configuration(
         self, previous: copy.Configuration, current: copy.Configuration
     ) -> None:
         """Put a new revision in force in all roles, and tell the peers."""
         self.dispatcher.reconfigure()
         self.members.update_own(revision=current.revision)
-        self.heart.broadcast()
+        self.heartbeats.broadcast()
 
     async def leave(self) -> None:
         """Leave gracefully: no request in progress is cut off.
@@ -270,7 +270,7 @@
         still accepts until the last answer that names it has run out.
         """
         self.members.update_own(lifecycle=messages.Lifecycle.LEAVING)
-        self.heart.broadcast()
+        self.heartbeats.broadcast()
         LOG.info("leaving")
         shutdown = self.settings.shutdown
         await asyncio.sleep(shutdown.entry_points_ttl)
@@ -284,7 +284,7 @@
         await self.configuration.stop()
         await self.listener.stop()
         await self.stewards.stop()
-        await self.heart.stop()
+        await self.heartbeats.stop()
         await self.dispatcher.stop()
         await self.claims.stop()
         await self.claim_writer.stop()
--- a/src/tealcove/dispatch/spans.py
+++ b/src/tealcove/dispatch/spans.py
@@ -24,7 +24,7 @@
     """The open spans by ticket; only tickets of recorded traces have one."""
 
     def __init__(self, source: measuring.Source | None = None) -> None:
-        self.source = source or measuring.Nothing()
+        self.source = source or measuring.NoOpSource()
         self.open: dict[ids.TicketId, trace.Span] = {}
 
     def begin(self, ticket: messages.Ticket) -> None:
--- a/src/tealcove/entry/hops.py
+++ b/src/tealcove/entry/hops.py
@@ -28,7 +28,7 @@
     @contextlib.contextmanager
     def ticket(self, hold: pending.PendingTicket) -> Iterator[None]:
         """Watch a ticket from the asking to its grant or refusal."""
-        with self.source.step(TICKET_SPAN) as span:
+        with self.source.child_span(TICKET_SPAN) as span:
             if span is not None:
                 written = telemetry.traceparent()
                 hold.ticket = msgspec.structs.replace(hold.ticket, traceparent=written)
@@ -36,13 +36,13 @@
 
     def claim(self) -> contextlib.AbstractContextManager[trace.Span | None]:
         """Watch a claim from the asking to the writer's reply."""
-        return self.source.step(CLAIM_SPAN)
+        return self.source.child_span(CLAIM_SPAN)
 
     def server(
         self, server: engine.Server
     ) -> contextlib.AbstractContextManager[trace.Span | None]:
         """Watch a request's run on a backend server."""
-        return self.source.step(SERVER_SPAN, **{"tealcove.server": server.name})
+        return self.source.child_span(SERVER_SPAN, **{"tealcove.server": server.name})
 
     def event(self, name: str) -> None:
         """Note an instant within the current span."""
--- a/src/tealcove/entry/observer.py
+++ b/src/tealcove/entry/observer.py
@@ -72,11 +72,11 @@
         self.requests = self.source.meter.create_counter(
             "tealcove.requests", description="Requests answered, by how they ended."
         )
-        self.first_tokens = self.source.seconds(
+        self.first_tokens = self.source.histogram(
             "tealcove.request.time_to_first_token",
             "From a request's arrival to its first token.",
         )
-        self.durations = self.source.seconds(
+        self.durations = self.source.histogram(
             "tealcove.request.duration",
             "From a completed request's arrival to the end of its answer.",
         )
--- a/src/tealcove/exporting.py
+++ b/src/tealcove/exporting.py
@@ -15,7 +15,7 @@
 TRACES_PATH = "/v1/traces"
 
 
-class Telemetry(telemetry.Source, probes.Shown):
+class Telemetry(telemetry.Source, probes.MetricsExporter):
     """The meter and the tracer of one instance, and where they send to."""
 
     def __init__(
@@ -47,7 +47,7 @@
         self.tracer = provider.get_tracer(telemetry.SCOPE, version.VERSION)
 
     def metrics_text(self) -> bytes:
-        """See Shown."""
+        """See MetricsExporter."""
         return prometheus_client.generate_latest(self.registry)
 
     def shutdown(self) -> None:
--- a/src/tealcove/front/addresses.py
+++ b/src/tealcove/front/addresses.py
@@ -8,11 +8,11 @@
 
 # So many instances of the caller's own data centre are enough for an answer: one
 # may just have died, and bytes between data centres are paid for.
-ENOUGH_NEAR = 2
-MOST_ADDRESSES = 64
+ENOUGH_LOCAL = 2
+MAX_ADDRESSES = 64
 
 
-class MemberPlaces(directory.Places):
+class MemberAddresses(directory.Places):
     """Answers from the heartbeats."""
 
     def __init__(self, known: members.Members) -> None:
@@ -21,9 +21,9 @@
     def addresses(self, data_centre: ids.DataCentreId) -> list[str]:
         """See Places."""
         serving = self.members.serving(clock.now())
-        near = [h for h in serving if h.data_centre == data_centre]
-        chosen = near if len(near) >= ENOUGH_NEAR else serving
-        return [f"{h.host}:{h.http_port}" for h in chosen[:MOST_ADDRESSES]]
+        local = [h for h in serving if h.data_centre == data_centre]
+        chosen = local if len(local) >= ENOUGH_LOCAL else serving
+        return [f"{h.host}:{h.http_port}" for h in chosen[:MAX_ADDRESSES]]
 
     def is_ready(self) -> bool:
         """See Places."""
--- a/src/tealcove/front/daemon.py
+++ b/src/tealcove/front/daemon.py
@@ -14,7 +14,7 @@
 log = logbook.Logger("front")
 
 # Seconds between two looks at the settings file, which may change without a signal.
-LOOK_INTERVAL = 1.0
+POLL_INTERVAL = 1.0
 
 
 class Reloader:
@@ -26,19 +26,19 @@
         self.path = path
         self.running = running
         self.handler = handler
-        self.wanted = asyncio.Event()
-        self.seen = stamp(path)
+        self.requested = asyncio.Event()
+        self.signature = file_signature(path)
 
     async def run(self) -> None:
         """Reload at a signal or a change of the file, until cancelled."""
         while True:
             try:
-                async with asyncio.timeout(LOOK_INTERVAL):
-                    await self.wanted.wait()
+                async with asyncio.timeout(POLL_INTERVAL):
+                    await self.requested.wait()
             except TimeoutError:
-                if stamp(self.path) == self.seen:
+                if file_signature(self.path) == self.signature:
                     continue
-            self.wanted.clear()
+            self.requested.clear()
             self.reload()
 
     def reload(self) -> None:
@@ -46,7 +46,7 @@
 
         A file that can't be used changes nothing: the instance serves on as it did.
         """
-        self.seen = stamp(self.path)
+        self.signature = file_signature(self.path)
         try:
             found = settings.load(self.path)
         except errors.SettingsError as error:
@@ -57,7 +57,7 @@
         self.handler.debug = frozenset(found.log.debug)
 
 
-def stamp(path: str) -> tuple[int, int] | None:
+def file_signature(path: str) -> tuple[int, int] | None:
     """Return what shows that a file has changed; None: it can't be looked at."""
     try:
         found = os.stat(path)
@@ -69,15 +69,15 @@
 async def serve(path: str) -> None:
     """Run an instance until SIGTERM or SIGINT, then let it leave gracefully."""
     found = settings.load(path)
-    handler = logs.install_bounded(found, found.log.most_lines_per_second)
+    handler = logs.install_rate_limited(found, found.log.most_lines_per_second)
     stopping = asyncio.Event()
     loop = asyncio.get_running_loop()
     for name in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(name, stopping.set)
     running = await instance.start(found)
-    running.show_dropped_lines(lambda: handler.dropped)
+    running.register_dropped_lines(lambda: handler.dropped)
     reloader = Reloader(path, running, handler)
-    loop.add_signal_handler(signal.SIGHUP, reloader.wanted.set)
+    loop.add_signal_handler(signal.SIGHUP, reloader.requested.set)
     reloading = tasks.start(reloader.run(), "settings")
     await stopping.wait()
     await running.leave()
--- a/src/tealcove/front/factories.py
+++ b/src/tealcove/front/factories.py
@@ -25,8 +25,8 @@
 SLOWEST_MBPS = 5.0
 # Seconds for which the store may hold a question: in small groups, where all ask and
 # each question is paid for, and where only a few ask for all.
-LONG_WAIT = 25.0
-SHORT_WAIT = 5.0
+LONG_POLL_SECONDS = 25.0
+SHORT_POLL_SECONDS = 5.0
 # Seconds for which changes of backend servers gather: where dozens start within
 # seconds, each follower would ask once for each of them.
 GATHER_SECONDS = 0.25
@@ -49,7 +49,7 @@
     return made
 
 
-def strength_of(found: settings.FrontSettings) -> int:
+def processor_class_of(found: settings.FrontSettings) -> int:
     """Return the class of this instance's processor: 0 from half a core, 1 from one.
 
     Each class begins at twice as much as the one before, since machines that differ
@@ -59,12 +59,12 @@
     return math.floor(math.log2(machine.cores * machine.share / WEAKEST_CORES))
 
 
-def room_of(found: settings.FrontSettings) -> int:
+def link_class_of(found: settings.FrontSettings) -> int:
     """Return the class of this instance's link: 0 from 5 Mbit/s, 1 from 10."""
     return math.floor(math.log2(found.machine.link_mbps / SLOWEST_MBPS))
 
 
-def own_heartbeat(
+def initial_heartbeat(
     found: settings.FrontSettings, transport: mesh.Mesh, incarnation: ids.Incarnation
 ) -> messages.Heartbeat:
     """Return what an instance that begins tells of itself."""
@@ -79,12 +79,12 @@
         peer_host=transport.listen.host,
         peer_port=transport.listen.port,
         revision=ids.Revision(0),
-        strength=strength_of(found),
-        link_class=room_of(found),
+        strength=processor_class_of(found),
+        link_class=link_class_of(found),
     )
 
 
-def new_heart(
+def new_heartbeat_service(
     found: settings.FrontSettings,
     transport: mesh.Mesh,
     known: members.Members,
@@ -120,7 +120,7 @@
     """Return what follows the store's two tables, once it's started."""
 
     def wait() -> float:
-        return SHORT_WAIT if known.is_large() else LONG_WAIT
+        return SHORT_POLL_SECONDS if known.is_large() else LONG_POLL_SECONDS
 
     def for_configuration() -> follower.Pace:
         return follower.Pace(wait())
@@ -134,7 +134,7 @@
     )
 
 
-def allowance_of(found: settings.FrontSettings) -> budget.Allowance:
+def retry_allowance(found: settings.FrontSettings) -> budget.Allowance:
     """Return the allowance of repeats by the settings."""
     repeats = found.repeats
     return budget.Allowance(repeats.ratio, repeats.slack, repeats.window_seconds)
--- a/src/tealcove/front/instance.py
+++ b/src/tealcove/front/instance.py
@@ -18,7 +18,7 @@
 )
 from tealcove.catalog import copies, following, pools, serverlist, sharing
 from tealcove.dispatch import policy, requester, role, spread
-from tealcove.front import figures, parts, places, settings
+from tealcove.front import addresses, factories, metrics, settings
 from tealcove.ingress import budget, exchange, http, tickets
 from tealcove.limits import central, limit
 from tealcove.membership import members, messages
@@ -46,12 +46,12 @@
 # Seconds for which a new dispatcher waits for word of what runs: one heartbeat.
 GATHER_SECONDS = 0.25
 # Seconds between two looks at lapsed servers and at readiness.
-LOOK_INTERVAL = 0.1
+CHECK_INTERVAL = 0.1
 # Times the directory's answers' life for which some callers keep them.
-LONGEST_KEPT = 3.0
+MAX_TTL_FACTOR = 3.0
 # Seconds before SIGKILL at which what still runs is broken off: its callers come
 # back elsewhere while their time lasts.
-END_MARGIN = 0.4
+KILL_MARGIN = 0.4
 
 
 class Instance:
@@ -61,7 +61,7 @@
         self.settings = found
         self.name = ids.InstanceId(found.instance)
         self.incarnation = ids.new_incarnation()
-        self.figures = figures.Figures()
+        self.metrics = metrics.Registry()
         self.tasks: list[asyncio.Task[None]] = []
         self.listeners: list[listener.Listener] = []
         self.runners: list[web.AppRunner] = []
@@ -74,9 +74,9 @@
         await self.start_ingress()
         await self.start_directory()
         await self.start_metrics()
-        self.heart.start()
+        self.heartbeats.start()
         self.mesh.start_receiving()
-        self.follow()
+        self.start_following()
         log.info(
             "started: incarnation {}, callers at {}, peers at {}, store at {}",
             self.incarnation,
@@ -87,12 +87,14 @@
 
     def start_mesh(self) -> None:
         """Listen for peers."""
-        self.store = parts.new_store(self.settings)
-        self.mesh = parts.new_mesh(self.settings, self.incarnation)
-        own = parts.own_heartbeat(self.settings, self.mesh, self.incarnation)
+        self.store = factories.new_store(self.settings)
+        self.mesh = factories.new_mesh(self.settings, self.incarnation)
+        own = factories.initial_heartbeat(self.settings, self.mesh, self.incarnation)
         beat = self.settings.heartbeat
         self.members = members.Members(own, beat.suspect_after, beat.forget_after)
-        self.heart = parts.new_heart(self.settings, self.mesh, self.members, self.store)
+        self.heartbeats = factories.new_heartbeat_service(
+            self.settings, self.mesh, self.members, self.store
+        )
 
     def start_catalog(self) -> None:
         """Keep copies of what is declared."""
@@ -104,15 +106,15 @@
         self.configuration.listeners.append(self.check_readiness)
         self.servers = serverlist.ServersCopy(documents.decode_server)
         self.pools = pools.Pools(self.servers)
-        self.servers.listeners.append(self.take_servers)
-        followers = parts.new_followers(
+        self.servers.listeners.append(self.apply_server_list)
+        followers = factories.new_followers(
             self.store, self.members, self.configuration, self.servers
         )
         self.following = following.Following(self.members, followers)
         self.sharing = sharing.Sharing(
             self.mesh,
             self.members,
-            self.heart,
+            self.heartbeats,
             (self.configuration, self.servers),
             self.following,
             self.settings.machine.link_bytes_per_second,
@@ -125,7 +127,7 @@
         self.quarantine = quarantine_role.Quarantine(
             self.mesh,
             self.members,
-            self.heart,
+            self.heartbeats,
             None,
             found.quarantine.seconds,
             CRASHES_TO_QUARANTINE,
@@ -137,7 +139,7 @@
             self.find_limit,
             found.account_limits.slack,
             clock.now(),
-            lambda: len(self.heart.listed_endpoints()),
+            lambda: len(self.heartbeats.listed_endpoints()),
         )
         self.limits.start()
         self.spread = spread.Spread(self.pools, lambda other: 0.0, CELL_SERVERS)
@@ -153,7 +155,7 @@
             None,
             0.0,
             self.quarantine,
-            source=self.figures,
+            source=self.metrics,
             gather_seconds=GATHER_SECONDS,
             exposures=self.rollouts if found.rollouts.enabled else None,
         )
@@ -165,7 +167,7 @@
         )
         self.tickets.start()
         self.tickets.listeners.append(self.quarantine.record_end)
-        self.figures.watch(
+        self.metrics.add_observable_counter(
             "tealcove.grants.declined",
             "Grants given back since their backend servers have left.",
             lambda: self.tickets.declined,
@@ -180,7 +182,9 @@
             exchange.Services(
                 link=self.link,
                 tickets=self.tickets,
-                budget=budget.Budget(parts.allowance_of(found), self.count_instances),
+                budget=budget.Budget(
+                    factories.retry_allowance(found), self.count_instances
+                ),
                 entry=tickets.Entry(self.name, ids.DataCentreId(found.data_centre)),
             ),
             self.configuration,
@@ -188,15 +192,15 @@
             self.limits,
             self.quarantine,
             callers.CallerCodec(),
-            self.figures,
+            self.metrics,
         )
-        self.listeners.append(await parts.listen(found, self.ingress.routes()))
+        self.listeners.append(await factories.listen(found, self.ingress.routes()))
 
     async def start_directory(self) -> None:
         """Listen for those who ask where to connect, and whether this is ready."""
         found = self.settings
         self.directory = directory.Directory(
-            places.MemberPlaces(self.members), found.leaving.directory_ttl_seconds
+            addresses.MemberAddresses(self.members), found.leaving.directory_ttl_seconds
         )
         await self.serve(found.listen.directory, self.directory.routes())
         await self.serve(found.listen.ready, self.directory.ready_routes())
@@ -207,7 +211,7 @@
         if port == 0:
             return
         host = endpoint.parse(self.settings.listen.callers).host
-        shown = probes.Probes(self.members, self.figures)
+        shown = probes.Probes(self.members, self.metrics)
         try:
             await self.serve(f"{host}:{port}", shown.routes())
         except OSError as error:
@@ -215,20 +219,20 @@
 
     async def serve(self, address: str, routes: list[web.RouteDef]) -> None:
         """Listen at an address with some handlers."""
-        self.runners.append(await parts.serve(address, routes))
+        self.runners.append(await factories.serve(address, routes))
 
-    def follow(self) -> None:
+    def start_following(self) -> None:
         """Begin to follow the store, and to look at what only time changes."""
         self.following.start()
-        self.tasks.append(tasks.start(self.look(), "readiness"))
+        self.tasks.append(tasks.start(self.run_checks(), "readiness"))
 
-    async def look(self) -> None:
+    async def run_checks(self) -> None:
         """Look at readiness and lapsed servers until cancelled."""
         while True:
             now = clock.now()
             self.servers.expire_lapses(now)
             self.check_readiness()
-            await asyncio.sleep(LOOK_INTERVAL)
+            await asyncio.sleep(CHECK_INTERVAL)
 
     def check_readiness(self) -> None:
         """Take requests as soon as a configuration is known."""
@@ -236,9 +240,9 @@
         if is_joining and self.configuration.current is not None:
             log.info("ready at configuration {}", self.configuration.revision)
             self.members.update_own(lifecycle=messages.Lifecycle.SERVING)
-            self.heart.broadcast()
+            self.heartbeats.broadcast()
 
-    def take_servers(self) -> None:
+    def apply_server_list(self) -> None:
         """Put a new list of backend servers in force."""
         self.pools.refresh()
         self.dispatcher.reconfigure()
@@ -251,20 +255,21 @@
         if changed:
             log.warning("{} change at the next start only", ", ".join(changed))
         self.settings = found
-        self.heart.seeds = tuple(endpoint.parse(seed) for seed in found.seeds)
-        for seed in self.heart.seeds:
-            self.heart.add_peer(seed)
-        self.ingress.services.budget.allowance = parts.allowance_of(found)
+        self.heartbeats.seeds = tuple(endpoint.parse(seed) for seed in found.seeds)
+        for seed in self.heartbeats.seeds:
+            self.heartbeats.add_peer(seed)
+        self.ingress.services.budget.allowance = factories.retry_allowance(found)
         self.limits.slack = found.account_limits.slack
         self.members.update_own(
-            strength=parts.strength_of(found), link_class=parts.room_of(found)
+            strength=factories.processor_class_of(found),
+            link_class=factories.link_class_of(found),
         )
         self.directory.ttl_seconds = found.leaving.directory_ttl_seconds
         log.info("settings read again: {}", "changed" if before != found else "alike")
 
-    def show_dropped_lines(self, count: Callable[[], int]) -> None:
+    def register_dropped_lines(self, count: Callable[[], int]) -> None:
         """Add the log lines that were not written to the metrics."""
-        self.figures.watch(
+        self.metrics.add_observable_counter(
             "tealcove.log.dropped_lines",
             "Log lines beyond the bound, which were not written.",
             count,
@@ -290,12 +295,12 @@
         began = clock.now()
         log.info("leaves: {} requests in progress", len(self.ingress.in_progress))
         self.members.update_own(lifecycle=messages.Lifecycle.LEAVING)
-        self.heart.broadcast()
+        self.heartbeats.broadcast()
         self.ingress.is_leaving = True
         leaving = self.settings.leaving
-        await asyncio.sleep(LONGEST_KEPT * leaving.directory_ttl_seconds)
+        await asyncio.sleep(MAX_TTL_FACTOR * leaving.directory_ttl_seconds)
         self.ingress.is_closed = True
-        end = began + leaving.grace_seconds - END_MARGIN
+        end = began + leaving.grace_seconds - KILL_MARGIN
         while self.ingress.in_progress and clock.now() < end:
             await asyncio.wait(set(self.ingress.in_progress), timeout=end - clock.now())
         log.info("stops: {} requests broken off", len(self.ingress.in_progress))
@@ -309,7 +314,7 @@
             await runner.cleanup()
         await self.following.stop()
         await self.sharing.stop()
-        await self.heart.stop()
+        await self.heartbeats.stop()
         await self.rollouts.stop()
         await self.dispatcher.stop()
         await self.quarantine.stop()
--- a/src/tealcove/front/metrics.py
+++ b/src/tealcove/front/metrics.py
@@ -56,31 +56,33 @@
         found.sum += amount
 
 
-class Figures(measuring.Source, probes.Shown):
+class Registry(measuring.Source, probes.MetricsExporter):
     """All metrics of one instance, and no traces."""
 
     def __init__(self) -> None:
         self.counters: list[Counter] = []
         self.histograms: list[Histogram] = []
         # Counters that are read off a role when somebody looks, with what they are.
-        self.watched: list[tuple[str, str, Callable[[], float]]] = []
+        self.observable_counters: list[tuple[str, str, Callable[[], float]]] = []
 
-    def count(self, name: str, description: str) -> Counter:
+    def counter(self, name: str, description: str) -> Counter:
         """See Source."""
         self.counters.append(Counter(name, description))
         return self.counters[-1]
 
-    def seconds(self, name: str, description: str) -> Histogram:
+    def histogram(self, name: str, description: str) -> Histogram:
         """See Source."""
         self.histograms.append(Histogram(name, description))
         return self.histograms[-1]
 
-    def watch(self, name: str, description: str, read: Callable[[], float]) -> None:
+    def add_observable_counter(
+        self, name: str, description: str, read: Callable[[], float]
+    ) -> None:
         """Show a number that a role counts itself, and that only grows."""
-        self.watched.append((name, description, read))
+        self.observable_counters.append((name, description, read))
 
     def metrics_text(self) -> bytes:
-        """See Shown."""
+        """See MetricsExporter."""
         # Imported here, since few instances are ever looked at before they have
         # answered their first requests.
         import prometheus_client
@@ -93,25 +95,25 @@
         """Yield the metrics as the library of Prometheus has them."""
         from prometheus_client import core
 
-        for name, description, read in self.watched:
-            yield core.CounterMetricFamily(exported(name), description, read())
+        for name, description, read in self.observable_counters:
+            yield core.CounterMetricFamily(exposed_name(name), description, read())
         for counter in self.counters:
             family = core.CounterMetricFamily(
-                exported(counter.name), counter.description
+                exposed_name(counter.name), counter.description
             )
             for labels, value in counter.values.items():
                 family.add_sample(f"{family.name}_total", dict(labels), value)
             yield family
         for histogram in self.histograms:
             family = core.HistogramMetricFamily(
-                f"{exported(histogram.name)}_seconds", histogram.description
+                f"{exposed_name(histogram.name)}_seconds", histogram.description
             )
             for labels, series in histogram.series.items():
                 add_series(family, dict(labels), series)
             yield family
 
 
-def exported(name: str) -> str:
+def exposed_name(name: str) -> str:
     """Return the name under which a metric is shown."""
     return name.replace(".", "_")
 
--- a/src/tealcove/front/tests/test_daemon.py
+++ b/src/tealcove/front/tests/test_daemon.py
@@ -16,14 +16,14 @@
 }
 
 
-class Running:
-    """Stands for an instance: it remembers the settings that it's given."""
+class FakeInstance:
+    """Stands for an instance: it remembers the settings that it's applied."""
 
     def __init__(self) -> None:
-        self.given: list[settings.FrontSettings] = []
+        self.applied: list[settings.FrontSettings] = []
 
     def reload(self, found: settings.FrontSettings) -> None:
-        self.given.append(found)
+        self.applied.append(found)
 
 
 def write(path: pathlib.Path, **changes: object) -> None:
@@ -37,8 +37,8 @@
     path.write_bytes(msgspec.json.encode(found))
 
 
-def reloader(path: pathlib.Path) -> tuple[daemon.Reloader, Running]:
-    running = Running()
+def reloader(path: pathlib.Path) -> tuple[daemon.Reloader, FakeInstance]:
+    running = FakeInstance()
     handler = logs.JsonHandler(settings.load(str(path)))
     return daemon.Reloader(str(path), running, handler), running
 
@@ -53,11 +53,11 @@
     write(path, repeats={"slack": 7}, log={"level": "error"})
     async with asyncio.timeout(30):
         while True:
-            if running.given:
+            if running.applied:
                 break
             await asyncio.sleep(0.01)
     task.cancel()
-    assert running.given[0].repeats.slack == 7
+    assert running.applied[0].repeats.slack == 7
     assert found.handler.lowest == logs.LEVELS[settings.settings.Level.ERROR]
 
 
@@ -76,7 +76,7 @@
         found.reload()
     path.unlink()
     found.reload()
-    assert running.given == []
+    assert running.applied == []
 
 
 def test_the_deploy_template_names_only_known_settings() -> None:
--- a/src/tealcove/front/tests/test_factories.py
+++ b/src/tealcove/front/tests/test_factories.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tealcove.front import parts, settings
+from tealcove.front import factories, settings
 from tealcove.front.tests import test_daemon
 
 
@@ -19,4 +19,4 @@
 ) -> None:
     path = tmp_path / "instance.json"
     test_daemon.write(path, machine={"cores": cores, "share": share})
-    assert parts.strength_of(settings.load(str(path))) == strength
+    assert factories.processor_class_of(settings.load(str(path))) == strength
--- a/src/tealcove/front/tests/test_metrics.py
+++ b/src/tealcove/front/tests/test_metrics.py
@@ -4,12 +4,12 @@
 
 from prometheus_client import parser
 
-from tealcove.front import figures
+from tealcove.front import metrics
 from tealcove.ingress import observer
 from tealcove.tests import builders
 
 
-def samples(found: figures.Figures) -> dict[tuple[str, str], float]:
+def samples(found: metrics.Registry) -> dict[tuple[str, str], float]:
     """Return all shown values by name and bound, as a scraper reads them."""
     families = parser.text_string_to_metric_families(found.metrics_text().decode())
     return {
@@ -28,7 +28,7 @@
 
 
 def test_requests_are_shown_by_how_long_they_took():
-    found = figures.Figures()
+    found = metrics.Registry()
     seen = observer.Observer(found)
     observed(seen)
     observed(seen)
@@ -47,8 +47,8 @@
 
 
 def test_series_differ_by_labels():
-    found = figures.Figures()
-    counter = found.count("tealcove.some", "Some.")
+    found = metrics.Registry()
+    counter = found.counter("tealcove.some", "Some.")
     counter.add(1, {"route": "a"})
     counter.add(2, {"route": "b"})
     text = found.metrics_text().decode()
@@ -57,9 +57,11 @@
 
 
 def test_what_a_role_counts_is_read_at_each_look():
-    found = figures.Figures()
+    found = metrics.Registry()
     dropped = [3.0]
-    found.watch("tealcove.log.dropped_lines", "Lines.", lambda: dropped[0])
+    found.add_observable_counter(
+        "tealcove.log.dropped_lines", "Lines.", lambda: dropped[0]
+    )
     assert samples(found)["tealcove_log_dropped_lines_total", ""] == 3.0
     dropped[0] = 5.0
     assert samples(found)["tealcove_log_dropped_lines_total", ""] == 5.0
@@ -72,7 +74,7 @@
     are shown without the SDK. Cause: names and bounds differ from what it shows.
     """
     exported = builders.telemetry()
-    found = figures.Figures()
+    found = metrics.Registry()
     for source in (exported, found):
         observed(observer.Observer(source))
     by_sdk = parser.text_string_to_metric_families(exported.metrics_text().decode())
--- a/src/tealcove/gauges.py
+++ b/src/tealcove/gauges.py
@@ -20,7 +20,7 @@
 from tealcove.resources import copy
 
 Read = Callable[[], float]
-ReadAll = Callable[[], Iterable[metrics.Observation]]
+ReadObservations = Callable[[], Iterable[metrics.Observation]]
 
 
 class Gauges:
@@ -29,11 +29,13 @@
     def __init__(self, meter: metrics.Meter) -> None:
         self.meter = meter
 
-    def count(self, name: str, description: str, read: Read, unit: str = "") -> None:
+    def add_counter(
+        self, name: str, description: str, read: Read, unit: str = ""
+    ) -> None:
         """Add a number that only grows."""
         self.meter.create_observable_counter(name, one(read), unit, description)
 
-    def level(self, name: str, description: str, read: ReadAll) -> None:
+    def add_gauge(self, name: str, description: str, read: ReadObservations) -> None:
         """Add numbers that go up and down."""
 
         def observe(_: metrics.CallbackOptions) -> Iterable[metrics.Observation]:
@@ -43,16 +45,16 @@
 
     def add_mesh(self, transport: mesh.Mesh) -> None:
         """Show the messages between instances."""
-        self.count(
+        self.add_counter(
             "tealcove.mesh.sent", "Messages sent to peers.", lambda: transport.sent
         )
-        self.count(
+        self.add_counter(
             "tealcove.mesh.sent_bytes",
             "Bytes of messages sent to peers.",
             lambda: transport.sent_bytes,
             "By",
         )
-        self.count(
+        self.add_counter(
             "tealcove.mesh.dropped",
             "Messages dropped since a peer's queue was full.",
             lambda: transport.dropped,
@@ -60,10 +62,10 @@
 
     def add_platform(self, platform: store.StoreClient) -> None:
         """Show the calls to the platform."""
-        self.count(
+        self.add_counter(
             "tealcove.platform.calls", "Calls to the platform.", lambda: platform.calls
         )
-        self.count(
+        self.add_counter(
             "tealcove.platform.failures",
             "Calls to the platform that got no usable reply.",
             lambda: platform.failures,
@@ -80,11 +82,11 @@
                 for lifecycle, number in found.items()
             ]
 
-        self.level("tealcove.members", "Instances alive, by lifecycle.", read)
+        self.add_gauge("tealcove.members", "Instances alive, by lifecycle.", read)
 
     def add_configuration(self, resources: copy.ConfigurationCopy) -> None:
         """Show which revision is in force here."""
-        self.level(
+        self.add_gauge(
             "tealcove.configuration.revision",
             "Revision of the resources in force on this instance.",
             lambda: [metrics.Observation(resources.current.revision)],
@@ -99,16 +101,18 @@
                 for cell, held in list(dispatcher.held.items())
             ]
 
-        self.level(
+        self.add_gauge(
             "tealcove.tickets.queued", "Tickets that wait, by cell.", lambda: read(0)
         )
-        self.level(
+        self.add_gauge(
             "tealcove.tickets.running",
             "Tickets that hold a slot, by cell.",
             lambda: read(1),
         )
-        self.count("tealcove.grants", "Slots granted.", lambda: dispatcher.granted)
-        self.count(
+        self.add_counter(
+            "tealcove.grants", "Slots granted.", lambda: dispatcher.granted
+        )
+        self.add_counter(
             "tealcove.preemptions",
             "Running requests told to stop for a higher tier.",
             lambda: dispatcher.preempted,
@@ -116,7 +120,7 @@
 
     def add_requester(self, tickets: requester.Requester) -> None:
         """Show what this instance did with its grants."""
-        self.count(
+        self.add_counter(
             "tealcove.grants.declined",
             "Grants given back since their backend servers have left.",
             lambda: tickets.declined,
@@ -124,12 +128,12 @@
 
     def add_claims(self, claims: writer.Writer) -> None:
         """Show what this instance wrote of claims; one by the other is a batch."""
-        self.count(
+        self.add_counter(
             "tealcove.claims.committed",
             "Changes of claims committed.",
             lambda: claims.committed,
         )
-        self.count(
+        self.add_counter(
             "tealcove.claims.batches",
             "Transactions that committed claims.",
             lambda: claims.batches,
--- a/src/tealcove/ingress/observer.py
+++ b/src/tealcove/ingress/observer.py
@@ -21,16 +21,16 @@
     """The metrics of an ingress: few, since each costs time at every request."""
 
     def __init__(self, source: measuring.Source | None = None) -> None:
-        source = source or measuring.Nothing()
-        self.requests = source.count(
+        source = source or measuring.NoOpSource()
+        self.requests = source.counter(
             "tealcove.ingress.requests",
             "Requests answered, by route and how they ended.",
         )
-        self.first_events = source.seconds(
+        self.first_events = source.histogram(
             "tealcove.ingress.time_to_first_event",
             "From a request's arrival to its stream's first event.",
         )
-        self.durations = source.seconds(
+        self.durations = source.histogram(
             "tealcove.ingress.duration",
             "From a request's arrival to the end of its answer.",
         )
--- a/src/tealcove/linelimit.py
+++ b/src/tealcove/linelimit.py
@@ -6,7 +6,7 @@
 import os
 
 # Bytes that wait for a slow reader; what comes beyond is dropped.
-MOST_WAITING = 256 * 1024
+MAX_BUFFERED_BYTES = 256 * 1024
 
 
 class Weight(enum.IntEnum):
@@ -26,8 +26,8 @@
 class LineLimit:
     """Counts lines by the second, and what had to be dropped."""
 
-    def __init__(self, most_per_second: int) -> None:
-        self.most = most_per_second
+    def __init__(self, max_per_second: int) -> None:
+        self.max_per_second = max_per_second
         self.second = 0
         self.used = 0
         self.dropped = 0
@@ -38,8 +38,8 @@
         if second != self.second:
             self.second = second
             self.used = 0
-        most = weight * self.most
-        if self.used >= most:
+        allowed = weight * self.max_per_second
+        if self.used >= allowed:
             self.dropped += 1
             return False
         self.used += 1
@@ -56,22 +56,22 @@
     def __init__(self, descriptor: int) -> None:
         self.descriptor = descriptor
         os.set_blocking(descriptor, False)
-        self.waiting = b""
+        self.buffer = b""
 
     def write(self, line: bytes) -> bool:
         """Write a line, or keep it for later; False: there's no room for it."""
-        if len(self.waiting) + len(line) > MOST_WAITING:
+        if len(self.buffer) + len(line) > MAX_BUFFERED_BYTES:
             self.flush()
-            if len(self.waiting) + len(line) > MOST_WAITING:
+            if len(self.buffer) + len(line) > MAX_BUFFERED_BYTES:
                 return False
-        self.waiting += line
+        self.buffer += line
         self.flush()
         return True
 
     def flush(self) -> None:
         """Write what the reader takes now."""
         try:
-            written = os.write(self.descriptor, self.waiting)
+            written = os.write(self.descriptor, self.buffer)
         except BlockingIOError:
             return
-        self.waiting = self.waiting[written:]
+        self.buffer = self.buffer[written:]
--- a/src/tealcove/listener.py
+++ b/src/tealcove/listener.py
@@ -24,17 +24,17 @@
 # processes were killed, and their peers heard no farewell. 0 would mean no bound.
 STOP_SECONDS = 0.05
 # Headers of one request at the most; each may be as long as all together.
-MOST_HEADERS = 64
+MAX_HEADERS = 64
 # Connections beyond the bound that still get an answer that says so. Those beyond
 # these too are closed at once.
-ANSWERED_BEYOND = 64
+REJECTED_CONNECTIONS = 64
 RETRY_AFTER = 1.0
 # Bytes that a header takes beside its name and value.
-SEPARATORS = 4
+SEPARATOR_BYTES = 4
 # Looks at a caller that reads nothing, in the time that it's given.
-LOOKS = 8
+CHECKS_PER_TIMEOUT = 8
 # What must be answered to tell the state of a crowded instance.
-ALWAYS = ("/healthz", "/readyz", "/metrics")
+PROBE_PATHS = ("/healthz", "/readyz", "/metrics")
 
 Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 
@@ -86,7 +86,7 @@
         refused = problem.rejected(
             status,
             "The request can't be read",
-            f"Send HTTP/1.1, with at most {MOST_HEADERS} headers and {most} bytes in "
+            f"Send HTTP/1.1, with at most {MAX_HEADERS} headers and {most} bytes in "
             "the longest line.",
         )
         return closing(refused)
@@ -145,14 +145,14 @@
             lingering_time=min(10.0, self.limits.idle_seconds),
             max_line_size=self.limits.header_bytes,
             max_field_size=self.limits.header_bytes,
-            max_headers=MOST_HEADERS,
+            max_headers=MAX_HEADERS,
             auto_decompress=self.decompresses,
         )
 
     def add(self, connection: Connection, transport: asyncio.Transport) -> None:
         """Take in a connection, or close it when there are far too many."""
         most = self.limits.connections
-        if len(self.open) >= most + ANSWERED_BEYOND:
+        if len(self.open) >= most + REJECTED_CONNECTIONS:
             transport.abort()
             return
         connection.is_beyond = len(self.open) >= most
@@ -171,7 +171,7 @@
     def check_connection(self, request: web.Request) -> None:
         """Raise ProblemError on a connection too many, unless it's a look at us."""
         connection = request.protocol
-        if request.path in ALWAYS or not getattr(connection, "is_beyond", False):
+        if request.path in PROBE_PATHS or not getattr(connection, "is_beyond", False):
             return
         raise problem.not_run(
             messages.RefusalReason.OVERLOAD,
@@ -182,7 +182,10 @@
     def check_headers(self, request: web.Request) -> None:
         """Raise ProblemError for headers that are too long together."""
         most = self.limits.header_bytes
-        if sum(len(n) + len(v) + SEPARATORS for n, v in request.raw_headers) > most:
+        if (
+            sum(len(n) + len(v) + SEPARATOR_BYTES for n, v in request.raw_headers)
+            > most
+        ):
             raise problem.rejected(
                 431, "The headers are too long", f"Send at most {most} bytes of them."
             )
@@ -190,7 +193,7 @@
     async def sweep(self) -> None:
         """Break connections whose callers leave their answers unread."""
         while True:
-            await asyncio.sleep(self.limits.idle_seconds / LOOKS)
+            await asyncio.sleep(self.limits.idle_seconds / CHECKS_PER_TIMEOUT)
             self.drop_unread(clock.now())
 
     def drop_unread(self, now: ids.Instant) -> None:
--- a/src/tealcove/logs.py
+++ b/src/tealcove/logs.py
@@ -76,7 +76,7 @@
         return msgspec.json.encode(line)
 
 
-class BoundedHandler(JsonHandler):
+class RateLimitedHandler(JsonHandler):
     """Writes so many lines a second at the most, and never waits for a reader.
 
     What is dropped is counted: `dropped` is shown among the metrics, and the next
@@ -84,12 +84,12 @@
     """
 
     def __init__(
-        self, found: settings.Settings, descriptor: int, most_per_second: int
+        self, found: settings.Settings, descriptor: int, max_per_second: int
     ) -> None:
         super().__init__(found)
-        self.limit = linelimit.LineLimit(most_per_second)
+        self.limit = linelimit.LineLimit(max_per_second)
         self.writer = linelimit.LineWriter(descriptor)
-        self.told = 0
+        self.reported = 0
 
     @property
     def dropped(self) -> int:
@@ -101,9 +101,9 @@
         if not self.limit.admits(weight_of(record), clock.now()):
             return
         line = self.encode(record)
-        if self.limit.dropped > self.told:
-            missing = self.limit.dropped - self.told
-            self.told = self.limit.dropped
+        if self.limit.dropped > self.reported:
+            missing = self.limit.dropped - self.reported
+            self.reported = self.limit.dropped
             line = line[:-1] + f',"dropped_before":{missing}}}'.encode()
         if not self.writer.write(line + b"\n"):
             self.limit.dropped += 1
@@ -118,9 +118,11 @@
     return linelimit.Weight.PLAIN
 
 
-def install_bounded(found: settings.Settings, most_per_second: int) -> BoundedHandler:
+def install_rate_limited(
+    found: settings.Settings, max_per_second: int
+) -> RateLimitedHandler:
     """Send all records to a bounded handler on standard output, and return it."""
-    handler = BoundedHandler(found, sys.stdout.fileno(), most_per_second)
+    handler = RateLimitedHandler(found, sys.stdout.fileno(), max_per_second)
     return push(handler)
 
 
--- a/src/tealcove/measuring.py
+++ b/src/tealcove/measuring.py
@@ -32,15 +32,15 @@
     tracing = False
 
     @abc.abstractmethod
-    def count(self, name: str, description: str) -> Counter:
+    def counter(self, name: str, description: str) -> Counter:
         """Return a counter."""
 
     @abc.abstractmethod
-    def seconds(self, name: str, description: str) -> Histogram:
+    def histogram(self, name: str, description: str) -> Histogram:
         """Return a histogram of seconds."""
 
 
-class Unseen(Counter, Histogram):
+class NoOpMetric(Counter, Histogram):
     """A metric that nobody looks at."""
 
     def add(self, amount: float, attributes: dict[str, str]) -> None:
@@ -50,13 +50,13 @@
         """See Histogram."""
 
 
-class Nothing(Source):
+class NoOpSource(Source):
     """Measures nothing."""
 
-    def count(self, name: str, description: str) -> Counter:
+    def counter(self, name: str, description: str) -> Counter:
         """See Source."""
-        return Unseen()
+        return NoOpMetric()
 
-    def seconds(self, name: str, description: str) -> Histogram:
+    def histogram(self, name: str, description: str) -> Histogram:
         """See Source."""
-        return Unseen()
+        return NoOpMetric()
--- a/src/tealcove/probes.py
+++ b/src/tealcove/probes.py
@@ -12,7 +12,7 @@
 NOT_READY = 503
 
 
-class Shown(abc.ABC):
+class MetricsExporter(abc.ABC):
     """What has metrics to show."""
 
     @abc.abstractmethod
@@ -23,9 +23,9 @@
 class Probes:
     """Handlers that need no key, and tell nothing about callers."""
 
-    def __init__(self, known: members.Members, shown: Shown) -> None:
+    def __init__(self, known: members.Members, exporter: MetricsExporter) -> None:
         self.members = known
-        self.shown = shown
+        self.exporter = exporter
 
     def routes(self) -> list[web.RouteDef]:
         """Return the handlers to mount."""
@@ -48,4 +48,4 @@
 
     async def metrics(self, request: web.Request) -> web.Response:
         """Show all metrics in Prometheus' text form."""
-        return web.Response(body=self.shown.metrics_text())
+        return web.Response(body=self.exporter.metrics_text())
--- a/src/tealcove/readiness.py
+++ b/src/tealcove/readiness.py
@@ -22,20 +22,20 @@
     def __init__(
         self,
         known: members.Members,
-        beats: heartbeats.HeartbeatService,
+        service: heartbeats.HeartbeatService,
         configured: configuration.ConfigurationRole,
     ) -> None:
         self.members = known
-        self.heart = beats
+        self.heartbeats = service
         self.configuration = configured
 
     async def run(self) -> None:
         """Look again and again until cancelled."""
         while True:
-            self.look(clock.now())
+            self.update(clock.now())
             await asyncio.sleep(INTERVAL)
 
-    def look(self, now: ids.Instant) -> None:
+    def update(self, now: ids.Instant) -> None:
         """Accept requests while the configuration may be relied on."""
         lifecycle = self.members.own.lifecycle
         if lifecycle not in (messages.Lifecycle.JOINING, messages.Lifecycle.SERVING):
@@ -46,7 +46,7 @@
         if wanted is not lifecycle:
             LOG.info("{}", wanted.value)
             self.members.update_own(lifecycle=wanted)
-            self.heart.broadcast()
+            self.heartbeats.broadcast()
 
     def may_serve(self, lifecycle: messages.Lifecycle, now: ids.Instant) -> bool:
         """Tell whether to accept: fully up to date at first, not isolated later."""
--- a/src/tealcove/telemetry.py
+++ b/src/tealcove/telemetry.py
@@ -37,11 +37,11 @@
         self.tracer: trace.Tracer = trace.NoOpTracer()
         self.tracing = False
 
-    def count(self, name: str, description: str) -> measuring.Counter:
+    def counter(self, name: str, description: str) -> measuring.Counter:
         """See measuring.Source."""
         return self.meter.create_counter(name, description=description)
 
-    def seconds(self, name: str, description: str) -> measuring.Histogram:
+    def histogram(self, name: str, description: str) -> measuring.Histogram:
         """See measuring.Source."""
         return self.meter.create_histogram(
             name,
@@ -50,7 +50,7 @@
             explicit_bucket_boundaries_advisory=measuring.SECONDS_BOUNDS,
         )
 
-    def step(
+    def child_span(
         self, name: str, **attributes: str
     ) -> contextlib.AbstractContextManager[trace.Span | None]:
         """Return a span within the current one; None when that isn't recorded."""
--- a/src/tealcove/tests/test_linelimit.py
+++ b/src/tealcove/tests/test_linelimit.py
@@ -31,11 +31,11 @@
     taken = 0
     while writer.write(line):
         taken += 1
-    assert taken * len(line) > linelimit.MOST_WAITING
+    assert taken * len(line) > linelimit.MAX_BUFFERED_BYTES
     os.set_blocking(reading, False)
     # What was taken comes out whole and in order once somebody reads again.
     content = b""
-    while writer.waiting:
+    while writer.buffer:
         content += os.read(reading, 1 << 20)
         writer.flush()
     content += os.read(reading, 1 << 20)
--- a/src/tealcove/tests/test_listener.py
+++ b/src/tealcove/tests/test_listener.py
@@ -162,12 +162,12 @@
         await until(lambda: len(server.open) == 1)
         idle = [
             await asyncio.open_connection(HOST, port)
-            for _ in range(listener.ANSWERED_BEYOND)
+            for _ in range(listener.REJECTED_CONNECTIONS)
         ]
         beyond, last = await asyncio.open_connection(HOST, port)
         with contextlib.suppress(ConnectionError):
             assert await beyond.read() == b""
-        assert len(server.open) == 1 + listener.ANSWERED_BEYOND
+        assert len(server.open) == 1 + listener.REJECTED_CONNECTIONS
         for writer in (first, last, *(writer for _, writer in idle)):
             writer.close()
         await until(lambda: not server.open)
