--- a/src/tealcove/daemon.py
+++ b/src/tealcove/daemon.py
@@ -1,4 +1,4 @@
-"""One instance: its roles put together, from start to a graceful end."""
+"""One instance: creates its roles, starts them and shuts them down gracefully."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 
 class Instance:
-    """All that one process does; several may live in one process."""
+    """Runs all roles of an instance; one process may run several instances."""
 
     def __init__(
         self,
@@ -61,7 +61,7 @@
         self.http_port = found.http.port
 
     async def start(self) -> None:
-        """Start all roles; accepts requests once the configuration is here."""
+        """Start all roles; accepts requests once a configuration is loaded."""
         found = self.settings
         self.platform = store.StoreClient(
             found.platform.url,
@@ -114,7 +114,7 @@
         )
 
     def start_roles(self) -> None:
-        """Start all roles, each after those that it asks."""
+        """Start all roles, each after those that it depends on."""
         self.start_configuration()
         self.start_dispatcher()
         self.start_claims()
@@ -129,7 +129,7 @@
         self.stewards.start()
 
     def start_configuration(self) -> None:
-        """Start the configuration, and what decides by account and content."""
+        """Start the configuration, the quarantine and the limits."""
         self.configuration = configuration.ConfigurationRole(
             self.settings, self.rows, self.objects, self.mesh, self.members
         )
@@ -147,7 +147,7 @@
         self.limits.start()
 
     def start_dispatcher(self) -> None:
-        """Start the dispatcher, and the side that asks dispatchers."""
+        """Start the dispatcher and the requester, which sends tickets to dispatchers."""
         self.spread = spread.Spread(self.configuration.copy, self.delay_to)
         self.dispatcher = role.Dispatcher(
             self.mesh,
@@ -171,7 +171,7 @@
         self.tickets.listeners.append(self.quarantine.record_end)
 
     def start_entry(self) -> None:
-        """Make the entry; the listener starts it."""
+        """Create the entry, which the HTTP listener serves."""
         self.entry = http.Entry(
             self.settings,
             self.configuration.copy,
@@ -187,7 +187,7 @@
         self.configuration.copy.subscribe(self.apply_configuration)
 
     def start_claims(self) -> None:
-        """Start the writer of claims, and the side that takes them."""
+        """Start the writer of claims and the claimer."""
         found = self.settings.claims
         self.claim_writer = writer.Writer(
             self.mesh, self.members, self.rows, found.batch_interval
@@ -197,7 +197,7 @@
         self.claims.start()
 
     def start_witness(self) -> witness_role.Witness | None:
-        """Start to keep records for other entries; None: it's switched off."""
+        """Start the witness, which keeps records for other entries; None if disabled."""
         timeout = self.settings.dispatch.witness_timeout
         if not timeout:
             return None
@@ -206,7 +206,7 @@
         return found
 
     def register_metrics(self) -> None:
-        """Add what the roles count to the metrics."""
+        """Register the metrics of all roles."""
         instruments = gauges.Gauges(self.telemetry.meter)
         instruments.add_mesh(self.mesh)
         instruments.add_platform(self.platform)
@@ -222,7 +222,7 @@
         app = web.Application(client_max_size=limits.body_bytes)
         app.add_routes(self.configuration.routes())
         app.add_routes(probes.Probes(self.members, self.telemetry).routes())
-        # The entry comes last: it takes every path that no other role serves.
+        # The entry comes last: it handles every path that no other role serves.
         app.add_routes(self.entry.routes())
         self.listener = listener.Listener(app, limits)
         host = str(self.settings.http.host)
@@ -251,23 +251,23 @@
         return None if found is None else limit.of_spec(found.spec)
 
     def delay_to(self, other: ids.DataCentreId) -> float:
-        """Return the delay in seconds to a data centre; unknown ones are far."""
+        """Return the delay in seconds to a data centre; infinite if unknown."""
         delay = self.settings.delay_to(other)
         return math.inf if delay is None else delay
 
     def apply_configuration(
         self, previous: copy.Configuration, current: copy.Configuration
     ) -> None:
-        """Put a new revision in force in all roles, and tell the peers."""
+        """Apply a new revision in all roles and broadcast it to the peers."""
         self.dispatcher.reconfigure()
         self.members.update_own(revision=current.revision)
         self.heartbeats.broadcast()
 
     async def leave(self) -> None:
-        """Leave gracefully: no request in progress is cut off.
+        """Shut down gracefully: let requests in progress finish.
 
-        Callers keep an answer of /v1/entry-points for a while, so the instance
-        still accepts until the last answer that names it has run out.
+        Callers cache the answers of /v1/entry-points, so the instance accepts
+        requests until the last answer that names it has expired.
         """
         self.members.update_own(lifecycle=messages.Lifecycle.LEAVING)
         self.heartbeats.broadcast()
@@ -299,7 +299,7 @@
 
 
 async def serve(found: settings.Settings) -> None:
-    """Run an instance until SIGTERM or SIGINT, then let it leave gracefully."""
+    """Run an instance until SIGTERM or SIGINT, then shut it down gracefully."""
     logs.install(found)
     stopping = asyncio.Event()
     loop = asyncio.get_running_loop()
--- a/src/tealcove/front/__init__.py
+++ b/src/tealcove/front/__init__.py
@@ -1,1 +1,1 @@
-"""An instance on the users' platform: its settings, its roles, its life."""
+"""An instance on the users' platform: settings, roles, start and shutdown."""
--- a/src/tealcove/front/__main__.py
+++ b/src/tealcove/front/__main__.py
@@ -1,7 +1,7 @@
 """Runs one instance: `python -m tealcove.front --settings FILE`.
 
-The same as `tealcove front`, without the command line's parts: callers wait for their
-import when all instances have ended at once.
+Does the same as `tealcove front` without importing the command line: after all
+instances were killed at once, callers wait for these imports.
 """
 
 from __future__ import annotations
@@ -10,8 +10,8 @@
 import os
 import sys
 
-# All that the imports make stays to the end; looking through it for garbage again and
-# again would be a tenth of the start.
+# The objects that imports create live until the process ends; garbage collections
+# during the imports would take a tenth of the start time.
 gc.disable()
 
 from tealcove.front import archive  # noqa: E402
@@ -19,9 +19,9 @@
 FOLDER = os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
 archive.install(FOLDER)
 
-# Importing the HTTP library makes a TLS context with all certificates of the machine,
-# although an instance speaks no TLS. While it's imported, OpenSSL is shown a file
-# without any.
+# Importing aiohttp creates a TLS context that loads all certificates of the machine,
+# although an instance doesn't use TLS. During the import, OpenSSL is pointed to an
+# empty file.
 CERTIFICATES = "SSL_CERT_FILE"
 certificates = os.environ.get(CERTIFICATES)
 os.environ[CERTIFICATES] = os.devnull
@@ -37,9 +37,9 @@
 else:
     os.environ[CERTIFICATES] = certificates
 
-# Objects made, and looks taken, between two looks for garbage of each age. By Python's
-# own (700, 10, 10) an instance at work looks several hundred times a second, and finds
-# next to nothing: what a request leaves behind goes with its last reference.
+# Thresholds of the garbage collector's three generations. With Python's default
+# (700, 10, 10), a busy instance runs several hundred collections a second that free
+# almost nothing: the objects of a request are freed by reference counting.
 GARBAGE_THRESHOLDS = (20_000, 20, 20)
 
 USAGE = "usage: python -m tealcove.front --settings FILE"
@@ -53,8 +53,8 @@
         case _:
             print(USAGE, file=sys.stderr)
             return exits.Code.USAGE
-    # Objects of the imports are left out of all later looks for garbage, too: every
-    # caller waits for as long as a whole one takes.
+    # Excludes the imported objects from all later collections: a full collection
+    # blocks every request while it runs.
     gc.freeze()
     gc.set_threshold(*GARBAGE_THRESHOLDS)
     gc.enable()
--- a/src/tealcove/front/archive.py
+++ b/src/tealcove/front/archive.py
@@ -1,11 +1,11 @@
-"""All modules of an instance in one file, which its start reads at once.
+"""An archive of all modules of an instance, read in one call at its start.
 
-An instance imports some 600 modules. Python looks each of them up in several folders,
+An instance imports some 600 modules. Python searches several folders for each of them,
 opens it and compares it with its source: 9,000 system calls before the first request
-is taken, for which callers wait when all instances have ended at once.
+is accepted. After all instances were killed at once, callers wait for them.
 
 `python -m tealcove.front.archive FOLDER` writes the archive of the modules that are
-installed in FOLDER. Whoever changes a module there writes it anew.
+installed in FOLDER. It must be written again after a module there has changed.
 """
 
 from __future__ import annotations
@@ -20,27 +20,28 @@
 
 NAME = "modules.archive"
 PROGRAM = "tealcove.front.daemon"
-# The standard library isn't in the same folder on every machine.
+# The folder of the standard library, which differs between machines.
 LIBRARY = os.path.dirname(os.__file__)
 USAGE = "usage: python -m tealcove.front.archive FOLDER"
 
 
 class Entry(NamedTuple):
-    """One module; written as a plain tuple."""
+    """A module of the archive; stored as a plain tuple."""
 
     is_package: bool
     is_library: bool
-    # Relative to the standard library's folder, or else to the archive's.
+    # Path relative to the standard library's folder if `is_library`, else to the
+    # archive's.
     file: str
-    # As `marshal` writes it.
+    # The code object, serialised by `marshal`.
     code: bytes
 
 
 class Finder:
     """Finds and loads the modules of an archive, each once.
 
-    An importlib.abc.MetaPathFinder and Loader, though not by descent: that module
-    brings a dozen others, and is the first that an instance would load.
+    Implements importlib.abc.MetaPathFinder and Loader without deriving from them:
+    importing importlib.abc loads a dozen other modules before the archive is usable.
     """
 
     def __init__(self, folder: str, entries: dict[str, Entry]) -> None:
@@ -50,7 +51,7 @@
     def find_spec(
         self, name: str, path: object = None, target: object = None
     ) -> machinery.ModuleSpec | None:
-        """See importlib.abc.MetaPathFinder; None: it isn't in the archive."""
+        """Return a module's spec; None if it isn't in the archive."""
         found = self.entries.get(name)
         if found is None:
             return None
@@ -58,25 +59,25 @@
         spec = machinery.ModuleSpec(
             name, self, origin=origin, is_package=found.is_package
         )
-        # Gives the module its __file__, by which some find data beside them.
+        # Sets the module's __file__, which some modules use to find data files.
         spec.has_location = True
         if found.is_package:
             spec.submodule_search_locations = [os.path.dirname(origin)]
         return spec
 
     def create_module(self, spec: machinery.ModuleSpec) -> None:
-        """See importlib.abc.Loader; the usual module will do."""
+        """Return None for the default module object; see importlib.abc.Loader."""
 
     def exec_module(self, module: ModuleType) -> None:
-        """See importlib.abc.Loader."""
+        """Run a module's code and drop it from the archive."""
         exec(marshal.loads(self.entries.pop(module.__name__).code), module.__dict__)
 
 
 def install(folder: str) -> None:
     """Load modules from a folder's archive from now on.
 
-    Without an archive, or with one of another Python or a part of one, they're loaded
-    from their files.
+    If the archive is missing, truncated or written by another version of Python,
+    modules are loaded from their files.
     """
     try:
         entries = read(os.path.join(folder, NAME))
@@ -86,18 +87,18 @@
 
 
 def read(path: str) -> dict[str, Entry]:
-    """Return what an archive holds; raises OSError, EOFError or ValueError."""
+    """Return an archive's modules; raises OSError, EOFError or ValueError."""
     with open(path, "rb") as file:
         content = file.read()
     magic = util.MAGIC_NUMBER
     if not content.startswith(magic):
-        raise ValueError("written by another Python")
+        raise ValueError("the archive was written by another version of Python")
     written = marshal.loads(memoryview(content)[len(magic) :])
     return {name: Entry(*fields) for name, fields in written.items()}
 
 
 def collect(folder: str) -> dict[str, Entry]:
-    """Return the modules that an instance imports, those of `folder` among them."""
+    """Return the modules that an instance imports, in `folder` or elsewhere."""
     importlib.import_module(PROGRAM)
     found = {}
     for name, module in sorted(sys.modules.items()):
@@ -112,7 +113,7 @@
             os.path.relpath(spec.origin, base),
             marshal.dumps(spec.loader.get_code(spec.name)),
         )
-    # What runs now bears another name when it's imported.
+    # This program's own module has another name when it is imported.
     found.pop("__main__", None)
     return found
 
--- a/src/tealcove/front/daemon.py
+++ b/src/tealcove/front/daemon.py
@@ -1,4 +1,4 @@
-"""The process of an instance: from its settings file to its end by a signal."""
+"""Run an instance from its settings file until a signal stops it."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 log = logbook.Logger("front")
 
-# Seconds between two looks at the settings file, which may change without a signal.
+# Seconds between checks of the settings file, which may change without a signal.
 POLL_INTERVAL = 1.0
 
 
 class Reloader:
-    """Brings a running instance to its settings file."""
+    """Applies changes of the settings file to a running instance."""
 
     def __init__(
         self, path: str, running: instance.Instance, handler: logs.JsonHandler
@@ -30,7 +30,7 @@
         self.signature = file_signature(path)
 
     async def run(self) -> None:
-        """Reload at a signal or a change of the file, until cancelled."""
+        """Reload on a signal or when the file changes, until cancelled."""
         while True:
             try:
                 async with asyncio.timeout(POLL_INTERVAL):
@@ -42,15 +42,17 @@
             self.reload()
 
     def reload(self) -> None:
-        """Read the file and put in force what can change while running.
+        """Read the file and apply the settings that can change at run time.
 
-        A file that can't be used changes nothing: the instance serves on as it did.
+        An invalid file changes nothing: the instance keeps its current settings.
         """
         self.signature = file_signature(self.path)
         try:
             found = settings.load(self.path)
         except errors.SettingsError as error:
-            log.error("the settings stay as they were: {}", error)
+            log.error(
+                "settings not reloaded, the current ones stay in force: {}", error
+            )
             return
         self.running.reload(found)
         self.handler.lowest = logs.LEVELS[found.log.level]
@@ -58,7 +60,7 @@
 
 
 def file_signature(path: str) -> tuple[int, int] | None:
-    """Return what shows that a file has changed; None: it can't be looked at."""
+    """Return a file's modification time and size; None if it can't be read."""
     try:
         found = os.stat(path)
     except OSError:
@@ -67,7 +69,7 @@
 
 
 async def serve(path: str) -> None:
-    """Run an instance until SIGTERM or SIGINT, then let it leave gracefully."""
+    """Run an instance until SIGTERM or SIGINT, then shut it down gracefully."""
     found = settings.load(path)
     handler = logs.install_rate_limited(found, found.log.most_lines_per_second)
     stopping = asyncio.Event()
--- a/src/tealcove/front/factories.py
+++ b/src/tealcove/front/factories.py
@@ -1,4 +1,4 @@
-"""Makes the parts of an instance by its settings."""
+"""Create the components of an instance from its settings."""
 
 from __future__ import annotations
 
@@ -15,28 +15,28 @@
 from tealcove.platform import names, services, store
 from tealcove.storage import instances, rowlist
 
-# Seconds between two looks at the list of instances: heartbeats tell of new ones,
-# and each look is paid for.
+# Seconds between reads of the store's list of instances. Each read is charged, and
+# heartbeats announce new instances as well.
 LIST_INTERVALS = heartbeats.ListIntervals(first=1.0, longest=60.0)
-# Cores at which the classes of processors begin: what the weakest machine of the large
-# deployments has.
+# Cores of processor class 0: those of the weakest machine in the large deployments.
 WEAKEST_CORES = 0.5
-# Mbit/s at which the classes of links begin: what the slowest one there has.
+# Mbit/s of link class 0: those of the slowest link in the large deployments.
 SLOWEST_MBPS = 5.0
-# Seconds for which the store may hold a question: in small groups, where all ask and
-# each question is paid for, and where only a few ask for all.
+# Seconds for which the store may hold a long poll: long in small groups, where every
+# instance polls and each call is charged; short in large ones, where a few instances
+# poll for all.
 LONG_POLL_SECONDS = 25.0
 SHORT_POLL_SECONDS = 5.0
-# Seconds for which changes of backend servers gather: where dozens start within
-# seconds, each follower would ask once for each of them.
+# Seconds for which changes of backend servers are collected: when dozens start within
+# seconds, each follower would otherwise make one call for each of them.
 GATHER_SECONDS = 0.25
-# Seconds until a connection to the store stands: hundreds of times what it takes, and
-# less than the pause between two tries while the store fails.
+# Timeout in seconds for connecting to the store: hundreds of times the usual duration,
+# and less than the pause between two attempts while the store fails.
 CONNECT_SECONDS = 0.5
 
 
 def new_store(found: settings.FrontSettings) -> store.StoreClient:
-    """Return the client of the store; it connects at its first call."""
+    """Return a client of the store; it connects on its first call."""
     timeouts = store.Timeouts(CONNECT_SECONDS, found.store.timeout_seconds)
     return store.StoreClient(f"http://{found.store.address}", timeouts)
 
@@ -52,8 +52,8 @@
 def processor_class_of(found: settings.FrontSettings) -> int:
     """Return the class of this instance's processor: 0 from half a core, 1 from one.
 
-    Each class begins at twice as much as the one before, since machines that differ
-    by little should share the work that isn't spread over all.
+    Each class starts at twice the cores of the one before, so that machines that
+    differ little share the work that isn't spread over all instances.
     """
     machine = found.machine
     return math.floor(math.log2(machine.cores * machine.share / WEAKEST_CORES))
@@ -67,7 +67,7 @@
 def initial_heartbeat(
     found: settings.FrontSettings, transport: mesh.Mesh, incarnation: ids.Incarnation
 ) -> messages.Heartbeat:
-    """Return what an instance that begins tells of itself."""
+    """Return the heartbeat of an instance that is starting."""
     at = endpoint.parse(found.listen.callers)
     return messages.Heartbeat(
         instance=ids.InstanceId(found.instance),
@@ -90,7 +90,7 @@
     known: members.Members,
     rows: store.StoreClient,
 ) -> heartbeats.HeartbeatService:
-    """Return the heartbeats, which begin when they are started."""
+    """Return the heartbeat service, not yet started."""
     own = known.own
     listed = instances.ListedInstance(
         name=own.instance,
@@ -117,7 +117,7 @@
     configuration: copies.ConfigurationCopy,
     servers: serverlist.ServersCopy,
 ) -> tuple[follower.Follower, ...]:
-    """Return what follows the store's two tables, once it's started."""
+    """Return the followers of the store's two tables, not yet started."""
 
     def wait() -> float:
         return SHORT_POLL_SECONDS if known.is_large() else LONG_POLL_SECONDS
@@ -135,7 +135,7 @@
 
 
 def retry_allowance(found: settings.FrontSettings) -> budget.Allowance:
-    """Return the allowance of repeats by the settings."""
+    """Return the retry allowance from the settings."""
     repeats = found.repeats
     return budget.Allowance(repeats.ratio, repeats.slack, repeats.window_seconds)
 
@@ -153,7 +153,7 @@
 
 
 async def serve(address: str, routes: list[web.RouteDef]) -> web.AppRunner:
-    """Listen at another address with some handlers; raises OSError."""
+    """Serve handlers at an additional address; raises OSError."""
     app = web.Application()
     app.add_routes(routes)
     runner = web.AppRunner(app, access_log=None, shutdown_timeout=listener.STOP_SECONDS)
--- a/src/tealcove/front/instance.py
+++ b/src/tealcove/front/instance.py
@@ -1,4 +1,4 @@
-"""One instance on the users' platform: its roles put together."""
+"""One instance on the users' platform: creates, starts and stops its roles."""
 
 from __future__ import annotations
 
@@ -37,25 +37,26 @@
 
 log = logbook.Logger("front")
 
-# One cell for each service: up to this many backend servers have one queue, so
+# Backend servers of one cell. With up to this many, a service has a single queue, so
 # that the order among callers is exact. A ticket costs its dispatcher some 0.1 ms.
 CELL_SERVERS = 128
-# A content that has crashed so many backend servers isn't run for a time. Engines
-# crash for reasons of their own as well, with all that runs on them.
+# Crashes after which a request's content is quarantined. More than one, since engines
+# also crash for other reasons while unrelated requests run on them.
 CRASHES_TO_QUARANTINE = 3
-# Seconds for which a new dispatcher waits for word of what runs: one heartbeat.
+# Seconds for which a new dispatcher waits for reports of running requests: one
+# heartbeat interval.
 GATHER_SECONDS = 0.25
-# Seconds between two looks at lapsed servers and at readiness.
+# Seconds between checks of lapsed servers and of readiness.
 CHECK_INTERVAL = 0.1
-# Times the directory's answers' life for which some callers keep them.
+# Some callers keep a directory answer for up to this many times its TTL.
 MAX_TTL_FACTOR = 3.0
-# Seconds before SIGKILL at which what still runs is broken off: its callers come
-# back elsewhere while their time lasts.
+# Seconds before SIGKILL at which running requests are aborted, so that their callers
+# can still retry at another instance before their deadlines.
 KILL_MARGIN = 0.4
 
 
 class Instance:
-    """All that one process does."""
+    """Runs all roles of one process."""
 
     def __init__(self, found: settings.FrontSettings) -> None:
         self.settings = found
@@ -97,12 +98,12 @@
         )
 
     def start_catalog(self) -> None:
-        """Keep copies of what is declared."""
+        """Start to follow the configuration and the list of backend servers."""
         self.configuration = copies.ConfigurationCopy(
             names.CONFIGURATION_KEY, documents.decode_configuration
         )
-        # At once: until an instance says that it serves, it ranks nobody and would
-        # refuse the first requests after a restart of all.
+        # Checked on each change, not only periodically: until an instance serves, it
+        # ranks no peers and would refuse the first requests after a full restart.
         self.configuration.listeners.append(self.check_readiness)
         self.servers = serverlist.ServersCopy(documents.decode_server)
         self.pools = pools.Pools(self.servers)
@@ -122,7 +123,7 @@
         self.sharing.start()
 
     def start_dispatcher(self) -> None:
-        """Start the dispatcher, the side that asks, and what decides by account."""
+        """Start the dispatcher, the requester, the limits and the quarantine."""
         found = self.settings
         self.quarantine = quarantine_role.Quarantine(
             self.mesh,
@@ -197,7 +198,7 @@
         self.listeners.append(await factories.listen(found, self.ingress.routes()))
 
     async def start_directory(self) -> None:
-        """Listen for those who ask where to connect, and whether this is ready."""
+        """Listen for queries of the directory and of readiness."""
         found = self.settings
         self.directory = directory.Directory(
             addresses.MemberAddresses(self.members), found.leaving.directory_ttl_seconds
@@ -206,7 +207,7 @@
         await self.serve(found.listen.ready, self.directory.ready_routes())
 
     async def start_metrics(self) -> None:
-        """Show the metrics; an instance works on without."""
+        """Serve the metrics; a port that can't be bound is only logged."""
         port = self.settings.listen.metrics_port
         if port == 0:
             return
@@ -215,19 +216,19 @@
         try:
             await self.serve(f"{host}:{port}", shown.routes())
         except OSError as error:
-            log.warning("no metrics at port {}: {}", port, error)
+            log.warning("metrics not served at port {}: {}", port, error)
 
     async def serve(self, address: str, routes: list[web.RouteDef]) -> None:
-        """Listen at an address with some handlers."""
+        """Serve handlers at an additional address."""
         self.runners.append(await factories.serve(address, routes))
 
     def start_following(self) -> None:
-        """Begin to follow the store, and to look at what only time changes."""
+        """Start to follow the store and to run the periodic checks."""
         self.following.start()
         self.tasks.append(tasks.start(self.run_checks(), "readiness"))
 
     async def run_checks(self) -> None:
-        """Look at readiness and lapsed servers until cancelled."""
+        """Check readiness and lapsed servers periodically until cancelled."""
         while True:
             now = clock.now()
             self.servers.expire_lapses(now)
@@ -235,25 +236,27 @@
             await asyncio.sleep(CHECK_INTERVAL)
 
     def check_readiness(self) -> None:
-        """Take requests as soon as a configuration is known."""
+        """Start to serve as soon as a configuration is known."""
         is_joining = self.members.own.lifecycle is messages.Lifecycle.JOINING
         if is_joining and self.configuration.current is not None:
-            log.info("ready at configuration {}", self.configuration.revision)
+            log.info("serving with configuration {}", self.configuration.revision)
             self.members.update_own(lifecycle=messages.Lifecycle.SERVING)
             self.heartbeats.broadcast()
 
     def apply_server_list(self) -> None:
-        """Put a new list of backend servers in force."""
+        """Apply a new list of backend servers."""
         self.pools.refresh()
         self.dispatcher.reconfigure()
 
     def reload(self, found: settings.FrontSettings) -> None:
-        """Put in force what may change while running, and say what may not."""
+        """Apply the settings that can change at run time; log those that can't."""
         before = self.settings
         fixed = ("instance", "data_centre", "listen", "store")
         changed = [n for n in fixed if getattr(before, n) != getattr(found, n)]
         if changed:
-            log.warning("{} change at the next start only", ", ".join(changed))
+            log.warning(
+                "settings {} take effect only after a restart", ", ".join(changed)
+            )
         self.settings = found
         self.heartbeats.seeds = tuple(endpoint.parse(seed) for seed in found.seeds)
         for seed in self.heartbeats.seeds:
@@ -265,10 +268,10 @@
             link_class=factories.link_class_of(found),
         )
         self.directory.ttl_seconds = found.leaving.directory_ttl_seconds
-        log.info("settings read again: {}", "changed" if before != found else "alike")
+        log.info("settings reloaded: {}", "changed" if before != found else "alike")
 
     def register_dropped_lines(self, count: Callable[[], int]) -> None:
-        """Add the log lines that were not written to the metrics."""
+        """Add a metric that counts dropped log lines."""
         self.metrics.add_observable_counter(
             "tealcove.log.dropped_lines",
             "Log lines beyond the bound, which were not written.",
@@ -282,18 +285,18 @@
         return None if found is None else found.limit
 
     def count_instances(self) -> int:
-        """Return how many instances serve, this one included."""
+        """Return the number of serving instances, including this one."""
         return len(self.members.serving(clock.now()))
 
     async def leave(self) -> None:
-        """Leave gracefully: no request in progress is cut off if it can end.
+        """Shut down gracefully: let requests in progress end if time allows.
 
-        Callers keep an answer of the directory for a while, so the instance goes
-        on serving until those have run out. From then on it takes nothing new, so
-        that what it has taken can end before it's killed.
+        Callers cache the answers of the directory, so the instance accepts requests
+        until these have expired. After that it accepts no new ones, so that those in
+        progress can end before SIGKILL.
         """
         began = clock.now()
-        log.info("leaves: {} requests in progress", len(self.ingress.in_progress))
+        log.info("leaving: {} requests in progress", len(self.ingress.in_progress))
         self.members.update_own(lifecycle=messages.Lifecycle.LEAVING)
         self.heartbeats.broadcast()
         self.ingress.is_leaving = True
@@ -303,7 +306,7 @@
         end = began + leaving.grace_seconds - KILL_MARGIN
         while self.ingress.in_progress and clock.now() < end:
             await asyncio.wait(set(self.ingress.in_progress), timeout=end - clock.now())
-        log.info("stops: {} requests broken off", len(self.ingress.in_progress))
+        log.info("stopping: {} requests aborted", len(self.ingress.in_progress))
 
     async def stop(self) -> None:
         """End all tasks and close all sockets."""
--- a/src/tealcove/front/metrics.py
+++ b/src/tealcove/front/metrics.py
@@ -1,7 +1,7 @@
-"""The metrics of an instance: plain numbers, until somebody looks at them.
+"""The metrics of an instance, kept as plain numbers until they are scraped.
 
-Measured by the SDK of OpenTelemetry they cost a request a twentieth of its time, and
-the start of an instance an eighth.
+The OpenTelemetry SDK would take a twentieth of a request's time and an eighth of an
+instance's start.
 """
 
 from __future__ import annotations
@@ -12,12 +12,12 @@
 
 from tealcove import measuring, probes
 
-# Names and values of a series' labels.
+# Names and values of the labels that identify a series.
 Labels = tuple[tuple[str, str], ...]
 
 
 class Counter:
-    """A number that only grows, by labels."""
+    """A monotonic counter with a value for each set of labels."""
 
     def __init__(self, name: str, description: str) -> None:
         self.name = name
@@ -31,7 +31,7 @@
 
 
 class Series:
-    """The values of one set of labels: how many by bound, and their sum."""
+    """The observations of one set of labels: counts by bucket, and their sum."""
 
     def __init__(self) -> None:
         self.counts = [0] * (len(measuring.SECONDS_BOUNDS) + 1)
@@ -39,7 +39,7 @@
 
 
 class Histogram:
-    """Seconds by bound and labels."""
+    """A histogram of seconds with a series for each set of labels."""
 
     def __init__(self, name: str, description: str) -> None:
         self.name = name
@@ -57,12 +57,12 @@
 
 
 class Registry(measuring.Source, probes.MetricsExporter):
-    """All metrics of one instance, and no traces."""
+    """Holds all metrics of one instance; records no traces."""
 
     def __init__(self) -> None:
         self.counters: list[Counter] = []
         self.histograms: list[Histogram] = []
-        # Counters that are read off a role when somebody looks, with what they are.
+        # Counters read by callback at each scrape: name, description, callback.
         self.observable_counters: list[tuple[str, str, Callable[[], float]]] = []
 
     def counter(self, name: str, description: str) -> Counter:
@@ -78,13 +78,13 @@
     def add_observable_counter(
         self, name: str, description: str, read: Callable[[], float]
     ) -> None:
-        """Show a number that a role counts itself, and that only grows."""
+        """Add a monotonic counter whose value is read by callback at each scrape."""
         self.observable_counters.append((name, description, read))
 
     def metrics_text(self) -> bytes:
         """See MetricsExporter."""
-        # Imported here, since few instances are ever looked at before they have
-        # answered their first requests.
+        # Imported here to shorten the start: few instances are scraped before they
+        # have answered their first requests.
         import prometheus_client
 
         registry = prometheus_client.CollectorRegistry()
@@ -92,7 +92,7 @@
         return prometheus_client.generate_latest(registry)
 
     def collect(self) -> Iterator[object]:
-        """Yield the metrics as the library of Prometheus has them."""
+        """Yield the metrics as families of the Prometheus client library."""
         from prometheus_client import core
 
         for name, description, read in self.observable_counters:
@@ -114,7 +114,7 @@
 
 
 def exposed_name(name: str) -> str:
-    """Return the name under which a metric is shown."""
+    """Return the name under which a metric is exposed."""
     return name.replace(".", "_")
 
 
--- a/src/tealcove/front/settings.py
+++ b/src/tealcove/front/settings.py
@@ -14,17 +14,17 @@
 
 
 class Listen(settings.Group):
-    """Where this instance is reached."""
+    """The addresses on which this instance listens."""
 
-    # By callers.
+    # For requests of callers.
     callers: checked.Address
-    # By the platform, which asks whether it's ready.
+    # For readiness checks of the platform.
     ready: checked.Address
-    # By callers who ask where to connect.
+    # For callers that look up the addresses of instances.
     directory: checked.Address
-    # By its peers.
+    # For other instances.
     peers: checked.Address
-    # Where the metrics are read; port 0 shows none.
+    # For scrapes of the metrics; 0 turns them off.
     metrics_port: settings.Port = 0
 
 
@@ -32,64 +32,66 @@
     """The platform's store."""
 
     address: checked.Address
-    # A call that takes longer counts as failed, its outcome as unknown. The store
-    # takes 4 ms, and 60 times as long at its slowest.
+    # A call that takes longer counts as failed with unknown outcome. The store takes
+    # 4 ms, and 60 times as long at its slowest.
     timeout_seconds: settings.Seconds = 2.0
 
 
 class Repeats(settings.Group):
-    """How often requests may be sent once more, over all instances."""
+    """How many retries of requests are allowed over all instances."""
 
-    # Repeats for each request, and besides, in a window of so many seconds.
+    # Within a window of `window_seconds`: retries for each request (`ratio`), plus a
+    # fixed number (`slack`).
     ratio: settings.Delay = 0.2
     slack: settings.Delay = 50.0
     window_seconds: settings.Seconds = 10.0
 
 
 class AccountLimits(settings.Group):
-    """How the limits of client accounts are kept, over all instances."""
+    """How the limits of client accounts are enforced over all instances."""
 
-    # Tokens (or requests) that an account may get beyond its limit in a window of some
-    # seconds, besides a tenth: what crosses on its way is refused otherwise.
+    # Tokens (or requests) that an account may use above its limit in a window of some
+    # seconds, in addition to a tenth of the limit. Without it, requests are refused
+    # while messages about their limit are still on their way.
     slack: settings.Delay = 100_000.0
 
 
 class Leaving(settings.Group):
-    """How an instance leaves after SIGTERM."""
+    """How an instance shuts down after SIGTERM."""
 
-    # How long callers may keep an answer of the directory; some keep it three
-    # times as long, and for that long a leaving instance serves on.
+    # How long callers may cache an answer of the directory. Some cache it three times
+    # as long, and a leaving instance accepts requests for that long.
     directory_ttl_seconds: settings.Seconds = 1.0
     # Seconds from SIGTERM to SIGKILL.
     grace_seconds: settings.Seconds = 8.0
 
 
 class Rollouts(settings.Group):
-    """Roll-outs of new versions of backend servers, by the operators' order."""
+    """Roll-outs of new versions of backend servers, ordered by operators."""
 
-    # Whether orders are looked for; each look is a call of the store.
+    # Whether the store is polled for roll-out orders; each poll is one call.
     enabled: bool = False
 
 
 class Machine(settings.Group):
-    """What this instance's machine can do."""
+    """The capacity of this instance's machine."""
 
-    # Its processor: so many cores, of which it may use this share.
+    # Cores of its processor, and the share of them that the instance may use.
     cores: Amount = 1.0
     share: Amount = 1.0
-    # Its link, in Mbit/s.
+    # Bandwidth of its network link in Mbit/s.
     link_mbps: Amount = 1000.0
 
     @property
     def link_bytes_per_second(self) -> float:
-        """What the link can carry."""
+        """Return the bandwidth of the link in bytes a second."""
         return self.link_mbps * BYTES_IN_MBIT
 
 
 class Log(settings.Log):
     """What is written to standard output, as JSON lines."""
 
-    # Lines a second beyond which lines below a warning are dropped and counted.
+    # Above this many lines a second, lines below a warning are dropped and counted.
     # An instance with 10 requests a second writes some 40.
     most_lines_per_second: settings.Count = 300
 
@@ -97,12 +99,12 @@
 class FrontSettings(settings.Group):
     """All settings of one instance."""
 
-    # No default: two instances of one name would be taken for one.
+    # No default: two instances of one name would be treated as one.
     instance: kinds.Name
     data_centre: kinds.Name
     listen: Listen
     store: Store
-    # Instances ("ip:port") to ask first; the store's list adds others.
+    # Instances ("ip:port") to contact first; the store's list adds others.
     seeds: tuple[checked.Address, ...] = ()
     heartbeat: settings.Heartbeat = settings.Heartbeat()
     dispatch: settings.Dispatch = settings.Dispatch(
--- a/src/tealcove/front/tests/test_archive.py
+++ b/src/tealcove/front/tests/test_archive.py
@@ -1,4 +1,4 @@
-"""The archive of an instance's modules, in processes that start from it."""
+"""Tests of the module archive, in processes that load from it."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 import tealcove
 from tealcove.front import archive
 
-# Prints where the program's module came from and how many files were opened for it.
+# Prints the loader of the program's module, the number of files opened, and its path.
 START = """
 import sys
 opened = []
@@ -28,7 +28,7 @@
 
 @pytest.fixture
 def folder(tmp_path: pathlib.Path) -> pathlib.Path:
-    """Return a folder in which the product is installed, with its archive."""
+    """Return a folder with the package installed and its archive written."""
     source = pathlib.Path(tealcove.__file__).parent
     ignored = shutil.ignore_patterns("tests", "__pycache__")
     shutil.copytree(source, tmp_path / "tealcove", ignore=ignored)
@@ -50,16 +50,15 @@
 
 
 def start(folder: pathlib.Path) -> list[str]:
-    """Start an instance's program as far as its imports; see START."""
+    """Import an instance's program and return what START prints."""
     return run(folder, "-c", START).split()
 
 
 def test_an_instance_opens_few_files_at_its_start(folder: pathlib.Path) -> None:
-    """Callers wait longer for instances that start again.
+    """Guard against slow restarts.
 
-    Symptom: after all instances were killed at once, the first requests come late.
-    Sequence: each process starts, and imports its modules. Cause: each module is
-    looked up, opened and compared with its source on its own.
+    After all instances were killed at once, callers wait until each process has
+    searched for, opened and compared each of its modules with its source.
     """
     loader, opened, file = start(folder)
     assert loader == archive.Finder.__name__
@@ -68,11 +67,10 @@
 
 
 @pytest.mark.parametrize("kept", [0, 3, 1000])
-def test_a_part_of_an_archive_is_left_alone(folder: pathlib.Path, kept: int) -> None:
-    """No instance starts any more.
+def test_a_truncated_archive_is_ignored(folder: pathlib.Path, kept: int) -> None:
+    """Guard against instances that can't start.
 
-    Symptom: each process ends with an exception at its start. Sequence: the archive is
-    written while the disk is full. Cause: the start relies on its being whole.
+    An archive written to a full disk is truncated; loading it must not raise.
     """
     path = folder / archive.NAME
     path.write_bytes(path.read_bytes()[:kept])
@@ -81,7 +79,7 @@
     assert file == str(folder / "tealcove/front/daemon.py")
 
 
-def test_the_archive_of_another_python_is_left_alone(folder: pathlib.Path) -> None:
+def test_the_archive_of_another_python_is_ignored(folder: pathlib.Path) -> None:
     path = folder / archive.NAME
     path.write_bytes(b"\0\0\0\0" + path.read_bytes()[4:])
     assert start(folder)[0] != archive.Finder.__name__
--- a/src/tealcove/front/tests/test_daemon.py
+++ b/src/tealcove/front/tests/test_daemon.py
@@ -1,4 +1,4 @@
-"""Settings that change while an instance runs."""
+"""Tests of reloading the settings at run time."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class FakeInstance:
-    """Stands for an instance: it remembers the settings that it's applied."""
+    """Stand-in for an instance that records the settings applied to it."""
 
     def __init__(self) -> None:
         self.applied: list[settings.FrontSettings] = []
@@ -61,12 +61,11 @@
     assert found.handler.lowest == logs.LEVELS[settings.settings.Level.ERROR]
 
 
-def test_a_file_that_cant_be_used_changes_nothing(tmp_path: pathlib.Path) -> None:
-    """A mistake in a file stops instances that serve well.
+def test_an_invalid_file_changes_nothing(tmp_path: pathlib.Path) -> None:
+    """Guard against a reload that stops an instance or drops its seeds.
 
-    Symptom: an instance ends, or forgets its seeds, at a reload. Sequence: the
-    settings file is half written when the signal comes. Cause: the new content is
-    put in force before it's checked.
+    The settings file may be half written when the signal arrives; its content must
+    be checked before it is applied.
     """
     path = tmp_path / "i.json"
     write(path)
--- a/src/tealcove/front/tests/test_factories.py
+++ b/src/tealcove/front/tests/test_factories.py
@@ -1,4 +1,4 @@
-"""What an instance tells of itself, by its settings."""
+"""Tests of the components that are created from the settings."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     ("cores", "share", "strength"),
     [(1, 0.516, 0), (2, 0.537, 1), (1, 1.9, 1), (3, 0.717, 2), (1, 0.12, -3)],
 )
-def test_machines_are_told_apart_by_twice_as_much(
+def test_processor_classes_double(
     tmp_path: pathlib.Path, cores: int, share: float, strength: int
 ) -> None:
     path = tmp_path / "instance.json"
--- a/src/tealcove/front/tests/test_main.py
+++ b/src/tealcove/front/tests/test_main.py
@@ -1,4 +1,4 @@
-"""The process that runs an instance, from outside."""
+"""Tests of the process that runs an instance."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from tealcove.commands import exits
 
-# What an instance doesn't need; each costs time until a killed one runs again.
+# Modules that an instance doesn't need; importing them would slow down its restart.
 NOT_NEEDED = (
     "cappa",
     "opentelemetry",
@@ -42,11 +42,10 @@
 
 
 def test_an_instance_loads_nothing_that_it_does_not_need() -> None:
-    """Callers wait longer for instances that start again.
+    """Guard against slow restarts.
 
-    Symptom: after all instances were killed at once, the first requests come late.
-    Sequence: each process starts, and imports its modules. Cause: the command
-    line's parts, and the exporters of traces and metrics, took a third of the start.
+    After all instances were killed at once, callers wait for their imports. The
+    command line and the exporters of traces and metrics took a third of the start.
     """
     listing = "import sys, tealcove.front.__main__; print(*sys.modules)"
     loaded = run("-c", listing).stdout.split()
@@ -55,11 +54,10 @@
 
 
 def test_an_instance_loads_no_certificates_at_its_start() -> None:
-    """Callers wait longer for instances that start again.
+    """Guard against slow restarts.
 
-    Symptom: after all instances were killed at once, the first requests come late.
-    Sequence: each process starts, and imports the HTTP library. Cause: that library
-    reads all certificates of the machine at once, for connections by TLS.
+    After all instances were killed at once, callers wait for their imports. Importing
+    the HTTP library loads all certificates of the machine for TLS connections.
     """
     loading = (
         "import os; before = dict(os.environ); "
@@ -70,21 +68,19 @@
     assert run("-c", loading).stdout.split() == ["0", "True"]
 
 
-def test_an_instance_seldom_looks_for_garbage() -> None:
-    """Every request costs a tenth more than its work.
+def test_garbage_collections_are_rare() -> None:
+    """Guard against garbage collections that add a tenth to a request's cost.
 
-    Symptom: an instance at work takes more of a core than its requests explain.
-    Sequence: it makes some thousand objects for each request, and Python looks for
-    garbage after each 700 that stay. Cause: the look goes through all new objects,
-    and finds next to nothing.
+    An instance creates some thousand objects for each request, and Python by default
+    collects after each 700 that stay, which frees almost nothing.
     """
     serving = (
         "import gc, tealcove.front.__main__ as program; "
         "program.daemon.serve = str; "
-        "looks = []; "
-        "gc.callbacks.append(lambda phase, _: looks.append(phase)); "
+        "collections = []; "
+        "gc.callbacks.append(lambda phase, _: collections.append(phase)); "
         "program.asyncio.run = lambda path: [[] for _ in range(10_000)]; "
         "program.main(['--settings', 'any']); "
-        "print(gc.isenabled(), len(looks))"
+        "print(gc.isenabled(), len(collections))"
     )
     assert run("-c", serving).stdout == "True 0\n"
--- a/src/tealcove/front/tests/test_metrics.py
+++ b/src/tealcove/front/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of an instance, as they're shown."""
+"""Tests of the metrics of an instance in their exposed form."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def samples(found: metrics.Registry) -> dict[tuple[str, str], float]:
-    """Return all shown values by name and bound, as a scraper reads them."""
+    """Return all exposed values by name and bucket, as a scraper reads them."""
     families = parser.text_string_to_metric_families(found.metrics_text().decode())
     return {
         (sample.name, sample.labels.get("le", "")): sample.value
@@ -20,14 +20,14 @@
 
 
 def observed(seen: observer.Observer) -> None:
-    """Let a request end after 2 s, its first event after .1 s."""
+    """Record a request that ends after 2 s, its first event after .1 s."""
     request = seen.begin(100.0)
     request.route = "r-1"
     request.first_event_at = 100.1
     seen.end(request, 102.0)
 
 
-def test_requests_are_shown_by_how_long_they_took():
+def test_requests_are_counted_by_duration():
     found = metrics.Registry()
     seen = observer.Observer(found)
     observed(seen)
@@ -42,7 +42,7 @@
     assert shown[f"{name}_sum", ""] == 4.0
     first = "tealcove_ingress_time_to_first_event_seconds"
     assert shown[f"{first}_bucket", "0.1"] + shown[f"{first}_bucket", "0.25"] >= 2.0
-    # A look changes nothing.
+    # A scrape changes nothing.
     assert samples(found) == shown
 
 
@@ -56,7 +56,7 @@
     assert 'tealcove_some_total{route="b"} 2.0' in text
 
 
-def test_what_a_role_counts_is_read_at_each_look():
+def test_observable_counters_are_read_at_each_scrape():
     found = metrics.Registry()
     dropped = [3.0]
     found.add_observable_counter(
@@ -67,11 +67,10 @@
     assert samples(found)["tealcove_log_dropped_lines_total", ""] == 5.0
 
 
-def test_the_same_is_shown_as_with_the_exporter():
-    """Panels of operators stay empty, since a metric has another name.
+def test_the_output_equals_that_of_the_sdk():
+    """Guard against empty dashboards after an update.
 
-    Symptom: after an update a chart of durations shows nothing. Sequence: the metrics
-    are shown without the SDK. Cause: names and bounds differ from what it shows.
+    Metrics exposed without the SDK must have the names and buckets that it gives them.
     """
     exported = builders.telemetry()
     found = metrics.Registry()
--- a/src/tealcove/gauges.py
+++ b/src/tealcove/gauges.py
@@ -1,7 +1,7 @@
-"""Metrics that are read off an instance's roles when /metrics is asked for.
+"""Metrics that are read from an instance's roles when /metrics is scraped.
 
-Roles count in plain numbers, so that a grant or a message costs an addition and
-nothing of OpenTelemetry.
+Roles count in plain numbers, so that a grant or a message costs one addition and no
+call of OpenTelemetry.
 """
 
 from __future__ import annotations
@@ -32,11 +32,11 @@
     def add_counter(
         self, name: str, description: str, read: Read, unit: str = ""
     ) -> None:
-        """Add a number that only grows."""
+        """Add a monotonic counter that is read by callback."""
         self.meter.create_observable_counter(name, one(read), unit, description)
 
     def add_gauge(self, name: str, description: str, read: ReadObservations) -> None:
-        """Add numbers that go up and down."""
+        """Add a gauge whose observations are read by callback."""
 
         def observe(_: metrics.CallbackOptions) -> Iterable[metrics.Observation]:
             return read()
@@ -44,7 +44,7 @@
         self.meter.create_observable_gauge(name, [observe], "", description)
 
     def add_mesh(self, transport: mesh.Mesh) -> None:
-        """Show the messages between instances."""
+        """Add the metrics of messages between instances."""
         self.add_counter(
             "tealcove.mesh.sent", "Messages sent to peers.", lambda: transport.sent
         )
@@ -61,7 +61,7 @@
         )
 
     def add_platform(self, platform: store.StoreClient) -> None:
-        """Show the calls to the platform."""
+        """Add the metrics of calls to the platform."""
         self.add_counter(
             "tealcove.platform.calls", "Calls to the platform.", lambda: platform.calls
         )
@@ -72,7 +72,7 @@
         )
 
     def add_members(self, known: members.Members) -> None:
-        """Show the instances that are alive, this one too."""
+        """Add the number of live instances, including this one."""
 
         def read() -> list[metrics.Observation]:
             alive = known.alive(clock.now())
@@ -85,7 +85,7 @@
         self.add_gauge("tealcove.members", "Instances alive, by lifecycle.", read)
 
     def add_configuration(self, resources: copy.ConfigurationCopy) -> None:
-        """Show which revision is in force here."""
+        """Add the revision that is in force on this instance."""
         self.add_gauge(
             "tealcove.configuration.revision",
             "Revision of the resources in force on this instance.",
@@ -93,7 +93,7 @@
         )
 
     def add_dispatcher(self, dispatcher: role.Dispatcher) -> None:
-        """Show the cells that this instance holds, and its decisions."""
+        """Add the metrics of the cells that this instance holds."""
 
         def read(index: int) -> list[metrics.Observation]:
             return [
@@ -119,7 +119,7 @@
         )
 
     def add_requester(self, tickets: requester.Requester) -> None:
-        """Show what this instance did with its grants."""
+        """Add the metrics of grants that this instance received."""
         self.add_counter(
             "tealcove.grants.declined",
             "Grants given back since their backend servers have left.",
@@ -127,7 +127,7 @@
         )
 
     def add_claims(self, claims: writer.Writer) -> None:
-        """Show what this instance wrote of claims; one by the other is a batch."""
+        """Add the metrics of written claims; their quotient is the batch size."""
         self.add_counter(
             "tealcove.claims.committed",
             "Changes of claims committed.",
@@ -143,5 +143,5 @@
 def one(
     read: Read,
 ) -> Sequence[Callable[[metrics.CallbackOptions], Iterable[metrics.Observation]]]:
-    """Return the callbacks of an instrument with a single number."""
+    """Return the callbacks of an instrument with a single observation."""
     return [lambda _: [metrics.Observation(read())]]
--- a/src/tealcove/listener.py
+++ b/src/tealcove/listener.py
@@ -1,4 +1,4 @@
-"""The HTTP port of an instance, and what a caller may use of it."""
+"""The HTTP listener of an instance, which limits what each caller may use."""
 
 from __future__ import annotations
 
@@ -16,45 +16,45 @@
 
 log = logbook.Logger("http")
 
-# A connection of the operating system's that waits to be accepted.
+# Connections that the operating system queues until they are accepted.
 BACKLOG = 1024
-# Seconds that requests still have once an HTTP server is stopped: whoever stops it has
-# let them end before. With the library's 60 s, a stream that was longer than the time
-# from SIGTERM to SIGKILL kept all that stops after the server from stopping: 3 of 35
-# processes were killed, and their peers heard no farewell. 0 would mean no bound.
+# Shutdown timeout of an HTTP server in seconds. Requests have been given time to end
+# before it is stopped. With aiohttp's default of 60 s, a stream that outlasted the
+# time from SIGTERM to SIGKILL blocked the rest of the shutdown: 3 of 35 processes were
+# killed before their peers were notified. 0 would disable the timeout.
 STOP_SECONDS = 0.05
-# Headers of one request at the most; each may be as long as all together.
+# Maximum number of headers of one request; one header may use the whole limit on bytes.
 MAX_HEADERS = 64
-# Connections beyond the bound that still get an answer that says so. Those beyond
-# these too are closed at once.
+# Connections above the limit that are still accepted to answer that it is exceeded.
+# Any further ones are closed at once.
 REJECTED_CONNECTIONS = 64
 RETRY_AFTER = 1.0
-# Bytes that a header takes beside its name and value.
+# Bytes of a header in addition to its name and value.
 SEPARATOR_BYTES = 4
-# Looks at a caller that reads nothing, in the time that it's given.
+# Checks for unread answers within `idle_seconds`.
 CHECKS_PER_TIMEOUT = 8
-# What must be answered to tell the state of a crowded instance.
+# Paths that are answered even above the connection limit, for monitoring.
 PROBE_PATHS = ("/healthz", "/readyz", "/metrics")
 
 Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 
 
 class Unread(msgspec.Struct):
-    """How much of its answers a caller has left unread, and since when."""
+    """The unsent bytes of a connection, and since when they haven't decreased."""
 
     size: int
     since: ids.Instant
 
 
 class Connection(web.RequestHandler):
-    """One connection; its server's listener knows it as long as it's open."""
+    """One connection, registered with its listener while it is open."""
 
     def __init__(self, listener: Listener, **options: object) -> None:
         super().__init__(
             listener.runner.server, loop=asyncio.get_running_loop(), **options
         )
         self.listener = listener
-        # Whether it is one more than may be open.
+        # Whether the connection limit was exceeded when it was opened.
         self.is_beyond = False
 
     def connection_made(self, transport: asyncio.Transport) -> None:
@@ -74,14 +74,14 @@
         exc: BaseException | None = None,
         message: str | None = None,
     ) -> web.StreamResponse:
-        """Answer a request that can't be read.
+        """Answer a request that can't be parsed.
 
-        aiohttp would log and send back what it couldn't read, which may be a
-        header with a key in it.
+        By default, aiohttp logs and returns the invalid input, which may be a header
+        that contains a key.
         """
         if status != web.HTTPBadRequest.status_code:
             return super().handle_error(request, status, exc, message)
-        log.info("a request from {} can't be read: {}", request.remote, type(exc))
+        log.info("request from {} can't be parsed: {}", request.remote, type(exc))
         most = self.listener.limits.header_bytes
         refused = problem.rejected(
             status,
@@ -93,7 +93,7 @@
 
 
 class Listener:
-    """Takes connections for an application, within the limits of the settings."""
+    """Accepts connections for an application within the configured limits."""
 
     def __init__(
         self,
@@ -102,11 +102,11 @@
         decompresses: bool = True,
     ) -> None:
         self.limits = found
-        # Whether bodies are read without their coding; a body that goes on as it
-        # came must keep it.
+        # Whether compressed bodies are decompressed; bodies that are forwarded
+        # unchanged must stay compressed.
         self.decompresses = decompresses
         app.middlewares.insert(0, self.check)
-        # A caller that leaves ends its handler, which frees what it held.
+        # Cancels the handler when the caller disconnects, which frees its resources.
         self.runner = web.AppRunner(
             app, handler_cancellation=True, shutdown_timeout=STOP_SECONDS
         )
@@ -116,7 +116,7 @@
         self.sweeper: asyncio.Task[None] | None = None
 
     async def start(self, host: str, port: int, tls: ssl.SSLContext | None) -> int:
-        """Listen; returns the port, which was chosen if 0 was given."""
+        """Listen; returns the port, which the system chooses if 0 was given."""
         await self.runner.setup()
         self.server = await asyncio.get_running_loop().create_server(
             self.connect,
@@ -130,17 +130,17 @@
         return self.server.sockets[0].getsockname()[1]
 
     async def stop(self) -> None:
-        """Listen no longer, and close all connections."""
+        """Stop listening and close all connections."""
         self.server.close()
         await tasks.stop([self.sweeper])
         await self.runner.cleanup()
 
     def connect(self) -> Connection:
-        """Return what serves a new connection."""
+        """Return the protocol of a new connection."""
         return Connection(
             self,
             access_log=None,
-            # Covers the first request too: headers that never end.
+            # Applies to the first request too, whose headers may never end.
             keepalive_timeout=self.limits.idle_seconds,
             lingering_time=min(10.0, self.limits.idle_seconds),
             max_line_size=self.limits.header_bytes,
@@ -150,7 +150,7 @@
         )
 
     def add(self, connection: Connection, transport: asyncio.Transport) -> None:
-        """Take in a connection, or close it when there are far too many."""
+        """Register a connection, or abort it if there are far too many."""
         most = self.limits.connections
         if len(self.open) >= most + REJECTED_CONNECTIONS:
             transport.abort()
@@ -160,7 +160,7 @@
 
     @web.middleware
     async def check(self, request: web.Request, handler: Handler) -> web.StreamResponse:
-        """Refuse requests on connections beyond the bound, and long headers."""
+        """Refuse requests on connections above the limit, and long headers."""
         try:
             self.check_connection(request)
             self.check_headers(request)
@@ -169,7 +169,7 @@
         return await handler(request)
 
     def check_connection(self, request: web.Request) -> None:
-        """Raise ProblemError on a connection too many, unless it's a look at us."""
+        """Raise ProblemError above the connection limit, except for probes."""
         connection = request.protocol
         if request.path in PROBE_PATHS or not getattr(connection, "is_beyond", False):
             return
@@ -180,7 +180,7 @@
         )
 
     def check_headers(self, request: web.Request) -> None:
-        """Raise ProblemError for headers that are too long together."""
+        """Raise ProblemError if the headers together are too long."""
         most = self.limits.header_bytes
         if (
             sum(len(n) + len(v) + SEPARATOR_BYTES for n, v in request.raw_headers)
@@ -191,18 +191,18 @@
             )
 
     async def sweep(self) -> None:
-        """Break connections whose callers leave their answers unread."""
+        """Abort connections whose callers don't read their answers, until cancelled."""
         while True:
             await asyncio.sleep(self.limits.idle_seconds / CHECKS_PER_TIMEOUT)
             self.drop_unread(clock.now())
 
     def drop_unread(self, now: ids.Instant) -> None:
-        """Look at what each caller has left unread since the last look.
+        """Abort connections whose write buffer hasn't shrunk for `idle_seconds`.
 
-        A caller that reads, however slowly, makes it smaller now and then: beyond
-        a mark nothing more is written before it has become less. One that doesn't
-        would keep its connection, the answer and what it's read from for ever;
-        aiohttp's own timer only counts when no answer is being sent.
+        The buffer of a caller that reads, however slowly, shrinks now and then, since
+        above the high-water mark nothing is added until it has shrunk. A caller that
+        doesn't read would keep its connection, the answer and the source of the answer
+        for ever: aiohttp's own timeout only applies while no answer is being sent.
         """
         before, self.unread = self.unread, {}
         for connection, transport in list(self.open.items()):
@@ -215,12 +215,12 @@
             known.size = size
             self.unread[connection] = known
             if now - known.since >= self.limits.idle_seconds:
-                log.info("a caller has left its answer unread")
+                log.info("connection aborted: caller doesn't read its answer")
                 transport.abort()
 
 
 def closing(error: problem.ProblemError) -> web.Response:
-    """Return the response of a problem; the connection ends with it."""
+    """Return the response for a problem, which closes the connection."""
     response = problem.respond(error.problem)
     response.force_close()
     return response
--- a/src/tealcove/tests/test_listener.py
+++ b/src/tealcove/tests/test_listener.py
@@ -1,4 +1,4 @@
-"""Callers that are slow, silent, too many or too long."""
+"""Tests of the listener with slow, idle, too many or oversized callers."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class Server(listener.Listener):
-    """A listener before two handlers: a short answer, and one without an end."""
+    """A listener with handlers for a short, a long and an endless answer."""
 
     def __init__(self, **limits: object) -> None:
         app = web.Application()
@@ -83,12 +83,11 @@
             await asyncio.sleep(POLL)
 
 
-async def test_headers_that_never_end_lose_their_connection() -> None:
-    """Connections that pile up.
+async def test_connections_without_complete_headers_are_closed() -> None:
+    """Guard against connections that accumulate.
 
-    Symptom: an instance runs out of connections though it has few callers.
-    Sequence: callers connect and send nothing, or a header line now and then.
-    Cause: only connections with a request behind them had a time limit.
+    Callers that connect and send nothing, or a header line now and then, use up an
+    instance's connections if only connections with a previous request time out.
     """
     async with serving(idle_seconds=0.2) as (server, port):
         silent, _ = await asyncio.open_connection(HOST, port)
@@ -104,11 +103,10 @@
 
 
 async def test_answers_left_unread_are_dropped() -> None:
-    """Answers that are kept for ever.
+    """Guard against answers that are held for ever.
 
-    Symptom: memory and handlers grow while few requests come. Sequence: callers
-    ask for long answers and stop reading. Cause: a write waits for the reader,
-    and nothing bounded the wait.
+    Callers request long answers and stop reading: without a timeout, writes wait for
+    the reader, and memory and handlers grow though few requests arrive.
     """
     async with serving(idle_seconds=0.4) as (server, port):
         writers = []
@@ -135,7 +133,7 @@
 
 
 class Unread(msgspec.Struct, eq=False):
-    """A transport with so many bytes unread at each look."""
+    """A transport with a given size of its write buffer at each check."""
 
     sizes: list[int]
     is_aborted: bool = False
@@ -147,7 +145,7 @@
         self.is_aborted = True
 
 
-async def test_connections_too_many_are_told_so() -> None:
+async def test_connections_above_the_limit_are_refused() -> None:
     async with serving(connections=1) as (server, port):
         _, first = await asyncio.open_connection(HOST, port)
         await until(lambda: len(server.open) == 1)
