--- a/src/tealcove/__init__.py
+++ b/src/tealcove/__init__.py
@@ -1,1 +1,1 @@
-"""A request scheduler for unlike engines."""
+"""A request scheduler for heterogeneous engines."""
--- a/src/tealcove/checked.py
+++ b/src/tealcove/checked.py
@@ -1,4 +1,4 @@
-"""Strings that are checked when they are read: addresses and keys."""
+"""String types for addresses and keys, validated when they are decoded."""
 
 from __future__ import annotations
 
@@ -10,39 +10,39 @@
 
 
 class Checked(str):
-    """A string that is checked when it's read; `example` tells a valid one."""
+    """Base class of validated strings; `example` describes a valid one."""
 
     __slots__ = ()
     example = ""
 
     @classmethod
     def check(cls, text: str) -> None:
-        """Raise ValueError if the text is none of this type."""
+        """Raise ValueError if the text isn't valid for this type."""
         raise NotImplementedError
 
 
 class IpNumber(Checked):
-    """The IP number of one host; a name would need a name service."""
+    """The IP address of one host; host names would need a name service."""
 
     __slots__ = ()
     example = "an IP number such as 10.0.0.7"
 
     @classmethod
     def check(cls, text: str) -> None:
-        """Refuse names and 0.0.0.0, which nobody else could connect to."""
+        """Refuse names and 0.0.0.0, to which no other host can connect."""
         if ipaddress.ip_address(text).is_unspecified:
             raise ValueError(text)
 
 
 class Address(Checked):
-    """An IP number and a port."""
+    """An IP address and a port."""
 
     __slots__ = ()
     example = "an IP number and a port such as 10.0.0.7:7001"
 
     @classmethod
     def check(cls, text: str) -> None:
-        """Refuse names and ports that don't exist."""
+        """Refuse host names and invalid ports."""
         host, _, port = text.rpartition(":")
         IpNumber.check(host.strip("[]"))
         if not 0 < int(port) <= LARGEST_PORT:
@@ -50,14 +50,14 @@
 
 
 class Url(Checked):
-    """An HTTP URL whose host is an IP number."""
+    """An HTTP URL whose host is an IP address."""
 
     __slots__ = ()
     example = "a URL with an IP number such as http://10.0.0.7:7080"
 
     @classmethod
     def check(cls, text: str) -> None:
-        """Refuse other schemes, names and ports that don't exist."""
+        """Refuse other schemes, host names and port 0."""
         parts = urllib.parse.urlsplit(text)
         if parts.scheme not in ("http", "https") or parts.port == 0:
             raise ValueError(text)
@@ -65,7 +65,7 @@
 
 
 class CurveKey(Checked):
-    """A public key of CURVE in Z85 form."""
+    """A public CURVE key, Z85-encoded."""
 
     __slots__ = ()
     example = f"a public key of {CURVE_KEY_LENGTH} characters in Z85 form"
@@ -78,18 +78,18 @@
 
 
 class Secret(CurveKey):
-    """A secret key of CURVE, which no log line or message may show."""
+    """A secret CURVE key, which must not appear in logs or messages."""
 
     __slots__ = ()
     example = f"a secret key of {CURVE_KEY_LENGTH} characters in Z85 form"
 
     def __repr__(self) -> str:
-        """Hide the key where a struct that holds it is printed."""
+        """Hide the key when a struct that contains it is printed."""
         return "Secret(...)"
 
 
 def decode_checked(wanted: type, found: object) -> object:
-    """Decode the checked strings, for msgspec."""
+    """Decode and validate a checked string; a `dec_hook` of msgspec."""
     if not issubclass(wanted, Checked):
         raise NotImplementedError(wanted)
     if not isinstance(found, str):
--- a/src/tealcove/cli.py
+++ b/src/tealcove/cli.py
@@ -58,7 +58,7 @@
 async def run(argv: list[str] | None = None) -> exits.Code:
     """Run a command line and return its exit code.
 
-    Raises SystemExit for wrong usage, help, and commands that say so themselves.
+    Raises SystemExit for wrong usage, for help, and if a command exits itself.
     """
     try:
         await cappa.invoke_async(
--- a/src/tealcove/client.py
+++ b/src/tealcove/client.py
@@ -1,4 +1,4 @@
-"""What operators and callers can ask of a deployment, from Python."""
+"""A Python client for operators and callers of a deployment."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 PAGE_SIZE = 500
 KEY_BYTES = 16
 WATCH_RETRY_SECONDS = 0.5
-# Above the pause in which a watched instance writes at least one line.
+# Longer than the interval at which an instance writes a line to an idle watch.
 WATCH_SILENCE_SECONDS = 30.0
 STATUS_INTERVAL_SECONDS = 0.2
 NOT_JSON = "An instance of another version may answer; compare their versions."
 
 
 class ResourceView(msgspec.Struct, frozen=True, kw_only=True):
-    """A resource as an instance shows it."""
+    """A resource as returned by an instance."""
 
     kind: kinds.Kind
     metadata: kinds.Metadata
@@ -34,7 +34,7 @@
     status: documents.ResourceStatus | None = None
 
     def resource(self) -> kinds.Resource:
-        """Return it with its spec in the type of its kind."""
+        """Return the resource with its spec converted to the type of its kind."""
         return kinds.Resource(
             kind=self.kind,
             metadata=self.metadata,
@@ -43,14 +43,14 @@
 
 
 class Page(msgspec.Struct, frozen=True):
-    """A part of a list."""
+    """A page of a list."""
 
     items: tuple[ResourceView, ...]
     next: str | None
 
 
 class Event(msgspec.Struct, frozen=True):
-    """A change that a watch tells of."""
+    """A change reported by a watch."""
 
     type: str
     revision: ids.Revision
@@ -65,10 +65,10 @@
 
 
 class Client(connection.Connection):
-    """Resources and entry points, at whichever instance answers."""
+    """Reads and writes resources and entry points at any instance that answers."""
 
     async def entry_points(self) -> points.EntryPoints:
-        """Return the addresses to use, and turn to them too from now on."""
+        """Return the addresses of the entry points and add them to the known ones."""
         found = decode(await self.call("GET", ENTRY_POINTS), points.EntryPoints)
         self.add_servers(point.url for point in found.entry_points)
         return found
@@ -102,7 +102,7 @@
     ) -> ResourceView:
         """Write a resource that is at revision `based_on`; None: it's new.
 
-        Raises ConflictError if it isn't so any more.
+        Raises ConflictError if the resource has changed meanwhile.
         """
         body = msgspec.json.encode({"spec": declared.spec})
         path = path_of(declared.kind, declared.name)
@@ -121,11 +121,11 @@
         return decode(answer, documents.Deleted).revision
 
     async def status(self) -> documents.Overall:
-        """Return the revision that one instance is at, and where it's in force."""
+        """Return the revision of one instance and where it is in force."""
         return decode(await self.call("GET", STATUS), documents.Overall)
 
     async def newest_revision(self) -> ids.Revision:
-        """Return the highest revision that any serving instance is at."""
+        """Return the highest revision of all serving instances."""
         await self.entry_points()
         asked = [self.status_at(server) for server in self.servers]
         found = [one.revision for one in await asyncio.gather(*asked) if one]
@@ -144,7 +144,7 @@
     async def in_force(
         self, revision: ids.Revision
     ) -> typing.AsyncIterator[documents.Overall]:
-        """Yield the status again and again, until the revision is in force."""
+        """Yield the status repeatedly until the revision is in force."""
         while True:
             found = await self.status()
             yield found
@@ -156,10 +156,10 @@
     async def watch(
         self, kind: kinds.Kind, after: ids.Revision
     ) -> typing.AsyncIterator[Event]:
-        """Yield each change after a revision, for ever.
+        """Yield each change after a revision, without end.
 
-        A watch whose instance goes away is taken up at another one, from the last
-        revision seen. Raises RefusedError when changes were compacted meanwhile.
+        If the watched instance disappears, the watch resumes at another one from the
+        last revision seen. Raises RefusedError if changes were compacted meanwhile.
         """
         while True:
             try:
@@ -168,7 +168,7 @@
                     if event.type in (PUT, DELETED):
                         yield event
             except (aiohttp.ClientError, TimeoutError):
-                # Cut off: the next attempt goes to the same or another instance.
+                # Disconnected: the next attempt goes to the same or another instance.
                 self.move_to_end(self.servers[0])
             await asyncio.sleep(WATCH_RETRY_SECONDS)
 
@@ -199,7 +199,7 @@
 
 
 def write_headers(based_on: ids.Revision | None) -> dict[str, str]:
-    """Return the headers that make a write conditional and safe to repeat."""
+    """Return the headers that make a write conditional and safe to retry."""
     key = secrets.token_hex(KEY_BYTES)
     if based_on is None:
         return {"Idempotency-Key": key, "If-None-Match": "*"}
@@ -210,7 +210,7 @@
 
 
 def decode(body: bytes, shape: type[T]) -> T:
-    """Decode an answer; raises ClientError if it isn't what was asked for."""
+    """Decode an answer; raises ClientError if it has another type."""
     try:
         return msgspec.json.decode(body, type=shape)
     except msgspec.DecodeError as failure:
--- a/src/tealcove/clock.py
+++ b/src/tealcove/clock.py
@@ -1,4 +1,4 @@
-"""The monotonic clock of this process, read at the edges only."""
+"""The monotonic clock of this process, read outside decision logic only."""
 
 from __future__ import annotations
 
@@ -8,5 +8,5 @@
 
 
 def now() -> ids.Instant:
-    """Return the present time in seconds, for functions that decide."""
+    """Return the current time in seconds, to be passed to functions as `now`."""
     return ids.Instant(time.monotonic())
--- a/src/tealcove/completion.py
+++ b/src/tealcove/completion.py
@@ -1,4 +1,4 @@
-"""Sending one completion request, as a caller does."""
+"""Client side of a single completion request."""
 
 from __future__ import annotations
 
@@ -29,15 +29,15 @@
 
 
 class Options(msgspec.Struct, frozen=True, kw_only=True):
-    """What the caller asks besides; None and "" leave a header out."""
+    """Options sent as headers; a header is left out for None and ""."""
 
     idempotency_key: str = ""
-    # Seconds from now after which the answer is of no use.
+    # Seconds from now after which the answer is useless.
     deadline: float | None = None
     idempotent: bool = True
 
     def headers(self) -> dict[str, str]:
-        """Return the headers that say so."""
+        """Return the headers of the request."""
         found = {"Content-Type": "application/json"}
         if self.idempotency_key:
             found["Idempotency-Key"] = self.idempotency_key
@@ -49,16 +49,16 @@
 
 
 class Choice(msgspec.Struct, frozen=True):
-    """The one choice of an answer."""
+    """The only choice of an answer."""
 
     text: str = ""
 
 
 class Part(msgspec.Struct, frozen=True):
-    """A buffered answer, or one event of a streamed one."""
+    """A complete answer, or one event of a streamed one."""
 
     choices: tuple[Choice, ...] = ()
-    # Tokens in all; only the event that closes a stream has it.
+    # Total number of tokens; only in the last event of a stream.
     count: int | None = None
 
 
@@ -68,7 +68,7 @@
     """Send a request once and yield its text, in one piece unless it's streamed.
 
     Raises UnavailableError if it wasn't run, RefusedError with the outcome, or
-    LostReplyError when the answer broke off: its text isn't the whole answer.
+    LostReplyError if the answer broke off: the text yielded is incomplete.
     """
     body = msgspec.json.encode(completion)
     request = link.open("POST", PATH, None, data=body, headers=options.headers())
@@ -93,7 +93,7 @@
 
 
 async def read(reading: typing.Awaitable[T]) -> T:
-    """Await the answer or a part of it; raises LostReplyError."""
+    """Await an answer or a part of it; raises LostReplyError."""
     try:
         return await reading
     except (aiohttp.ClientError, TimeoutError):
@@ -101,7 +101,7 @@
 
 
 def broken() -> connection.LostReplyError:
-    """Return the error for an answer that isn't whole."""
+    """Return the error for an incomplete answer."""
     return connection.LostReplyError(
         "The answer broke off",
         "Send the request again with the same Idempotency-Key.",
@@ -109,7 +109,7 @@
 
 
 def refusal(status: int, body: bytes) -> connection.ClientError:
-    """Return the error for a request that has no result."""
+    """Return the error for a request that was refused or failed."""
     found = connection.refusal(status, body)
     if found.answer.outcome == NOT_RUN:
         return connection.UnavailableError(found.problem, "Send it again later.")
--- a/src/tealcove/connection.py
+++ b/src/tealcove/connection.py
@@ -1,4 +1,4 @@
-"""HTTP calls to any of several instances, the next one when one fails."""
+"""HTTP calls to one of several instances, with failover to the next."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 HTTP_NOT_FOUND = 404
 HTTP_UNAVAILABLE = 503
 HTTP_GATEWAY_TIMEOUT = 504
-# Answers after which another instance is worth a try.
+# Statuses after which the call is sent to another instance.
 RETRIED_STATUSES = (HTTP_UNAVAILABLE, HTTP_GATEWAY_TIMEOUT)
 HTTP_FIRST_ERROR = 400
-# An "in use" is status 409 too, but no conflict with another change.
+# Status 409 alone isn't enough: a resource that is in use is also refused with it.
 CONFLICT_TYPE = "urn:tealcove:problem:revision-conflict"
 CALL_SECONDS = 10.0
 CONNECT_SECONDS = 2.0
@@ -27,25 +27,25 @@
 
 
 class ClientError(errors.TealcoveError):
-    """A call of an instance that didn't end well."""
+    """A call to an instance that failed."""
 
 
 class UnavailableError(ClientError):
-    """No instance took the call: nothing was done."""
+    """No instance accepted the call: nothing was done."""
 
 
 class LostReplyError(ClientError):
-    """The call was sent, and its reply never came: it may have been carried out."""
+    """The call was sent and its reply lost: it may have been carried out."""
 
 
 class TimedOutError(ClientError):
-    """What was waited for didn't happen in time."""
+    """An event that was awaited didn't happen in time."""
 
 
 class Problem(msgspec.Struct, frozen=True):
-    """What an instance says of a call that it refused (RFC 9457).
+    """The problem details of a refused call (RFC 9457).
 
-    `outcome` and `reason` come with requests, the last four with resources.
+    `outcome` and `reason` are set for requests, the last four for resources.
     """
 
     title: str = ""
@@ -59,7 +59,7 @@
 
 
 class RefusedError(ClientError):
-    """An instance refused the call, for good."""
+    """An instance refused the call; a retry won't help."""
 
     def __init__(self, status: int, problem: Problem) -> None:
         parts = (problem.title, problem.reason, problem.detail)
@@ -72,16 +72,16 @@
 
 
 class ConflictError(RefusedError):
-    """The resource isn't as the call expected; somebody else changed it."""
+    """The resource isn't at the expected revision; somebody else changed it."""
 
 
 class Connection:
-    """Calls to whichever known instance answers; use it with `async with`."""
+    """Sends calls to any known instance that answers; use it with `async with`."""
 
     def __init__(self, servers: typing.Sequence[str], key: str, ca: str = "") -> None:
         self.servers = [server.rstrip("/") for server in servers]
         self.key = key
-        # Plain True has aiohttp check certificates against the system's authorities.
+        # With True, aiohttp checks certificates against the system's authorities.
         self.tls = ssl.create_default_context(cafile=ca) if ca else SYSTEM_AUTHORITIES
         self.session: aiohttp.ClientSession | None = None
 
@@ -97,7 +97,7 @@
         await self.session.close()
 
     def add_servers(self, servers: typing.Iterable[str]) -> None:
-        """Add instances to turn to when the known ones fail."""
+        """Add instances to try if the known ones fail."""
         for server in servers:
             if server not in self.servers:
                 self.servers.append(server)
@@ -110,7 +110,7 @@
         seconds: float | None,
         options: dict[str, typing.Any],
     ) -> aiohttp.ClientResponse:
-        """Send a call to one instance; `seconds` limits the whole of it."""
+        """Send a call to one instance; `seconds` is the timeout of the whole call."""
         assert self.session is not None
         timeout = aiohttp.ClientTimeout(total=seconds, sock_connect=CONNECT_SECONDS)
         return await self.session.request(
@@ -122,8 +122,8 @@
     ) -> aiohttp.ClientResponse:
         """Open a call at the first instance that can be reached.
 
-        Only an instance to which no byte was written is passed over, so nothing
-        is ever sent twice. Raises UnavailableError if there is none.
+        The next instance is tried only if no byte was written to the one before, so
+        that nothing is sent twice. Raises UnavailableError if all fail.
         """
         for server in list(self.servers):
             try:
@@ -133,9 +133,9 @@
         raise self.unavailable()
 
     async def call(self, method: str, path: str, **options: typing.Any) -> bytes:
-        """Return the answer's body, from any instance.
+        """Return the body of the answer from any instance.
 
-        Only for calls that may be sent again: reads, and writes that carry an
+        Only for calls that are safe to retry: reads, and writes with an
         Idempotency-Key. Raises UnavailableError, LostReplyError (a write that
         may have been carried out), RefusedError or ConflictError.
         """
@@ -165,7 +165,7 @@
     async def call_at(
         self, server: str, method: str, path: str, options: dict[str, typing.Any]
     ) -> bytes:
-        """Return the answer's body from one instance; raises RefusedError too."""
+        """Return the body of one instance's answer; also raises RefusedError."""
         response = await self.send(server, method, path, CALL_SECONDS, options)
         async with response:
             body = await response.read()
@@ -174,13 +174,13 @@
         return body
 
     def move_to_end(self, server: str) -> None:
-        """Turn to an instance that failed only after all others."""
+        """Move an instance that failed behind all others."""
         if server in self.servers:
             self.servers.remove(server)
             self.servers.append(server)
 
     def unavailable(self) -> UnavailableError:
-        """Return the error for the case that no instance took a call."""
+        """Return the error for a call that no instance answered."""
         return UnavailableError(
             f"No instance answers at {', '.join(self.servers)}",
             "Check the addresses in --server or TEALCOVE_SERVER.",
@@ -196,7 +196,7 @@
 
 
 def unavailable_everywhere(last: RefusedError) -> UnavailableError:
-    """Return the error for the case that every instance said: not now."""
+    """Return the error for a call that every instance refused for now."""
     return UnavailableError(last.problem, "Try again later; nothing was done.")
 
 
@@ -212,7 +212,7 @@
 
 
 async def within(seconds: float, awaited: typing.Awaitable[T], what: str) -> T:
-    """Await something for a time; raises TimedOutError."""
+    """Await something with a timeout; raises TimedOutError."""
     try:
         return await asyncio.wait_for(awaited, seconds)
     except TimeoutError:
--- a/src/tealcove/count.py
+++ b/src/tealcove/count.py
@@ -1,16 +1,16 @@
-"""Whole numbers that others write as text."""
+"""Parsing of non-negative integers in external input."""
 
 from __future__ import annotations
 
-# Digits of the longest number that is read, far beyond any count or port.
+# Maximum number of digits, far above that of any count or port.
 MAX_DIGITS = 18
 
 
 def read(text: str) -> int | None:
-    """Return a whole number from 0 on, None for any other text.
+    """Return a non-negative integer, or None for any other text.
 
-    Python's own test for digits holds for superscripts as well, which can't be
-    converted, and a conversion of thousands of digits fails.
+    `str.isdigit` also accepts superscripts, which `int` rejects, and `int` fails for
+    thousands of digits.
     """
     found = text.strip()
     is_count = found.isascii() and found.isdigit() and len(found) <= MAX_DIGITS
--- a/src/tealcove/daemon.py
+++ b/src/tealcove/daemon.py
@@ -147,7 +147,7 @@
         self.limits.start()
 
     def start_dispatcher(self) -> None:
-        """Start the dispatcher and the requester, which sends tickets to dispatchers."""
+        """Start the dispatcher and the requester, which sends it tickets."""
         self.spread = spread.Spread(self.configuration.copy, self.delay_to)
         self.dispatcher = role.Dispatcher(
             self.mesh,
@@ -197,7 +197,7 @@
         self.claims.start()
 
     def start_witness(self) -> witness_role.Witness | None:
-        """Start the witness, which keeps records for other entries; None if disabled."""
+        """Start the witness that keeps records for other entries; None if disabled."""
         timeout = self.settings.dispatch.witness_timeout
         if not timeout:
             return None
--- a/src/tealcove/demo.py
+++ b/src/tealcove/demo.py
@@ -1,4 +1,4 @@
-"""`tealcove demo` from start to verdict: everything in this one process."""
+"""The run of `tealcove demo`, with all components in this process."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 
 
 class DemoError(errors.TealcoveError):
-    """The run showed what must not happen."""
+    """The run revealed a fault of tealcove."""
 
 
 async def run(seed: int, seconds: float, as_json: bool) -> None:
-    """Play the demo and print its report; raises DemoError for a bad run.
+    """Run the demo and print its report; raises DemoError if it shows a fault.
 
     Requests arrive for `seconds`; the last ones end a few seconds later.
     """
@@ -34,7 +34,7 @@
 
 
 async def play(seed: int, seconds: float, write: ProgressWriter) -> report.Report:
-    """Start all parts, send the mix of requests, and return what became of it."""
+    """Start all components, send the mix of requests and return the report."""
     running = parts.Parts(seed)
     handler = logs.JsonHandler(parts.instance_settings(running))
     with handler.applicationbound():
@@ -51,7 +51,7 @@
 async def send(
     running: parts.Parts, requests: list[mix.Request], write: ProgressWriter
 ) -> list[callers.Sent]:
-    """Send all requests and tell from time to time how far they are."""
+    """Send all requests and report progress periodically."""
     sending = callers.Callers(running.url, running.keys)
     reporting = asyncio.create_task(report_progress(sending, len(requests), write))
     try:
@@ -65,7 +65,7 @@
 async def report_progress(
     sending: callers.Callers, total: int, write: ProgressWriter
 ) -> None:
-    """Tell how many requests are sent and ended, until cancelled."""
+    """Report how many requests were sent and ended, until cancelled."""
     start = clock.now()
     while True:
         await asyncio.sleep(PROGRESS_INTERVAL)
@@ -77,7 +77,7 @@
 def build_report(
     running: parts.Parts, sent: list[callers.Sent], seed: int, seconds: float
 ) -> report.Report:
-    """Compare what the callers saw with what the stand-ins counted."""
+    """Return a report that compares the callers' results with the stand-ins' counts."""
     counts = [standin.counts for standin in running.engines]
     engines = tuple(map(report.engine_row, mix.ENGINES, counts))
     return report.Report(
--- a/src/tealcove/errors.py
+++ b/src/tealcove/errors.py
@@ -1,10 +1,10 @@
-"""The tree of typed errors; each message says what to do about it."""
+"""The hierarchy of exceptions; each message includes a remedy."""
 
 from __future__ import annotations
 
 
 class TealcoveError(Exception):
-    """Any error of this package: what is wrong and the remedy."""
+    """Base class of all errors of this package, with a problem and a remedy."""
 
     def __init__(self, problem: str, remedy: str) -> None:
         super().__init__(f"{problem}. {remedy}")
@@ -25,7 +25,7 @@
 
 
 class PlatformUnavailableError(PlatformError):
-    """The platform didn't take the call: certainly nothing was applied."""
+    """The platform didn't accept the call: nothing was applied."""
 
 
 class OutcomeUnknownError(PlatformError):
@@ -37,4 +37,4 @@
 
 
 class BackendError(TealcoveError):
-    """A backend server didn't do what was asked."""
+    """A backend server failed to carry out a call."""
--- a/src/tealcove/exporting.py
+++ b/src/tealcove/exporting.py
@@ -1,4 +1,4 @@
-"""Metrics and traces that are exported, each instance with providers of its own."""
+"""Export of metrics and traces, with separate providers for each instance."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Telemetry(telemetry.Source, probes.MetricsExporter):
-    """The meter and the tracer of one instance, and where they send to."""
+    """The meter and the tracer of one instance, and their exporters."""
 
     def __init__(
         self,
@@ -31,10 +31,11 @@
                 "cloud.availability_zone": found.data_centre,
             }
         )
-        # A registry of its own, since tests and the demo run several in a process.
+        # Not the global registry, since tests and the demo run several instances in one
+        # process.
         self.registry = prometheus_client.CollectorRegistry()
         reader = prometheus.PrometheusMetricReader(registry=self.registry)
-        # Nobody reads exemplars here, and their upkeep costs time at every count.
+        # Exemplars aren't used, and collecting them slows down every measurement.
         self.meters = sdk_metrics.MeterProvider(
             [reader],
             resource=resource,
@@ -51,7 +52,7 @@
         return prometheus_client.generate_latest(self.registry)
 
     def shutdown(self) -> None:
-        """Send the spans that still wait; it blocks, so call it at the very end."""
+        """Export the pending spans; it blocks, so call it last."""
         if self.spans is not None:
             self.spans.shutdown()
         self.meters.shutdown()
@@ -67,13 +68,13 @@
         return None
     if exporter is None and found.otlp_endpoint is not None:
         endpoint = found.otlp_endpoint.rstrip("/") + TRACES_PATH
-        # Imported where it's used: it brings an HTTP client and protobuf.
+        # Imported only if used: it loads an HTTP client and protobuf.
         from opentelemetry.exporter.otlp.proto.http import trace_exporter
 
         exporter = trace_exporter.OTLPSpanExporter(endpoint=endpoint)
     if exporter is None:
         return None
-    # The caller's own decision goes first, so that a trace is whole or absent.
+    # The caller's sampling decision takes precedence, so that traces are complete.
     sampler = sampling.ParentBased(sampling.TraceIdRatioBased(found.trace_share))
     provider = sdk_trace.TracerProvider(
         sampler=sampler, resource=resource, shutdown_on_exit=False
--- a/src/tealcove/front/tests/__init__.py
+++ b/src/tealcove/front/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the front slice."""
+"""Tests of the front package."""
--- a/src/tealcove/keepalive.py
+++ b/src/tealcove/keepalive.py
@@ -1,4 +1,4 @@
-"""Sockets that notice a peer which has fallen silent."""
+"""Sockets that detect a peer which no longer responds."""
 
 from __future__ import annotations
 
@@ -6,21 +6,20 @@
 
 import aiohttp
 
-# A connection may fall silent for good without being closed. A question that the
-# other side may hold for half a minute would be waited for as long, and changes
-# missed in the meantime; one would notice an instance that serves by an old
-# configuration. Seconds of silence before the first probe, between probes, and
-# probes without an answer before the connection counts as lost: 3 s in all, the
-# time after which an instance is expected to be up to date again.
+# A connection may be lost without being closed. A long poll, which the other side may
+# hold for half a minute, would then only end with its timeout, and the instance would
+# serve with an old configuration in the meantime. Idle seconds before the first probe,
+# seconds between probes, and unanswered probes until the connection counts as lost:
+# 3 s in all, the time within which an instance is expected to be up to date again.
 IDLE_SECONDS = 1
 INTERVAL_SECONDS = 1
 PROBES = 2
-# Milliseconds that written bytes may stay unacknowledged.
+# Milliseconds for which sent bytes may stay unacknowledged.
 UNACKNOWLEDGED_MS = 2000
 
 
 def new_socket(address: aiohttp.AddrInfoType) -> socket.socket:
-    """Return a socket for aiohttp that probes its connection."""
+    """Return a socket for aiohttp with TCP keepalive."""
     family, kind, protocol, _, _ = address
     made = socket.socket(family=family, type=kind, proto=protocol)
     made.setblocking(False)
--- a/src/tealcove/linelimit.py
+++ b/src/tealcove/linelimit.py
@@ -1,20 +1,20 @@
-"""A bound on log lines: never more than the budget, and never a wait for a reader."""
+"""A rate limit for log lines, and a writer that never blocks on a slow reader."""
 
 from __future__ import annotations
 
 import enum
 import os
 
-# Bytes that wait for a slow reader; what comes beyond is dropped.
+# Maximum number of bytes buffered for a slow reader; further lines are dropped.
 MAX_BUFFERED_BYTES = 256 * 1024
 
 
 class Weight(enum.IntEnum):
-    """How many times the budget all lines together may take when one is still written.
+    """The multiple of the limit up to which lines of one kind are written.
 
-    An overload makes hundreds of lines a second, and the ones that tell why a request
-    wasn't served are looked for afterwards: at 400 refusals a second, one in three was
-    dropped among lines that repeat.
+    An overload produces hundreds of lines a second, and operators need those that say
+    why a request wasn't served: at 400 refusals a second, a third of them were dropped
+    in favour of repetitive lines.
     """
 
     PLAIN = 1
@@ -24,7 +24,7 @@
 
 
 class LineLimit:
-    """Counts lines by the second, and what had to be dropped."""
+    """Limits the lines written in each second and counts those dropped."""
 
     def __init__(self, max_per_second: int) -> None:
         self.max_per_second = max_per_second
@@ -33,7 +33,7 @@
         self.dropped = 0
 
     def admits(self, weight: Weight, now: float) -> bool:
-        """Tell whether a line may be written."""
+        """Return whether a line may be written; count it as dropped otherwise."""
         second = int(now)
         if second != self.second:
             self.second = second
@@ -47,10 +47,10 @@
 
 
 class LineWriter:
-    """Writes to a descriptor without ever waiting for it.
+    """Writes to a file descriptor without blocking.
 
-    A reader that stops reading would otherwise stop the whole instance at the next
-    line; its peers would take it for dead, and its callers wait.
+    Otherwise, a reader that stops reading would block the whole instance at the next
+    line: its peers would consider it dead, and its callers would wait.
     """
 
     def __init__(self, descriptor: int) -> None:
@@ -59,7 +59,7 @@
         self.buffer = b""
 
     def write(self, line: bytes) -> bool:
-        """Write a line, or keep it for later; False: there's no room for it."""
+        """Write or buffer a line; return False if the buffer is full."""
         if len(self.buffer) + len(line) > MAX_BUFFERED_BYTES:
             self.flush()
             if len(self.buffer) + len(line) > MAX_BUFFERED_BYTES:
@@ -69,7 +69,7 @@
         return True
 
     def flush(self) -> None:
-        """Write what the reader takes now."""
+        """Write as much of the buffer as is possible without blocking."""
         try:
             written = os.write(self.descriptor, self.buffer)
         except BlockingIOError:
--- a/src/tealcove/logs.py
+++ b/src/tealcove/logs.py
@@ -1,4 +1,4 @@
-"""Logs as JSON lines, on standard error or, with a bound, on standard output."""
+"""Logs as JSON lines on standard error, or rate-limited on standard output."""
 
 from __future__ import annotations
 
@@ -18,19 +18,19 @@
     settings.Level.WARNING: logbook.WARNING,
     settings.Level.ERROR: logbook.ERROR,
 }
-# The keyword under which callers give the request's id: `extra={"request": ...}`.
+# Key of the request's id in a record: `extra={"request": ...}`.
 REQUEST = "request"
-# Marks a line that says why a request ended badly: `extra={..., "final": True}`.
+# Marks a record that says why a request failed: `extra={..., "final": True}`.
 FINAL = "final"
 
 
 class Line(msgspec.Struct, frozen=True, omit_defaults=True):
     """One line of the log."""
 
-    # ISO 8601 in UTC, for people; nothing is decided by it.
+    # ISO 8601 in UTC, for information only.
     time: str
     level: str
-    # The slice that wrote the line.
+    # The component that wrote the line.
     channel: str
     message: str
     instance: str
@@ -53,7 +53,7 @@
         self.stream = stream or sys.stderr
 
     def should_handle(self, record: logbook.LogRecord) -> bool:
-        """Take records of the level, and all those of a slice under scrutiny."""
+        """Accept records of at least the level, and all in `log.debug`."""
         return record.level >= self.lowest or record.channel in self.debug
 
     def emit(self, record: logbook.LogRecord) -> None:
@@ -62,7 +62,7 @@
         self.stream.flush()
 
     def encode(self, record: logbook.LogRecord) -> bytes:
-        """Return the line without its end."""
+        """Return the line without its line end."""
         line = Line(
             time=record.time.isoformat(timespec="milliseconds") + "Z",
             level=logbook.get_level_name(record.level).lower(),
@@ -77,10 +77,10 @@
 
 
 class RateLimitedHandler(JsonHandler):
-    """Writes so many lines a second at the most, and never waits for a reader.
+    """Limits the lines written a second, and never blocks on a slow reader.
 
-    What is dropped is counted: `dropped` is shown among the metrics, and the next
-    line that is written says how many went before it.
+    Dropped lines are counted: `dropped` is exposed as a metric, and the next line
+    written says how many were dropped before it.
     """
 
     def __init__(
@@ -93,11 +93,11 @@
 
     @property
     def dropped(self) -> int:
-        """Lines that were not written since the start."""
+        """Return the number of lines dropped since the start."""
         return self.limit.dropped
 
     def emit(self, record: logbook.LogRecord) -> None:
-        """Write the line, unless there are too many."""
+        """Write the line unless the limit is exceeded."""
         if not self.limit.admits(weight_of(record), clock.now()):
             return
         line = self.encode(record)
@@ -110,7 +110,7 @@
 
 
 def weight_of(record: logbook.LogRecord) -> linelimit.Weight:
-    """Return how much a line counts against others of its second."""
+    """Return the weight that decides up to which limit a record is written."""
     if record.extra[FINAL]:
         return linelimit.Weight.FINAL
     if record.level >= logbook.WARNING:
@@ -121,7 +121,7 @@
 def install_rate_limited(
     found: settings.Settings, max_per_second: int
 ) -> RateLimitedHandler:
-    """Send all records to a bounded handler on standard output, and return it."""
+    """Send all records to a rate-limited handler on standard output; return it."""
     handler = RateLimitedHandler(found, sys.stdout.fileno(), max_per_second)
     return push(handler)
 
@@ -132,8 +132,8 @@
 def push(handler: H) -> H:
     """Send all records of this process to a handler, and return it.
 
-    The standard library's records come too, since aiohttp writes there; its
-    access log stays out, because request paths may hold what callers keep secret.
+    Records of the standard library's `logging` are included, since aiohttp uses it, but
+    not its access log, because request paths may contain secrets of callers.
     """
     handler.push_application()
     logbook.compat.redirect_logging()
--- a/src/tealcove/measuring.py
+++ b/src/tealcove/measuring.py
@@ -1,34 +1,33 @@
-"""What roles measure with, whatever shows or exports it."""
+"""Interfaces through which roles record metrics, independent of any exporter."""
 
 from __future__ import annotations
 
 import abc
 import typing
 
-# Bounds of histograms in seconds; those of OpenTelemetry's default are meant for
+# Bucket bounds of histograms in seconds; OpenTelemetry's defaults are meant for
 # milliseconds.
 SECONDS_BOUNDS = (0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 10, 30, 60, 120, 300)
 
 
 class Counter(typing.Protocol):
-    """A number that only grows, by labels."""
+    """A monotonic counter with a value for each set of labels."""
 
     def add(self, amount: float, attributes: dict[str, str]) -> None:
-        """Add to it."""
+        """Add an amount to the value of a set of labels."""
 
 
 class Histogram(typing.Protocol):
-    """How often values within some bounds were seen, by labels."""
+    """A histogram with a series for each set of labels."""
 
     def record(self, amount: float, attributes: dict[str, str]) -> None:
-        """Take in a value."""
+        """Record a value."""
 
 
 class Source(abc.ABC):
-    """Gives roles what they count and measure with."""
+    """Creates the counters and histograms of roles."""
 
-    # Whether any span is ever recorded; callers may otherwise leave out work that
-    # only serves spans.
+    # Whether spans are recorded; if not, callers may skip work that only serves spans.
     tracing = False
 
     @abc.abstractmethod
@@ -41,7 +40,7 @@
 
 
 class NoOpMetric(Counter, Histogram):
-    """A metric that nobody looks at."""
+    """A metric that discards its values."""
 
     def add(self, amount: float, attributes: dict[str, str]) -> None:
         """See Counter."""
@@ -51,7 +50,7 @@
 
 
 class NoOpSource(Source):
-    """Measures nothing."""
+    """Creates metrics that discard their values."""
 
     def counter(self, name: str, description: str) -> Counter:
         """See Source."""
--- a/src/tealcove/membership/tests/test_heartbeats.py
+++ b/src/tealcove/membership/tests/test_heartbeats.py
@@ -255,7 +255,7 @@
     await asyncio.sleep(source.uniform(2.0, 2.5))
     await kill_first_ranked(found)
     loop = asyncio.get_running_loop()
-    loop.call_later(source.uniform(0.5, 2.5), loop.stand_still, stall)
+    loop.call_later(source.uniform(0.5, 2.5), loop.freeze, stall)
     lost = await watch(found, 4.0)
     for one in found:
         await one.stop()
--- a/src/tealcove/plan.py
+++ b/src/tealcove/plan.py
@@ -1,4 +1,4 @@
-"""The order in which resources are written, and a check of them all together."""
+"""The order in which resources are written, and a check of all of them together."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from tealcove import errors, ids, resourcefiles
 from tealcove.resources import codec, copy, kinds, refusals, validation
 
-# A resource can only name others that exist, so these come first.
+# A resource can only refer to existing ones, so these are written first.
 ORDER = (
     kinds.Kind.SERVICE_TIER,
     kinds.Kind.MODEL,
@@ -23,21 +23,21 @@
 def by_dependency(
     declared: typing.Iterable[resourcefiles.Declared],
 ) -> list[resourcefiles.Declared]:
-    """Return resources so that each comes after those that it names."""
+    """Return resources so that each comes after those that it refers to."""
     return sorted(declared, key=lambda one: (ORDER.index(one.kind), one.name))
 
 
 def build_configuration(
     resources: typing.Iterable[kinds.Resource],
 ) -> copy.Configuration:
-    """Return a configuration that holds resources as they were read."""
+    """Return a configuration that contains the given resources."""
     return add_all(copy.empty(), resources)
 
 
 def add_all(
     configuration: copy.Configuration, resources: typing.Iterable[kinds.Resource]
 ) -> copy.Configuration:
-    """Return the configuration with resources written."""
+    """Return the configuration with resources added."""
     changes = [
         codec.Change(
             revision=ids.Revision(configuration.revision + number),
@@ -56,9 +56,9 @@
     configuration: copy.Configuration,
     declared: typing.Iterable[resourcefiles.Declared],
 ) -> copy.Configuration:
-    """Check resources as the servers would, one after the other; writes nothing.
+    """Check resources in order, as the instances would; writes nothing.
 
-    Returns the configuration that they lead to; raises errors.SettingsError.
+    Returns the resulting configuration; raises errors.SettingsError.
     """
     for one in by_dependency(declared):
         resource = as_resource(one)
@@ -74,7 +74,7 @@
 
 
 def as_resource(declared: resourcefiles.Declared) -> kinds.Resource:
-    """Return a declared resource with metadata that only stand in."""
+    """Return a declared resource with placeholder metadata."""
     metadata = kinds.Metadata(
         name=declared.name,
         revision=copy.NOTHING,
--- a/src/tealcove/probes.py
+++ b/src/tealcove/probes.py
@@ -1,4 +1,4 @@
-"""What supervisors and monitoring ask of an instance over HTTP."""
+"""HTTP handlers for health and readiness probes and for metrics."""
 
 from __future__ import annotations
 
@@ -13,22 +13,22 @@
 
 
 class MetricsExporter(abc.ABC):
-    """What has metrics to show."""
+    """Interface for exposing metrics."""
 
     @abc.abstractmethod
     def metrics_text(self) -> bytes:
-        """Return all metrics in the text form of Prometheus, for /metrics."""
+        """Return all metrics in the Prometheus text format, for /metrics."""
 
 
 class Probes:
-    """Handlers that need no key, and tell nothing about callers."""
+    """Handlers that need no key and reveal nothing about callers."""
 
     def __init__(self, known: members.Members, exporter: MetricsExporter) -> None:
         self.members = known
         self.exporter = exporter
 
     def routes(self) -> list[web.RouteDef]:
-        """Return the handlers to mount."""
+        """Return the routes of the handlers."""
         return [
             web.get("/healthz", self.healthz),
             web.get("/readyz", self.readyz),
@@ -36,16 +36,16 @@
         ]
 
     async def healthz(self, request: web.Request) -> web.Response:
-        """Say that the process runs."""
+        """Answer that the process runs."""
         return web.Response(text="ok\n")
 
     async def readyz(self, request: web.Request) -> web.Response:
-        """Say whether the instance accepts requests."""
+        """Answer whether the instance accepts requests."""
         lifecycle = self.members.own.lifecycle
         ready = lifecycle is messages.Lifecycle.SERVING
         status = READY if ready else NOT_READY
         return web.Response(status=status, text=f"{lifecycle.value}\n")
 
     async def metrics(self, request: web.Request) -> web.Response:
-        """Show all metrics in Prometheus' text form."""
+        """Answer with all metrics in the Prometheus text format."""
         return web.Response(body=self.exporter.metrics_text())
--- a/src/tealcove/readiness.py
+++ b/src/tealcove/readiness.py
@@ -1,4 +1,4 @@
-"""Whether an instance may accept requests by the configuration that it has."""
+"""Decides from an instance's configuration whether it accepts requests."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 LOG = logbook.Logger("readiness")
 
-# Seconds between two looks.
+# Seconds between checks.
 INTERVAL = 0.25
 
 
 class Readiness:
-    """Moves the instance between joining and serving, and tells the peers."""
+    """Switches the instance between joining and serving, and notifies the peers."""
 
     def __init__(
         self,
@@ -30,13 +30,13 @@
         self.configuration = configured
 
     async def run(self) -> None:
-        """Look again and again until cancelled."""
+        """Check periodically until cancelled."""
         while True:
             self.update(clock.now())
             await asyncio.sleep(INTERVAL)
 
     def update(self, now: ids.Instant) -> None:
-        """Accept requests while the configuration may be relied on."""
+        """Set the lifecycle to serving while the configuration is reliable."""
         lifecycle = self.members.own.lifecycle
         if lifecycle not in (messages.Lifecycle.JOINING, messages.Lifecycle.SERVING):
             return
@@ -49,7 +49,7 @@
             self.heartbeats.broadcast()
 
     def may_serve(self, lifecycle: messages.Lifecycle, now: ids.Instant) -> bool:
-        """Tell whether to accept: fully up to date at first, not isolated later."""
+        """Return whether to serve: up to date to start, not isolated to go on."""
         if lifecycle is messages.Lifecycle.SERVING:
             return not self.configuration.reader.isolated(now)
         return self.configuration.may_serve(now)
--- a/src/tealcove/resourcefiles.py
+++ b/src/tealcove/resourcefiles.py
@@ -1,4 +1,4 @@
-"""Reading resources from files and folders of JSON with comments."""
+"""Reads resources from files and folders of JSON with comments."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 
 
 class Declared(msgspec.Struct, frozen=True):
-    """A resource as an operator wrote it."""
+    """A resource as declared in a file."""
 
     kind: kinds.Kind
     name: str
     spec: kinds.Spec
-    # The file it comes from, for messages.
+    # The file that declares it, for messages.
     path: str
 
 
 class Written(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The keys of a resource in a file."""
+    """The JSON object that declares a resource."""
 
     kind: kinds.Kind
     name: kinds.Name
@@ -32,10 +32,10 @@
 
 
 def read(paths: list[str]) -> list[Declared]:
-    """Read files, and folders with all below; raises errors.SettingsError.
+    """Read files, and folders recursively; raises errors.SettingsError.
 
-    A file holds one resource or a list of them. A resource that stands in two
-    places is refused: which of the two wins would depend on the file names.
+    A file contains one resource or a list of them. A resource that is declared twice
+    is refused: which declaration wins would depend on the file names.
     """
     found: list[Declared] = []
     for path in paths:
@@ -46,14 +46,14 @@
 
 
 def files_of(path: str) -> list[str]:
-    """Return a file itself, or the files below a folder in order of name."""
+    """Return the path of a file, or those of all files in a folder, sorted."""
     folder = pathlib.Path(path)
     if not folder.is_dir():
         return [path]
     files = sorted(str(file) for file in folder.rglob(PATTERN))
     if not files:
         raise errors.SettingsError(
-            f"{path}: holds no {PATTERN} file", "Name a folder of resources."
+            f"{path}: contains no {PATTERN} file", "Name a folder of resources."
         )
     return files
 
@@ -80,13 +80,13 @@
 
 
 def check_duplicates(found: list[Declared]) -> None:
-    """Raise errors.SettingsError if a resource stands twice."""
+    """Raise errors.SettingsError if a resource is declared twice."""
     seen: dict[tuple[kinds.Kind, str], str] = {}
     for one in found:
         key = (one.kind, one.name)
         if key in seen:
             raise errors.SettingsError(
-                f"{one.path}: {one.kind.value} {one.name} stands in {seen[key]} too",
+                f"{one.path}: {one.kind.value} {one.name} also declared in {seen[key]}",
                 "Remove one of the two.",
             )
         seen[key] = one.path
--- a/src/tealcove/settings.py
+++ b/src/tealcove/settings.py
@@ -1,4 +1,4 @@
-"""The settings of an instance: JSON with comments, checked when read."""
+"""The settings of an instance: JSON with comments, validated when loaded."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from tealcove import checked, ids, settingsfile
 from tealcove.resources import kinds
 
-# 0 lets the operating system choose a free port, which suits tests only.
+# 0 lets the operating system choose a free port, which is useful in tests only.
 Port = Annotated[int, msgspec.Meta(ge=0, le=65535)]
 Seconds = Annotated[float, msgspec.Meta(gt=0)]
 Delay = Annotated[float, msgspec.Meta(ge=0)]
@@ -22,11 +22,11 @@
 
 
 class Group(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Base class of the groups of settings."""
+    """Base class of groups of settings."""
 
 
 class Tls(Group):
-    """Files in PEM form; without them, HTTP is spoken in the clear."""
+    """Certificate and key files in PEM format; without them, HTTP is unencrypted."""
 
     certificate: str
     key: str
@@ -35,18 +35,18 @@
 class Http(Group):
     """Where callers and operators reach this instance."""
 
-    # Bound, and told to callers as it stands, so it can't be 0.0.0.0.
+    # Also announced to callers as their address, so it can't be 0.0.0.0.
     host: checked.IpNumber = checked.IpNumber("127.0.0.1")
     port: Port = 7000
     tls: Tls | None = None
 
 
 class Curve(Group):
-    """Keys of CURVE in Z85 form (40 characters each)."""
+    """CURVE keys, Z85-encoded (40 characters each)."""
 
     public_key: checked.CurveKey
     secret_key: checked.Secret
-    # Public keys of all instances, this one's too; others are refused.
+    # Public keys of all instances, including this one; others are refused.
     allowed: tuple[checked.CurveKey, ...]
 
 
@@ -63,14 +63,15 @@
     """The platform's table service, object store and lists."""
 
     url: checked.Url = checked.Url("http://127.0.0.1:7080")
-    # A call that takes longer counts as failed, its outcome as unknown.
+    # A call that takes longer counts as failed with unknown outcome.
     timeout_seconds: Seconds = 2.0
-    # PEM file of the authority that signed its certificate; absent: the system's.
+    # PEM file of the authority that signed the platform's certificate; if absent, the
+    # system's authorities are trusted.
     ca: str | None = None
 
 
 class Operator(Group):
-    """Somebody who may use the administration API."""
+    """A user of the administration API."""
 
     name: kinds.Name
     # SHA-256 of the bearer key in hex; the key itself is never stored.
@@ -78,7 +79,7 @@
 
 
 class DataCentre(Group):
-    """A data centre, and how far it is from others."""
+    """A data centre and its delays to others."""
 
     name: kinds.Name
     region: str = ""
@@ -87,96 +88,100 @@
 
 
 class Heartbeat(Group):
-    """When other instances are told of, suspected and forgotten."""
+    """Intervals of heartbeats and timeouts of the failure detector."""
 
     interval: Seconds = 0.25
-    # Silence after which a peer gets no new work.
+    # Seconds without a heartbeat after which a peer gets no new work.
     suspect_after: Seconds = 1.0
-    # Silence after which a peer is dropped from the membership.
+    # Seconds without a heartbeat after which a peer is removed from the membership.
     forget_after: Seconds = 10.0
 
 
 class Dispatch(Group):
-    """How entries and dispatchers work together."""
+    """Timeouts and policy of dispatching."""
 
-    # A ticket unanswered for so long goes to the next dispatcher in rank.
+    # A ticket that isn't acknowledged within this time goes to the dispatcher that is
+    # next in rank.
     ticket_timeout: Seconds = 0.3
-    # How often a dispatcher asks its backend servers for their load.
+    # Interval at which a dispatcher polls the load of its backend servers.
     load_poll_interval: Seconds = 0.5
-    # Kept free between the predicted end of a request and its deadline, in seconds.
+    # Safety margin between the predicted end of a request and its deadline, in seconds.
     deadline_margin: Delay = 0.05
-    # "module:Class" of the Scheduler that decides for a cell.
+    # "module:Class" of the Scheduler that cells use.
     policy: str = "tealcove.dispatch.fair:FairScheduler"
-    # How long an entry waits for word of an earlier sending of a request with a
-    # key; 0 keeps no records of where such requests run.
+    # How long an entry waits for a record of an earlier attempt of a request with an
+    # idempotency key; 0 disables these records.
     witness_timeout: Delay = 0.05
 
 
 class Quarantine(Group):
-    """How long a request that crashes backend servers isn't run."""
+    """Duration of the quarantine of requests that crash backend servers."""
 
-    # After its second crash; a suspect after its first one runs alone as long.
+    # A request is quarantined for this long after its second crash. After its first
+    # one, it is suspect for this long and doesn't share a backend server.
     seconds: Seconds = 600.0
 
 
 class Limits(Group):
-    """What callers may use of an instance before they are refused."""
+    """Limits of an instance above which callers are refused."""
 
     body_bytes: Count = 4 * MIB
     header_bytes: Count = 16 * KIB
     connections: Count = 2000
-    # A connection without a request, or a caller that reads nothing, is closed.
+    # Connections are closed after this time without a request, or if the caller doesn't
+    # read the answer.
     idle_seconds: Seconds = 75.0
 
 
 class Shutdown(Group):
-    """How an instance leaves after SIGTERM."""
+    """How an instance shuts down after SIGTERM."""
 
-    # How long callers may keep an answer of /v1/entry-points; a leaving
-    # instance accepts requests until the last of these answers has run out.
+    # How long callers may cache an answer of /v1/entry-points. A leaving instance
+    # accepts requests until the last of these answers has expired.
     entry_points_ttl: Seconds = 5.0
-    # Requests in progress get so long to finish.
+    # Time for requests in progress to finish.
     drain_seconds: Seconds = 60.0
 
 
 class Configuration(Group):
-    """How an instance keeps its copy of the resources."""
+    """How an instance keeps its copy of the resources up to date."""
 
-    # How often it reads the head revision.
+    # Interval at which it polls the head revision.
     poll_interval: Seconds = 1.0
-    # Out of reach of the platform and all peers for so long, it stops accepting.
+    # After this time without contact to the platform or any peer, an instance stops
+    # accepting requests.
     isolated_after: Seconds = 30.0
 
 
 class Claims(Group):
-    """How claims of non-idempotent requests reach the platform's table."""
+    """How claims of non-idempotent requests are written to the platform."""
 
-    # Instances that write claims at any one time; it bounds the write rate.
+    # Number of instances that write claims at the same time; it limits the write rate.
     writers: Count = 2
-    # How long a writer gathers claims before it commits them together.
+    # How long a writer collects claims before it commits them as a batch.
     batch_interval: Seconds = 0.02
 
 
 class Orders(Group):
-    """How an instance takes charge of a pool's engines and orders them."""
+    """How an instance leases a pool and sends orders to its engines."""
 
-    # Duration of the lease of a pool; its holder's successor waits for so long.
+    # Duration of a pool's lease; the next holder waits for this long.
     lease_seconds: Seconds = 8.0
-    # No engine carries an order out later than this after it was sent.
+    # Upper bound on the time from sending an order to the end of its execution.
     longest_seconds: Seconds = 300.0
 
 
 class Telemetry(Group):
-    """Where traces go; metrics are always at /metrics."""
+    """Where traces are exported; metrics are always served at /metrics."""
 
     # Absent: no traces are recorded.
     otlp_endpoint: checked.Url | None = None
-    # Part of the requests that are traced when their caller doesn't say.
+    # Share of requests that are traced if the caller makes no sampling decision.
     trace_share: Share = 1.0
 
 
 class Level(enum.Enum):
-    """How grave a log line must be to be written."""
+    """The lowest level of log lines that are written."""
 
     DEBUG = "debug"
     INFO = "info"
@@ -188,21 +193,21 @@
     """What is written to standard error, as JSON lines."""
 
     level: Level = Level.INFO
-    # Slices whose debug lines are written whatever the level, such as "dispatch".
+    # Components whose debug lines are written at any level, such as "dispatch".
     debug: tuple[str, ...] = ()
 
 
 class Settings(Group):
     """All settings of one instance."""
 
-    # No default: two instances of one name would be taken for one.
+    # No default: two instances with the same name would be treated as one.
     instance: kinds.Name
-    # No default: it decides which cells and callers are near.
+    # No default: it determines which cells and callers are close.
     data_centre: kinds.Name
     http: Http = Http()
     peer: Peer = Peer()
     platform: Platform = Platform()
-    # Instances ("ip:peer port") to ask first; the platform's list adds others.
+    # Instances ("ip:peer port") to contact first; the platform's list adds others.
     seeds: tuple[checked.Address, ...] = ()
     # Without an operator, nobody can use the administration API.
     operators: tuple[Operator, ...] = ()
@@ -241,7 +246,7 @@
 
 
 def check_heartbeat(path: str, heartbeat: Heartbeat) -> None:
-    """Refuse times by which a healthy peer would be suspected or forgotten."""
+    """Refuse timeouts with which healthy peers would be suspected or forgotten."""
     if heartbeat.suspect_after <= heartbeat.interval:
         raise settingsfile.location_error(
             path,
@@ -259,14 +264,17 @@
 
 
 def check_data_centres(path: str, found: Settings) -> None:
-    """Refuse data centres that are named twice, or only where they are used."""
+    """Refuse data centres that are defined twice, or referred to but not defined."""
     names = [centre.name for centre in found.data_centres]
     known = ", ".join(names)
     for index, centre in enumerate(found.data_centres):
         where = f"$.data_centres[{index}]"
         if centre.name in names[:index]:
             raise settingsfile.location_error(
-                path, where, f"`{centre.name}` stands twice", "Remove one of the two"
+                path,
+                where,
+                f"`{centre.name}` is defined twice",
+                "Remove one of the two",
             )
         for other in centre.delays:
             if other not in names:
--- a/src/tealcove/settingsfile.py
+++ b/src/tealcove/settingsfile.py
@@ -1,4 +1,4 @@
-"""Reading files of JSON with comments into typed structs."""
+"""Reads files of JSON with comments into typed structs."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     "str | null": "a string or null",
     "object | null": "an object in braces, or null",
 }
-# As msgspec's messages show them, which is with quotes and escapes.
+# Patterns as they appear in msgspec's messages: quoted and escaped.
 NAME_PATTERN = repr(kinds.Name.__metadata__[0].pattern)
 KEY_HASH_PATTERN = repr(kinds.KeyHash.__metadata__[0].pattern)
 PATTERNS = {
@@ -50,7 +50,7 @@
 
 
 def convert(path: str, place: str, content: object, shape: type[T]) -> T:
-    """Check the content of a place in a file; raises errors.SettingsError."""
+    """Convert the content at a location in a file; raises errors.SettingsError."""
     try:
         return msgspec.convert(content, shape, dec_hook=checked.decode_checked)
     except msgspec.ValidationError as failure:
@@ -80,7 +80,7 @@
 
 
 def locate(text: str, message: str) -> str:
-    """Say the line in place of the offset that the parser names."""
+    """Return a message with the line in place of the parser's offset."""
     offset = re.search(r"near (\d+)", message)
     if offset is None:
         return f"isn't JSON: {message}"
@@ -91,14 +91,14 @@
 def location_error(
     path: str, place: str, problem: str, remedy: str
 ) -> errors.SettingsError:
-    """Return the error for one place in a file."""
+    """Return the error for a location in a file."""
     return errors.SettingsError(f"{path}: {place}: {problem}", f"{remedy}.")
 
 
 def conversion_error(
     path: str, root: str, message: str, content: object, shape: type
 ) -> errors.SettingsError:
-    """Turn msgspec's message into one line that says what to write."""
+    """Return an error of one line, with a remedy, for a message of msgspec."""
     parts = PLACE.match(message)
     assert parts is not None
     problem = parts["problem"]
@@ -124,7 +124,7 @@
 
 
 def describe_expected(expected: re.Match[str]) -> str:
-    """Say in words what msgspec expected."""
+    """Describe in words what msgspec expected."""
     bound = expected["bound"] or ""
     pattern = PATTERN.search(bound)
     if pattern is not None:
@@ -133,9 +133,9 @@
 
 
 def quote_value(content: object, inner: str) -> str:
-    """Return the refused value in quotes, or "it " for a key or a group.
+    """Return the invalid value in quotes, or "it " for a key or a group.
 
-    A plain key that was written where its hash belongs must not reach a log.
+    A plain key that was written in place of its hash must not reach a log.
     """
     if SECRET_WORD in inner:
         return "it "
@@ -151,7 +151,7 @@
 
 
 def remedy_for(problem: str, shape: type, inner: str) -> str:
-    """Say what to write in the place of what was refused."""
+    """Describe what to write in place of an invalid value."""
     _, refusal, example = problem.partition(" isn't ")
     if refusal:
         return f"Write {example}"
@@ -162,7 +162,7 @@
 
 
 def known_fields(shape: type, inner: str) -> tuple[str, ...]:
-    """Return the keys that may stand at a place such as `$.http`."""
+    """Return the keys that are allowed at a location such as `$.http`."""
     current = type_at(shape, inner)
     if not isinstance(current, msgspec.inspect.StructType):
         return ()
@@ -170,7 +170,7 @@
 
 
 def type_at(shape: type, inner: str) -> msgspec.inspect.Type | None:
-    """Return the type of a place such as `$.http`."""
+    """Return the type at a location such as `$.http`."""
     current: msgspec.inspect.Type | None = msgspec.inspect.type_info(shape)
     for step in STEP.finditer(inner):
         current = inner_type(current, step[1])
@@ -180,7 +180,7 @@
 def inner_type(
     current: msgspec.inspect.Type, key: str | None
 ) -> msgspec.inspect.Type | None:
-    """Return the type one step further; a key of None is an index."""
+    """Return the type of an item of a type; a key of None stands for an index."""
     if isinstance(current, msgspec.inspect.StructType):
         fields = {field.encode_name: field.type for field in current.fields}
         return without_null(fields.get(key))
@@ -194,7 +194,7 @@
 def without_null(
     found: msgspec.inspect.Type | None,
 ) -> msgspec.inspect.Type | None:
-    """Return the struct of an optional group."""
+    """Return the struct of an optional group, or the type itself."""
     if isinstance(found, msgspec.inspect.UnionType):
         return next(
             (one for one in found.types if isinstance(one, msgspec.inspect.StructType)),
--- a/src/tealcove/tasks.py
+++ b/src/tealcove/tasks.py
@@ -1,4 +1,4 @@
-"""Background tasks whose failures are seen."""
+"""Background tasks whose failures are logged."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 
 def start(work: Coroutine[object, object, None], name: str) -> asyncio.Task[None]:
-    """Run work in the background and log the exception that ends it, if any.
+    """Run a coroutine in the background and log the exception that ends it, if any.
 
-    A task that dies of an exception nobody awaits is silent: heartbeats to one
-    peer would stop, say, and the peer would take this instance for dead.
+    The exception of a task that nobody awaits would go unnoticed: for example,
+    heartbeats to one peer would stop, and the peer would consider this instance dead.
     """
     task = asyncio.create_task(work, name=name)
     task.add_done_callback(report)
@@ -22,7 +22,7 @@
 
 
 def report(task: asyncio.Task[None]) -> None:
-    """Log how a task failed."""
+    """Log the exception of a failed task."""
     if task.cancelled() or task.exception() is None:
         return
     LOG.error("task {} failed: {!r}", task.get_name(), task.exception())
--- a/src/tealcove/telemetry.py
+++ b/src/tealcove/telemetry.py
@@ -1,7 +1,7 @@
-"""What measures and traces by OpenTelemetry, without what exports either.
+"""Metrics and traces through the OpenTelemetry API, without exporters.
 
-An instance that starts again is waited for, and the exporters are an eighth of what it
-imports; see `exporting`.
+Callers wait for an instance that restarts, and the exporters, an eighth of its imports,
+are left to `exporting`.
 """
 
 from __future__ import annotations
@@ -20,16 +20,16 @@
 TRACEPARENT = "traceparent"
 
 PROPAGATOR = tracecontext.TraceContextTextMapPropagator()
-# What a request without a trace runs under.
+# The context of a request without a trace.
 NO_CONTEXT = opentelemetry.context.Context()
 NO_SPAN = contextlib.nullcontext()
 
 
 class Source(measuring.Source):
-    """A meter and a tracer; without arguments, nothing is measured or traced.
+    """A meter and a tracer; by default, no-ops that record nothing.
 
-    `tracing` is false when no span is ever recorded; callers may then leave
-    out work that only serves spans. The tracer is a no-op one in that case.
+    `tracing` is false if no spans are recorded; callers may then skip work that only
+    serves spans. The tracer is a no-op in that case.
     """
 
     def __init__(self) -> None:
@@ -53,17 +53,17 @@
     def child_span(
         self, name: str, **attributes: str
     ) -> contextlib.AbstractContextManager[trace.Span | None]:
-        """Return a span within the current one; None when that isn't recorded."""
+        """Start a child of the current span; gives None if that isn't recorded."""
         if not self.tracing or not trace.get_current_span().is_recording():
             return NO_SPAN
         return self.span(name, attributes=attributes)
 
     @contextlib.contextmanager
     def span(self, name: str, **options: typing.Any) -> Iterator[trace.Span]:
-        """Make a span the current one; it ends as an error by an exception.
+        """Make a span the current one; an exception sets its status to error.
 
-        Of the exception it gets the type alone: its text may hold a part of a
-        backend server's answer, which belongs to a caller.
+        Only the type of the exception is recorded: its text may contain a part of a
+        backend server's answer, which is private to the caller.
         """
         with self.tracer.start_as_current_span(
             name, record_exception=False, set_status_on_exception=False, **options
@@ -76,7 +76,7 @@
 
 
 def extract(headers: typing.Mapping[str, str]) -> opentelemetry.context.Context:
-    """Return the trace that a request's headers belong to."""
+    """Return the trace context from a request's headers."""
     return context_of(headers.get(TRACEPARENT, ""))
 
 
@@ -84,21 +84,21 @@
     headers: typing.MutableMapping[str, str],
     context: opentelemetry.context.Context | None = None,
 ) -> None:
-    """Add the header of the given or current trace, if there is one."""
+    """Add the header of the given or current trace context, if there is one."""
     written = traceparent(context)
     if written:
         headers[TRACEPARENT] = written
 
 
 def context_of(written: str) -> opentelemetry.context.Context:
-    """Return the trace that a `traceparent` value names; "" names none."""
+    """Return the trace context of a `traceparent` value; "" stands for none."""
     if not written:
         return NO_CONTEXT
     return PROPAGATOR.extract({TRACEPARENT: written}, NO_CONTEXT)
 
 
 def traceparent(context: opentelemetry.context.Context | None = None) -> str:
-    """Return the `traceparent` value of the given or current trace, or ""."""
+    """Return the `traceparent` value of the given or current context, or ""."""
     span = trace.get_current_span(context)
     if not span.get_span_context().is_valid:
         return ""
--- a/src/tealcove/tests/__init__.py
+++ b/src/tealcove/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the modules that belong to no slice."""
+"""Tests of the modules that belong to no subpackage."""
--- a/src/tealcove/tests/builders.py
+++ b/src/tealcove/tests/builders.py
@@ -1,4 +1,4 @@
-"""Two instances of the resource API before one platform in memory."""
+"""Two instances of the resource API on one in-memory platform."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class Instance(status.StatusSource):
-    """One instance's HTTP side, with faults that tests switch on."""
+    """The HTTP API of one instance, with faults that tests inject."""
 
     def __init__(self, platform: memory.MemoryPlatform, fleet: list[Instance]) -> None:
         self.fleet = fleet
@@ -40,16 +40,16 @@
         self.store = store.ResourceStore(platform.table, platform.objects, self.copy)
         self.api = api.ResourceApi(self.store, self.copy, authorise, self)
         self.in_force_on = 2
-        # Writes that are applied and whose reply is then lost.
+        # Number of writes that are applied but whose reply is lost.
         self.lost_replies = 0
-        # Headers and bodies of the completion requests that came.
+        # Headers and bodies of the completion requests received.
         self.requests: list[tuple[dict[str, str], dict]] = []
         self.completion: list[str] = list(ANSWER)
         self.refusal: dict | None = None
         self.url = ""
 
     def in_force(self, revision: ids.Revision, now: ids.Instant) -> status.InForce:
-        """Answer what the test wants."""
+        """Return the status that the test has set."""
         return status.InForce(instances=self.in_force_on, of=2, since=None)
 
     async def start(self) -> None:
@@ -64,18 +64,18 @@
         self.url = f"http://127.0.0.1:{self.runner.addresses[0][1]}"
 
     async def stop(self) -> None:
-        """End watches, as a leaving instance does, and stop listening."""
+        """End watches, as in a shutdown, and stop listening."""
         self.api.end_watches()
         await self.runner.cleanup()
 
     async def catch_up(self) -> None:
-        """Put the newest revision in force, as a daemon does again and again."""
+        """Put the newest revision in force, as a daemon does periodically."""
         head_row = await self.store.log.read_head()
         await self.store.log.advance(self.copy, head_row.head)
 
     @web.middleware
     async def lose_reply(self, request: web.Request, handler) -> web.StreamResponse:
-        """Break the connection in place of the reply, when told to."""
+        """Abort the connection in place of the reply while `lost_replies` is set."""
         response = await handler(request)
         if request.method != "GET" and self.lost_replies:
             self.lost_replies -= 1
@@ -83,12 +83,12 @@
         return response
 
     async def entry_points(self, request: web.Request) -> web.Response:
-        """Name all instances."""
+        """Answer with the addresses of all instances."""
         found = [points.EntryPoint(one.url, "i", "b") for one in self.fleet]
         return web.Response(body=msgspec.json.encode(points.EntryPoints(found, 5.0)))
 
     async def complete(self, request: web.Request) -> web.StreamResponse:
-        """Answer a completion, whole only if its last part says so."""
+        """Answer a completion; a streamed one ends with its count unless truncated."""
         body = await request.json()
         self.requests.append((dict(request.headers), body))
         if self.refusal is not None:
@@ -108,7 +108,7 @@
 
 
 def authorise(request: web.Request) -> str:
-    """Know one operator."""
+    """Accept the key of the only operator."""
     if request.headers.get("Authorization") != f"Bearer {OPERATOR_KEY}":
         raise refusals.UnauthorisedError("no key", "Set TEALCOVE_KEY.")
     return "operator"
--- a/src/tealcove/tests/test_cli.py
+++ b/src/tealcove/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""The command line against two instances of the resource API."""
+"""Tests of the command line against two instances of the resource API."""
 
 from __future__ import annotations
 
@@ -74,11 +74,10 @@
 
 
 async def test_conflicting_change_is_left_alone(fleet, tier_file, monkeypatch):
-    """A change of somebody else is overwritten.
+    """Guard against overwriting a concurrent change.
 
-    An operator reads a resource, automation changes it, the operator writes what
-    was based on the first reading. Cause: a write that doesn't say on which
-    revision it's based.
+    An operator reads a resource, automation changes it, and the operator writes a
+    change based on the first read. The write must name the revision it is based on.
     """
     await cli.run(["apply", str(tier_file)])
     read = client.Client.list
@@ -98,12 +97,12 @@
 
 
 async def test_lost_reply_applies_once(fleet, tier_file, capsys):
-    """A repeat after a lost reply is refused as a conflict, or applied twice.
+    """Guard against retries that are refused as a conflict or applied twice.
 
-    The write is applied, its reply is lost, and the client turns to the next
-    instance. Cause: a repeat that doesn't carry the first one's Idempotency-Key.
+    The write is applied, its reply is lost, and the client retries at the next
+    instance. The retry must carry the Idempotency-Key of the first attempt.
     """
-    # aiohttp itself repeats a PUT once, so one lost reply wouldn't do.
+    # aiohttp itself retries a PUT once, so losing one reply isn't enough.
     fleet[0].lost_replies = MANY
     assert await cli.run(["apply", str(tier_file)]) is exits.Code.OK
     assert "revision 1\n" in capsys.readouterr().out
@@ -137,11 +136,11 @@
     assert "revision 1: 1 of 2" in capsys.readouterr().err
 
 
-async def test_watch_goes_on_at_another_instance(fleet, tier_file):
-    """A watcher misses changes, or sees them twice.
+async def test_watch_resumes_at_another_instance(fleet, tier_file):
+    """Guard against changes that a watch misses or reports twice.
 
-    Its instance leaves between two changes. Cause: a watch that's taken up from
-    the newest revision, or from the first, in place of the last one seen.
+    When its instance leaves between two changes, the watch must resume from the last
+    revision seen, not from the newest or the first one.
     """
     seen: asyncio.Queue[client.Event] = asyncio.Queue()
 
@@ -180,11 +179,11 @@
     assert capsys.readouterr().out == "Buckwheat\n"
 
 
-async def test_fragment_is_no_success(fleet, capsys):
-    """A script takes a fragment for the whole answer.
+async def test_truncated_stream_is_an_error(fleet, capsys):
+    """Guard against treating a truncated answer as complete.
 
-    The stream ends early without an error of the transport. Cause: a client that
-    doesn't ask for the closing event with its count.
+    The stream ends early without a transport error; the client must check for the
+    final event with its count.
     """
     fleet[0].completion.pop()
     order = ["request", "--model", "m", "--stream", "prompt"]
--- a/src/tealcove/tests/test_documents.py
+++ b/src/tealcove/tests/test_documents.py
@@ -1,4 +1,4 @@
-"""Pages that name everything that the code has."""
+"""Tests that the documentation is complete."""
 
 from __future__ import annotations
 
--- a/src/tealcove/tests/test_linelimit.py
+++ b/src/tealcove/tests/test_linelimit.py
@@ -1,4 +1,4 @@
-"""Log lines are bounded, counted, and never waited for."""
+"""Tests of the rate limit for log lines and of the non-blocking writer."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from tealcove import linelimit
 
 
-def test_lines_beyond_the_bound_are_counted():
+def test_lines_above_the_limit_are_counted():
     found = linelimit.LineLimit(3)
     assert [found.admits(linelimit.Weight.PLAIN, 1.0) for _ in range(5)] == [
         True
@@ -19,11 +19,11 @@
     assert found.admits(linelimit.Weight.PLAIN, 2.0)
 
 
-def test_a_reader_that_stops_never_stops_the_writer():
-    """The whole instance stands still, and its peers take it for dead.
+def test_a_stalled_reader_does_not_block_the_writer():
+    """Guard against an instance that blocks and is considered dead by its peers.
 
-    Symptom: no heartbeat and no answer. Sequence: whoever reads the log stops; the
-    pipe fills up. Cause: writing a line waits for room in the pipe.
+    When the reader of the log stops, the pipe fills up; a blocking write of a line
+    would stop all heartbeats and answers.
     """
     reading, writing = os.pipe()
     writer = linelimit.LineWriter(writing)
@@ -33,7 +33,7 @@
         taken += 1
     assert taken * len(line) > linelimit.MAX_BUFFERED_BYTES
     os.set_blocking(reading, False)
-    # What was taken comes out whole and in order once somebody reads again.
+    # Accepted lines arrive complete and in order once the reader continues.
     content = b""
     while writer.buffer:
         content += os.read(reading, 1 << 20)
@@ -44,12 +44,11 @@
     os.close(writing)
 
 
-def test_why_requests_ended_is_written_at_400_decisions_a_second() -> None:
-    """A failed request's cause can't be looked up while there is an overload.
+def test_final_lines_are_written_at_400_decisions_a_second() -> None:
+    """Guard against losing the causes of failed requests during an overload.
 
-    Symptom: a third of the lines that tell why requests were refused are missing.
-    Sequence: 400 decisions a second, each with lines of other kinds beside it. Cause:
-    the bound on lines drops whatever comes last in its second.
+    At 400 decisions a second, each with lines of other kinds, a plain rate limit drops
+    the last lines of each second: a third of the lines with the cause of a refusal.
     """
     found = linelimit.LineLimit(300)
     written = 0
--- a/src/tealcove/tests/test_listener.py
+++ b/src/tealcove/tests/test_listener.py
@@ -155,8 +155,8 @@
             "not_run",
             "overload",
         )
-        look = GET.replace(b"/ ", b"/healthz ") + b"Connection: close\r\n" + END
-        assert (await ask(port, look))[0] == 200
+        probe = GET.replace(b"/ ", b"/healthz ") + b"Connection: close\r\n" + END
+        assert (await ask(port, probe))[0] == 200
         await until(lambda: len(server.open) == 1)
         idle = [
             await asyncio.open_connection(HOST, port)
--- a/src/tealcove/tests/test_settings.py
+++ b/src/tealcove/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings and resource files are read whole or refused in one helpful line."""
+"""Tests of settings and resource files and of their error messages."""
 
 from __future__ import annotations
 
@@ -53,11 +53,11 @@
         ),
         (
             {"data_centres": [{"name": "b"}, {"name": "b"}]},
-            "$.data_centres[1]: `b` stands twice. Remove one of the two.",
+            "$.data_centres[1]: `b` is defined twice. Remove one of the two.",
         ),
     ],
 )
-def test_refusal_names_place_problem_and_remedy(tmp_path, extra, line):
+def test_errors_name_location_problem_and_remedy(tmp_path, extra, line):
     with pytest.raises(errors.SettingsError) as refusal:
         load(tmp_path, LEAST | extra)
     shown = str(refusal.value)
@@ -65,7 +65,7 @@
     assert "\n" not in shown
 
 
-def test_refusals_of_whole_files(tmp_path):
+def test_errors_of_whole_files(tmp_path):
     with pytest.raises(errors.SettingsError, match=r"instance: missing\. Write that"):
         load(tmp_path, {})
     with pytest.raises(errors.SettingsError, match=r"line 2: isn't JSON\. Correct"):
@@ -75,10 +75,10 @@
 
 
 def test_keys_are_never_shown(tmp_path):
-    """A key shows up in a log.
+    """Guard against keys in messages and logs.
 
-    An operator writes the plain key where its hash belongs, or a struct with the
-    secret key of CURVE is printed: the message or log line would hold the key.
+    An operator may write the plain key instead of its hash, and a struct with the
+    secret CURVE key may be printed.
     """
     plain = {"name": "op", "key_hash": "plain-key"}
     with pytest.raises(errors.SettingsError) as refusal:
@@ -92,7 +92,7 @@
     assert KEY not in str(refusal.value)
 
 
-def test_delays_hold_in_both_directions(tmp_path):
+def test_delays_apply_in_both_directions(tmp_path):
     centres = [{"name": "b", "delays": {"c": 0.5}}, {"name": "c"}]
     there = load(tmp_path, LEAST | {"data_centre": "c", "data_centres": centres})
     assert there.delay_to("b") == 0.5
@@ -101,7 +101,7 @@
 
 
 @pytest.mark.parametrize(("name", "count"), [("etiquette-armor", 6), ("makindu", 8)])
-def test_samples_hold_whole_deployments(name, count):
+def test_samples_contain_complete_deployments(name, count):
     files = sorted((SAMPLES / name / "instances").glob("*.json"))
     instances = [settings.load(str(file)) for file in files]
     assert len({one.instance for one in instances}) == count
@@ -119,12 +119,14 @@
     with pytest.raises(errors.SettingsError, match=r"\$\[1\]\.spec\.rnk: unknown key"):
         resourcefiles.read([str(tmp_path)])
     path.write_text(json.dumps([tier, tier]))
-    with pytest.raises(errors.SettingsError, match="service-tiers high stands in"):
+    with pytest.raises(
+        errors.SettingsError, match="service-tiers high also declared in"
+    ):
         resourcefiles.read([str(tmp_path)])
 
 
 def test_a_list_of_no_resources_is_refused(tmp_path):
-    """A file from which everything was removed by mistake counts as fine."""
+    """Guard against accepting a file whose content was removed by mistake."""
     path = tmp_path / "tiers.json"
     path.write_text("[]")
     with pytest.raises(errors.SettingsError, match="declares nothing"):
--- a/src/tealcove/tests/test_telemetry.py
+++ b/src/tealcove/tests/test_telemetry.py
@@ -1,4 +1,4 @@
-"""Logs as JSON lines, metrics as text, traces that cross instances."""
+"""Tests of logs, metrics and the propagation of traces."""
 
 from __future__ import annotations
 
@@ -61,14 +61,14 @@
     assert json.loads(line)["message"] == "odd"
 
 
-def test_metrics_of_instances_are_apart():
+def test_metrics_of_instances_are_separate():
     first, second = builders.telemetry(), builders.telemetry()
     first.meter.create_counter("tealcove.requests").add(3, {"tier": "high"})
     assert b'tier="high"} 3.0' in first.metrics_text()
     assert b"tealcove_requests" not in second.metrics_text()
 
 
-def test_trace_goes_on_over_headers():
+def test_traces_propagate_through_headers():
     exporter = in_memory_span_exporter.InMemorySpanExporter()
     found = builders.telemetry(exporter)
     headers = {}
@@ -83,7 +83,7 @@
     )
 
 
-def test_without_tracing_nothing_is_recorded_and_the_parent_passes():
+def test_without_tracing_nothing_is_recorded_and_the_parent_is_propagated():
     exporter = in_memory_span_exporter.InMemorySpanExporter()
     for found in (builders.telemetry(exporter, trace_share=0), builders.telemetry()):
         assert not found.tracing
@@ -97,12 +97,12 @@
     assert exporter.get_finished_spans() == ()
 
 
-def test_loggers_of_slices_bear_the_slices_names():
-    """No debug line of the configuration could be switched on.
+def test_loggers_have_the_names_of_their_packages():
+    """Guard against debug lines that can't be enabled.
 
-    Symptom: `log.debug` with "resources" changes nothing. Sequence: the setting
-    names a slice; the record's channel is "tealcove.resources.reader"; the handler
-    compares the two and drops the line. Cause: loggers named after modules.
+    The handler compares the names in `log.debug` with the channel of a record. With a
+    channel named after a module, such as "tealcove.resources.reader", setting
+    "resources" has no effect.
     """
     root = pathlib.Path(tealcove.__file__).parent
     wrong = []
--- a/src/tealcove/tests/virtual.py
+++ b/src/tealcove/tests/virtual.py
@@ -1,4 +1,4 @@
-"""An event loop in which waiting takes no time."""
+"""An event loop with virtual time, in which waiting takes no real time."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """Jumps to the next timer whenever nothing else is to be done."""
+    """Advances the time to the next timer whenever no callback is ready."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -21,19 +21,19 @@
         """Return the virtual time in seconds."""
         return self.at
 
-    def stand_still(self, seconds: float) -> None:
-        """Let some seconds go by in which nothing is done, as in a frozen process."""
+    def freeze(self, seconds: float) -> None:
+        """Advance the time without running callbacks, as in a frozen process."""
         self.at += seconds
 
     def _run_once(self) -> None:
-        """Take one turn; see asyncio.BaseEventLoop."""
+        """Run one iteration; see asyncio.BaseEventLoop."""
         if not self._ready and self._scheduled:
             self.at = max(self.at, self._scheduled[0].when())
         super()._run_once()
 
 
 def run(patch: pytest.MonkeyPatch, main: Coroutine[None, None, None]) -> None:
-    """Run a coroutine to its end, the product's clock being the loop's."""
+    """Run a coroutine to its end with `clock.now` returning the loop's time."""
     loop = VirtualLoop()
     patch.setattr(clock, "now", lambda: ids.Instant(loop.time()))
     try:
--- a/src/tealcove/tls.py
+++ b/src/tealcove/tls.py
@@ -1,4 +1,4 @@
-"""The TLS contexts that the settings ask for."""
+"""The TLS contexts according to the settings."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def for_callers(found: settings.Settings) -> ssl.SSLContext | None:
-    """Return what secures the HTTP side, or None; raises SettingsError."""
+    """Return the context of the HTTP listener, or None; raises SettingsError."""
     tls = found.http.tls
     if tls is None:
         return None
@@ -24,7 +24,7 @@
 
 
 def for_platform(found: settings.Settings) -> ssl.SSLContext | None:
-    """Return what the platform's certificate is checked by, or None."""
+    """Return the context for calls to the platform, or None for the default."""
     if found.platform.ca is None:
         return None
     return ssl.create_default_context(cafile=found.platform.ca)
