--- a/src/tealcove/commands/__init__.py
+++ b/src/tealcove/commands/__init__.py
@@ -1,1 +1,1 @@
-"""The subcommands of `tealcove`, a module each or a few that belong together."""
+"""The subcommands of `tealcove`, one module for each."""
--- a/src/tealcove/commands/apply.py
+++ b/src/tealcove/commands/apply.py
@@ -1,4 +1,4 @@
-"""`tealcove apply`: make resources as files declare them."""
+"""`tealcove apply`: create and change resources as declared in files."""
 
 from __future__ import annotations
 
@@ -14,25 +14,25 @@
 
 
 class Step(msgspec.Struct, frozen=True):
-    """What is to be written; `current` is None for a new resource."""
+    """A resource and its declaration; `current` is None for a new resource."""
 
     declared: resourcefiles.Declared
     current: client.ResourceView | None
 
     @property
     def title(self) -> str:
-        """Name the resource."""
+        """Return the kind and name of the resource."""
         return f"{self.declared.kind.value}/{self.declared.name}"
 
     @property
     def changed(self) -> bool:
-        """Tell whether anything is to be written."""
+        """Return whether the resource must be written."""
         return (
             self.current is None or self.declared.spec != self.current.resource().spec
         )
 
     def diff(self) -> str:
-        """Show what changes, defaults included."""
+        """Return a diff of the specs, including defaults."""
         before = None if self.current is None else self.current.resource().spec
         return output.diff(self.title, before, self.declared.spec)
 
@@ -71,7 +71,7 @@
     ]
 
     async def __call__(self) -> None:
-        """Read all, check all, then write one after the other."""
+        """Read and check all resources, then write them one after the other."""
         declared = plan.by_dependency(resourcefiles.read(self.paths))
         async with self.connect() as link:
             await link.entry_points()
@@ -93,7 +93,7 @@
 async def compare(
     link: client.Client, declared: list[resourcefiles.Declared]
 ) -> list[Step]:
-    """Return what is to be written, after showing it and checking it as a whole."""
+    """Check all declarations together, print the changes and return them."""
     held: dict[tuple[kinds.Kind, str], client.ResourceView] = {}
     for kind in kinds.Kind:
         for one in await link.list(kind):
@@ -109,6 +109,6 @@
 
 
 async def write(link: client.Client, step: Step) -> int:
-    """Write a resource if it's still as it was read; returns its new revision."""
+    """Write a resource if it's unchanged since it was read; return its revision."""
     based_on = None if step.current is None else step.current.metadata.revision
     return (await link.put(step.declared, based_on)).metadata.revision
--- a/src/tealcove/commands/check.py
+++ b/src/tealcove/commands/check.py
@@ -1,4 +1,4 @@
-"""`tealcove check`: tell whether files would be accepted."""
+"""`tealcove check`: validate settings and resource files."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
     ]
 
     async def __call__(self) -> None:
-        """Check every path, and fail if one of them is refused."""
+        """Check every path; exit with an error if one of them is invalid."""
         refused = 0
         for path in self.paths:
             try:
@@ -49,7 +49,7 @@
 
 
 def check_path(path: str) -> str:
-    """Return what was found at a path; raises errors.SettingsError."""
+    """Check a path and describe its content; raises errors.SettingsError."""
     if pathlib.Path(path).is_dir():
         declared = resourcefiles.read([path])
         plan.check(copy.empty(), declared)
@@ -63,12 +63,12 @@
 
 
 def is_for_platform(content: object) -> bool:
-    """Tell the settings of `tealcove front` from those of `tealcove serve`."""
+    """Return whether content is settings of `tealcove front`, not `serve`."""
     return isinstance(content, dict) and LISTEN_KEY in content
 
 
 def holds_resources(content: object) -> bool:
-    """Tell resources from settings."""
+    """Return whether content is resources, not settings."""
     return isinstance(content, list) or (
         isinstance(content, dict) and RESOURCE_KEY in content
     )
--- a/src/tealcove/commands/delete.py
+++ b/src/tealcove/commands/delete.py
@@ -22,7 +22,7 @@
     name: Annotated[str, cappa.Arg(help="Name of the resource.")]
 
     async def __call__(self) -> None:
-        """Read the resource's revision and delete exactly that."""
+        """Read the resource's revision and delete the resource at that revision."""
         async with self.connect() as link:
             found = await get.existing(link, self.kind, self.name)
             based_on = found.metadata.revision
--- a/src/tealcove/commands/demo.py
+++ b/src/tealcove/commands/demo.py
@@ -1,4 +1,4 @@
-"""`tealcove demo`: show what the system does, in one process."""
+"""`tealcove demo`: run a demonstration in one process."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
     async def __call__(self) -> None:
         """Run the demo."""
-        # Imported here so that other commands start without the demo's parts.
+        # Imported here so that other commands start without these modules.
         from tealcove import demo
 
         await demo.run(self.seed, self.seconds, self.json)
--- a/src/tealcove/commands/entrypoints.py
+++ b/src/tealcove/commands/entrypoints.py
@@ -1,4 +1,4 @@
-"""`tealcove entry-points`: show which addresses callers may use."""
+"""`tealcove entry-points`: show the addresses that callers can use."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     """Arguments of `entry-points`."""
 
     async def __call__(self) -> None:
-        """Ask and print."""
+        """Request and print the entry points."""
         async with self.connect() as link:
             found = await link.entry_points()
         rows: list[tuple[str, ...]] = [("URL", "INSTANCE", "DATA CENTRE")]
--- a/src/tealcove/commands/exits.py
+++ b/src/tealcove/commands/exits.py
@@ -1,4 +1,4 @@
-"""Exit codes, and which error leads to which."""
+"""Exit codes and the errors that lead to them."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 
 
 class Code(enum.IntEnum):
-    """What the exit code of `tealcove` tells a script."""
+    """Exit codes of `tealcove`."""
 
     OK = 0
     FAILED = 1
     USAGE = 2
-    # Somebody else changed the resource meanwhile; read it and decide anew.
+    # Somebody else changed the resource meanwhile; read it again before a retry.
     CONFLICT = 3
-    # No instance could be reached, or none would take the call; nothing was done.
+    # No instance could be reached, or none accepted the call; nothing was done.
     UNAVAILABLE = 4
-    # What was waited for didn't happen in time.
+    # An awaited event didn't happen in time.
     TIMEOUT = 5
 
 
@@ -31,13 +31,13 @@
 
 
 def report(error: errors.TealcoveError) -> Code:
-    """Write an error as one line to standard error; return its exit code."""
+    """Print an error as one line to standard error; return its exit code."""
     print(f"tealcove: {error}", file=sys.stderr)
     return code_for(error)
 
 
 def code_for(error: errors.TealcoveError) -> Code:
-    """Return the exit code for an error; the first type that fits decides."""
+    """Return the exit code of the first matching type of error."""
     for kind, code in BY_ERROR:
         if isinstance(error, kind):
             return code
--- a/src/tealcove/commands/front.py
+++ b/src/tealcove/commands/front.py
@@ -22,7 +22,7 @@
 
     async def __call__(self) -> None:
         """Read the settings and run the daemon."""
-        # Imported here so that other commands start without the daemon's parts.
+        # Imported here so that other commands start without these modules.
         from tealcove.front import daemon
 
         await daemon.serve(self.settings)
--- a/src/tealcove/commands/get.py
+++ b/src/tealcove/commands/get.py
@@ -24,7 +24,7 @@
     ]
 
     async def __call__(self) -> None:
-        """Read and print."""
+        """Read and print resources."""
         async with self.connect() as link:
             if self.name:
                 print(output.pretty(await existing(link, self.kind, self.name)))
@@ -47,7 +47,7 @@
 
 
 def listed(found: list[client.ResourceView]) -> str:
-    """Return a line for each resource."""
+    """Return a table with a row for each resource."""
     rows: list[tuple[object, ...]] = [("NAME", "REVISION", "CHANGED BY", "IN FORCE")]
     for one in found:
         metadata = one.metadata
@@ -56,7 +56,7 @@
 
 
 def where(found: client.ResourceView) -> str:
-    """Say on how many instances a resource's last change is in force."""
+    """Return on how many instances a resource's last change is in force."""
     if found.status is None:
         return ""
     counted = found.status.in_force
--- a/src/tealcove/commands/keys.py
+++ b/src/tealcove/commands/keys.py
@@ -1,4 +1,4 @@
-"""`tealcove keys`: draw the keys of a deployment and of a caller or operator."""
+"""`tealcove keys`: generate keys for a deployment and a caller or operator."""
 
 from __future__ import annotations
 
@@ -16,22 +16,22 @@
 
 
 class Bearer(msgspec.Struct, frozen=True):
-    """A bearer key, and its hash, which is all that is stored of it."""
+    """A bearer key and its hash; only the hash is stored."""
 
     key: str
     key_hash: str
 
 
 class CurvePair(msgspec.Struct, frozen=True):
-    """The key pair of a deployment, as `peer.curve` takes it."""
+    """The key pair of a deployment, in the form of the setting `peer.curve`."""
 
     public_key: str
     secret_key: str
     allowed: tuple[str, ...]
 
 
-class Drawn(msgspec.Struct, frozen=True):
-    """What is printed."""
+class KeySet(msgspec.Struct, frozen=True):
+    """The keys that are printed."""
 
     curve: CurvePair
     bearer: Bearer
@@ -50,14 +50,14 @@
     """`keys` takes no arguments."""
 
     async def __call__(self) -> None:
-        """Print one of each."""
-        print(output.pretty(draw()))
+        """Print new keys."""
+        print(output.pretty(generate()))
 
 
-def draw() -> Drawn:
+def generate() -> KeySet:
     """Return new keys from the system's random source."""
     public, secret = (key.decode() for key in zmq.curve_keypair())
     key = secrets.token_urlsafe(BEARER_BYTES)
-    return Drawn(
+    return KeySet(
         CurvePair(public, secret, (public,)), Bearer(key, bearer.hash_key(key))
     )
--- a/src/tealcove/commands/output.py
+++ b/src/tealcove/commands/output.py
@@ -1,4 +1,4 @@
-"""What commands print: results on standard output, progress on standard error."""
+"""Output of commands: results on standard output, progress on standard error."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 
 def pretty(value: object) -> str:
-    """Return a value as indented JSON with keys in their own order."""
+    """Return a value as indented JSON, without sorting its keys."""
     return msgspec.json.format(msgspec.json.encode(value), indent=2).decode()
 
 
 def table(rows: typing.Sequence[typing.Sequence[object]]) -> str:
-    """Return rows in columns; the first row is the heading."""
+    """Return rows as a table with aligned columns; the first row is the header."""
     texts = [[str(cell) for cell in row] for row in rows]
     widths = [max(map(len, column)) for column in zip(*texts, strict=True)]
     lines = []
@@ -36,5 +36,5 @@
 
 
 def progress(text: str) -> None:
-    """Tell how long work goes on."""
+    """Print a progress message to standard error."""
     print(text, file=sys.stderr, flush=True)
--- a/src/tealcove/commands/request.py
+++ b/src/tealcove/commands/request.py
@@ -63,8 +63,8 @@
     ]
 
     async def __call__(self) -> None:
-        """Send and print."""
-        wanted = completion.Completion(
+        """Send the request and print the answer."""
+        body = completion.Completion(
             model=self.model,
             prompt=self.read_prompt(),
             max_tokens=self.max_tokens,
@@ -77,12 +77,12 @@
         )
         output.progress(f"Idempotency-Key: {key}")
         async with self.connect() as link:
-            async for text in completion.send(link, wanted, options):
+            async for text in completion.send(link, body, options):
                 print(text, end="", flush=True)
         print()
 
     def read_prompt(self) -> str:
-        """Return the prompt from where the arguments say."""
+        """Return the prompt from the arguments or from standard input."""
         if self.prompt == STANDARD_INPUT:
             return sys.stdin.read()
         return self.prompt
--- a/src/tealcove/commands/serve.py
+++ b/src/tealcove/commands/serve.py
@@ -25,7 +25,7 @@
     async def __call__(self) -> None:
         """Read the settings and run the daemon."""
         found = settings_module.load(self.settings)
-        # Imported here so that other commands start without the daemon's parts.
+        # Imported here so that other commands start without these modules.
         from tealcove import daemon
 
         await daemon.serve(found)
--- a/src/tealcove/commands/servers.py
+++ b/src/tealcove/commands/servers.py
@@ -1,4 +1,4 @@
-"""Arguments of all commands that talk to a deployment."""
+"""Common arguments of commands that connect to a deployment."""
 
 from __future__ import annotations
 
--- a/src/tealcove/commands/standin.py
+++ b/src/tealcove/commands/standin.py
@@ -1,4 +1,4 @@
-"""`tealcove standin`: run a stand-in for trials."""
+"""`tealcove standin`: run a stand-in for tests."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Role(enum.Enum):
-    """What a stand-in stands in for; also its module's name."""
+    """The system that a stand-in replaces; also the name of its module."""
 
     PLATFORM = "platform"
     ENGINE = "engine"
--- a/src/tealcove/commands/wait.py
+++ b/src/tealcove/commands/wait.py
@@ -31,7 +31,7 @@
     ]
 
     async def __call__(self) -> None:
-        """Find out the revision and wait for it."""
+        """Determine the revision and wait until it is in force."""
         async with self.connect() as link:
             newest = await link.newest_revision()
             revision = newest if self.revision is None else ids.Revision(self.revision)
@@ -41,14 +41,14 @@
 async def until_in_force(
     link: client.Client, revision: ids.Revision, seconds: float
 ) -> None:
-    """Wait and show progress; raises TimedOutError."""
+    """Wait for a revision and print progress; raises TimedOutError."""
     following = follow(link, revision)
     await connection.within(seconds, following, f"Revision {revision} in force")
     print(f"revision {revision} is in force everywhere")
 
 
 async def follow(link: client.Client, revision: ids.Revision) -> None:
-    """Show on how many instances a revision is in force, until it is on all."""
+    """Print progress until a revision is in force on all instances."""
     shown = ""
     async for found in link.in_force(revision):
         counted = found.in_force
--- a/src/tealcove/commands/watch.py
+++ b/src/tealcove/commands/watch.py
@@ -31,7 +31,7 @@
     ]
 
     async def __call__(self) -> None:
-        """Print until interrupted."""
+        """Print changes until interrupted."""
         async with self.connect() as link:
             await link.entry_points()
             after = self.revision
--- a/src/tealcove/settings.py
+++ b/src/tealcove/settings.py
@@ -100,8 +100,7 @@
 class Dispatch(Group):
     """Timeouts and policy of dispatching."""
 
-    # A ticket that isn't acknowledged within this time goes to the dispatcher that is
-    # next in rank.
+    # A ticket that is unanswered for this long goes to the next dispatcher in rank.
     ticket_timeout: Seconds = 0.3
     # Interval at which a dispatcher polls the load of its backend servers.
     load_poll_interval: Seconds = 0.5
@@ -167,7 +166,7 @@
 
     # Duration of a pool's lease; the next holder waits for this long.
     lease_seconds: Seconds = 8.0
-    # Upper bound on the time from sending an order to the end of its execution.
+    # Latest time after sending an order at which an engine may still carry it out.
     longest_seconds: Seconds = 300.0
 
 
--- a/tests/test_secured.py
+++ b/tests/test_secured.py
@@ -106,14 +106,14 @@
         await running.declare()
         secured = Secured(running, tmp_path)
         async with secured.session:
-            own = keys.draw().curve
+            own = keys.generate().curve
             urls = [await secured.add(own) for _ in range(2)]
 
             async def know_each_other() -> bool:
                 return all([await secured.members(url) == urls for url in urls])
 
             await deployment.until(know_each_other)
-            stranger = await secured.add(keys.draw().curve)
+            stranger = await secured.add(keys.generate().curve)
 
             async def has_tried() -> bool:
                 return await secured.counted(stranger, "dropped") > MANY_BEATS
