--- a/src/tealcove/client.py
+++ b/src/tealcove/client.py
@@ -181,7 +181,9 @@
         response = await self.open("GET", path, None, params=params)
         async with response:
             if response.status >= connection.HTTP_FIRST_ERROR:
-                raise connection.refusal(response.status, await response.read())
+                raise connection.error_from_response(
+                    response.status, await response.read()
+                )
             while True:
                 async with asyncio.timeout(WATCH_SILENCE_SECONDS):
                     line = await response.content.readline()
--- a/src/tealcove/commands/apply.py
+++ b/src/tealcove/commands/apply.py
@@ -75,7 +75,7 @@
         declared = plan.by_dependency(resourcefiles.read(self.paths))
         async with self.connect() as link:
             await link.entry_points()
-            steps = await compare(link, declared)
+            steps = await find_changes(link, declared)
             if self.dry_run:
                 print(f"{len(steps)} of {len(declared)} would change.")
                 return
@@ -90,7 +90,7 @@
                     await wait.until_in_force(link, revision, self.timeout)
 
 
-async def compare(
+async def find_changes(
     link: client.Client, declared: list[resourcefiles.Declared]
 ) -> list[Step]:
     """Check all declarations together, print the changes and return them."""
--- a/src/tealcove/commands/check.py
+++ b/src/tealcove/commands/check.py
@@ -37,14 +37,14 @@
 
     async def __call__(self) -> None:
         """Check every path; exit with an error if one of them is invalid."""
-        refused = 0
+        failures = 0
         for path in self.paths:
             try:
                 print(f"{path}: {check_path(path)}")
             except errors.TealcoveError as error:
                 print(error)
-                refused += 1
-        if refused:
+                failures += 1
+        if failures:
             raise cappa.Exit(code=exits.Code.FAILED)
 
 
@@ -54,7 +54,7 @@
         declared = resourcefiles.read([path])
         plan.check(copy.empty(), declared)
         return f"{len(declared)} resources, fine together"
-    if holds_resources(settingsfile.parse(path)):
+    if is_resources(settingsfile.parse(path)):
         return f"{len(resourcefiles.read([path]))} resources, fine each for itself"
     if is_for_platform(settingsfile.parse(path)):
         found = front_settings.load(path)
@@ -67,7 +67,7 @@
     return isinstance(content, dict) and LISTEN_KEY in content
 
 
-def holds_resources(content: object) -> bool:
+def is_resources(content: object) -> bool:
     """Return whether content is resources, not settings."""
     return isinstance(content, list) or (
         isinstance(content, dict) and RESOURCE_KEY in content
--- a/src/tealcove/commands/delete.py
+++ b/src/tealcove/commands/delete.py
@@ -24,7 +24,7 @@
     async def __call__(self) -> None:
         """Read the resource's revision and delete the resource at that revision."""
         async with self.connect() as link:
-            found = await get.existing(link, self.kind, self.name)
+            found = await get.get_existing(link, self.kind, self.name)
             based_on = found.metadata.revision
             revision = await link.delete(self.kind, self.name, based_on)
         print(f"revision {revision}")
--- a/src/tealcove/commands/exits.py
+++ b/src/tealcove/commands/exits.py
@@ -22,7 +22,7 @@
     TIMEOUT = 5
 
 
-BY_ERROR: tuple[tuple[type[errors.TealcoveError], Code], ...] = (
+ERROR_CODES: tuple[tuple[type[errors.TealcoveError], Code], ...] = (
     (connection.ConflictError, Code.CONFLICT),
     (connection.UnavailableError, Code.UNAVAILABLE),
     (connection.TimedOutError, Code.TIMEOUT),
@@ -38,7 +38,7 @@
 
 def code_for(error: errors.TealcoveError) -> Code:
     """Return the exit code of the first matching type of error."""
-    for kind, code in BY_ERROR:
+    for kind, code in ERROR_CODES:
         if isinstance(error, kind):
             return code
     return Code.FAILED
--- a/src/tealcove/commands/get.py
+++ b/src/tealcove/commands/get.py
@@ -27,13 +27,13 @@
         """Read and print resources."""
         async with self.connect() as link:
             if self.name:
-                print(output.pretty(await existing(link, self.kind, self.name)))
+                print(output.pretty(await get_existing(link, self.kind, self.name)))
                 return
             found = await link.list(self.kind)
-        print(output.pretty(found) if self.json else listed(found))
+        print(output.pretty(found) if self.json else render_table(found))
 
 
-async def existing(
+async def get_existing(
     link: client.Client, kind: kinds.Kind, name: str
 ) -> client.ResourceView:
     """Return a resource; raises ClientError if there is none."""
@@ -46,16 +46,23 @@
     return found
 
 
-def listed(found: list[client.ResourceView]) -> str:
+def render_table(found: list[client.ResourceView]) -> str:
     """Return a table with a row for each resource."""
     rows: list[tuple[object, ...]] = [("NAME", "REVISION", "CHANGED BY", "IN FORCE")]
     for one in found:
         metadata = one.metadata
-        rows.append((metadata.name, metadata.revision, metadata.changed_by, where(one)))
+        rows.append(
+            (
+                metadata.name,
+                metadata.revision,
+                metadata.changed_by,
+                render_in_force(one),
+            )
+        )
     return output.table(rows)
 
 
-def where(found: client.ResourceView) -> str:
+def render_in_force(found: client.ResourceView) -> str:
     """Return on how many instances a resource's last change is in force."""
     if found.status is None:
         return ""
--- a/src/tealcove/completion.py
+++ b/src/tealcove/completion.py
@@ -75,7 +75,7 @@
     response = await read(request)
     async with response:
         if response.status >= connection.HTTP_FIRST_ERROR:
-            raise refusal(response.status, await read(response.read()))
+            raise error_from_response(response.status, await read(response.read()))
         if not completion.stream:
             body = await read(response.read())
             yield msgspec.json.decode(body, type=Part).choices[0].text
@@ -89,7 +89,7 @@
             complete = complete or part.count is not None
             yield part.choices[0].text
         if not complete:
-            raise broken()
+            raise broken_answer_error()
 
 
 async def read(reading: typing.Awaitable[T]) -> T:
@@ -97,10 +97,10 @@
     try:
         return await reading
     except (aiohttp.ClientError, TimeoutError):
-        raise broken() from None
+        raise broken_answer_error() from None
 
 
-def broken() -> connection.LostReplyError:
+def broken_answer_error() -> connection.LostReplyError:
     """Return the error for an incomplete answer."""
     return connection.LostReplyError(
         "The answer broke off",
@@ -108,9 +108,9 @@
     )
 
 
-def refusal(status: int, body: bytes) -> connection.ClientError:
+def error_from_response(status: int, body: bytes) -> connection.ClientError:
     """Return the error for a request that was refused or failed."""
-    found = connection.refusal(status, body)
+    found = connection.error_from_response(status, body)
     if found.answer.outcome == NOT_RUN:
         return connection.UnavailableError(found.problem, "Send it again later.")
     return found
--- a/src/tealcove/connection.py
+++ b/src/tealcove/connection.py
@@ -63,10 +63,10 @@
 
     def __init__(self, status: int, problem: Problem) -> None:
         parts = (problem.title, problem.reason, problem.detail)
-        said = ": ".join(part for part in parts if part)
+        summary = ": ".join(part for part in parts if part)
         remedy = problem.remedy or "Correct the call; docs/API.md explains it."
-        said = said.rstrip(".") or f"Refused with status {status}"
-        super().__init__(said, remedy)
+        summary = summary.rstrip(".") or f"Refused with status {status}"
+        super().__init__(summary, remedy)
         self.status = status
         self.answer = problem
 
@@ -155,7 +155,7 @@
                 last_refusal = refusal
             self.move_to_end(server)
         if lost and method != "GET":
-            raise lost_reply(method, path)
+            raise lost_reply_error(method, path)
         raise (
             self.unavailable()
             if last_refusal is None
@@ -170,7 +170,7 @@
         async with response:
             body = await response.read()
         if response.status >= HTTP_FIRST_ERROR:
-            raise refusal(response.status, body)
+            raise error_from_response(response.status, body)
         return body
 
     def move_to_end(self, server: str) -> None:
@@ -187,7 +187,7 @@
         )
 
 
-def lost_reply(method: str, path: str) -> LostReplyError:
+def lost_reply_error(method: str, path: str) -> LostReplyError:
     """Return the error for a write that may have been carried out."""
     return LostReplyError(
         f"Whether {method} {path} was carried out isn't known",
@@ -200,7 +200,7 @@
     return UnavailableError(last.problem, "Try again later; nothing was done.")
 
 
-def refusal(status: int, body: bytes) -> RefusedError:
+def error_from_response(status: int, body: bytes) -> RefusedError:
     """Return the error for a refused call."""
     try:
         problem = msgspec.json.decode(body, type=Problem)
--- a/src/tealcove/daemon.py
+++ b/src/tealcove/daemon.py
@@ -103,14 +103,16 @@
             peer_port=self.mesh.listen.port,
             revision=ids.Revision(0),
         )
-        beat = found.heartbeat
-        self.members = members.Members(own, beat.suspect_after, beat.forget_after)
+        heartbeat = found.heartbeat
+        self.members = members.Members(
+            own, heartbeat.suspect_after, heartbeat.forget_after
+        )
         self.heartbeats = heartbeats.HeartbeatService(
             self.mesh,
             self.members,
             rowlist.RowInstanceList(self.rows),
             tuple(endpoint.parse(seed) for seed in found.seeds),
-            beat.interval,
+            heartbeat.interval,
         )
 
     def start_roles(self) -> None:
--- a/src/tealcove/exporting.py
+++ b/src/tealcove/exporting.py
@@ -36,15 +36,15 @@
         self.registry = prometheus_client.CollectorRegistry()
         reader = prometheus.PrometheusMetricReader(registry=self.registry)
         # Exemplars aren't used, and collecting them slows down every measurement.
-        self.meters = sdk_metrics.MeterProvider(
+        self.meter_provider = sdk_metrics.MeterProvider(
             [reader],
             resource=resource,
             exemplar_filter=sdk_metrics.AlwaysOffExemplarFilter(),
         )
-        self.meter = self.meters.get_meter(telemetry.SCOPE, version.VERSION)
-        self.spans = span_provider(found.telemetry, resource, exporter)
-        self.tracing = self.spans is not None
-        provider = self.spans or trace.NoOpTracerProvider()
+        self.meter = self.meter_provider.get_meter(telemetry.SCOPE, version.VERSION)
+        self.tracer_provider = new_tracer_provider(found.telemetry, resource, exporter)
+        self.tracing = self.tracer_provider is not None
+        provider = self.tracer_provider or trace.NoOpTracerProvider()
         self.tracer = provider.get_tracer(telemetry.SCOPE, version.VERSION)
 
     def metrics_text(self) -> bytes:
@@ -53,12 +53,12 @@
 
     def shutdown(self) -> None:
         """Export the pending spans; it blocks, so call it last."""
-        if self.spans is not None:
-            self.spans.shutdown()
-        self.meters.shutdown()
+        if self.tracer_provider is not None:
+            self.tracer_provider.shutdown()
+        self.meter_provider.shutdown()
 
 
-def span_provider(
+def new_tracer_provider(
     found: settings.Telemetry,
     resource: resources.Resource,
     exporter: export.SpanExporter | None,
--- a/src/tealcove/front/factories.py
+++ b/src/tealcove/front/factories.py
@@ -44,9 +44,9 @@
 def new_mesh(found: settings.FrontSettings, incarnation: ids.Incarnation) -> mesh.Mesh:
     """Return a mesh that listens for peers; raises OSError."""
     listen = endpoint.parse(found.listen.peers)
-    made = mesh.Mesh(ids.InstanceId(found.instance), incarnation, listen)
-    made.bind()
-    return made
+    transport = mesh.Mesh(ids.InstanceId(found.instance), incarnation, listen)
+    transport.bind()
+    return transport
 
 
 def processor_class_of(found: settings.FrontSettings) -> int:
--- a/src/tealcove/front/instance.py
+++ b/src/tealcove/front/instance.py
@@ -91,8 +91,10 @@
         self.store = factories.new_store(self.settings)
         self.mesh = factories.new_mesh(self.settings, self.incarnation)
         own = factories.initial_heartbeat(self.settings, self.mesh, self.incarnation)
-        beat = self.settings.heartbeat
-        self.members = members.Members(own, beat.suspect_after, beat.forget_after)
+        heartbeat = self.settings.heartbeat
+        self.members = members.Members(
+            own, heartbeat.suspect_after, heartbeat.forget_after
+        )
         self.heartbeats = factories.new_heartbeat_service(
             self.settings, self.mesh, self.members, self.store
         )
--- a/src/tealcove/gauges.py
+++ b/src/tealcove/gauges.py
@@ -33,7 +33,9 @@
         self, name: str, description: str, read: Read, unit: str = ""
     ) -> None:
         """Add a monotonic counter that is read by callback."""
-        self.meter.create_observable_counter(name, one(read), unit, description)
+        self.meter.create_observable_counter(
+            name, single_observation(read), unit, description
+        )
 
     def add_gauge(self, name: str, description: str, read: ReadObservations) -> None:
         """Add a gauge whose observations are read by callback."""
@@ -140,7 +142,7 @@
         )
 
 
-def one(
+def single_observation(
     read: Read,
 ) -> Sequence[Callable[[metrics.CallbackOptions], Iterable[metrics.Observation]]]:
     """Return the callbacks of an instrument with a single observation."""
--- a/src/tealcove/keepalive.py
+++ b/src/tealcove/keepalive.py
@@ -21,12 +21,12 @@
 def new_socket(address: aiohttp.AddrInfoType) -> socket.socket:
     """Return a socket for aiohttp with TCP keepalive."""
     family, kind, protocol, _, _ = address
-    made = socket.socket(family=family, type=kind, proto=protocol)
-    made.setblocking(False)
-    made.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-    made.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, IDLE_SECONDS)
-    made.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, INTERVAL_SECONDS)
-    made.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, PROBES)
-    made.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_MS)
-    made.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    return made
+    created = socket.socket(family=family, type=kind, proto=protocol)
+    created.setblocking(False)
+    created.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
+    created.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, IDLE_SECONDS)
+    created.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, INTERVAL_SECONDS)
+    created.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, PROBES)
+    created.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_MS)
+    created.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+    return created
--- a/src/tealcove/listener.py
+++ b/src/tealcove/listener.py
@@ -60,7 +60,7 @@
     def connection_made(self, transport: asyncio.Transport) -> None:
         """See asyncio.Protocol."""
         super().connection_made(transport)
-        self.listener.add(self, transport)
+        self.listener.register(self, transport)
 
     def connection_lost(self, exc: BaseException | None) -> None:
         """See asyncio.Protocol."""
@@ -82,14 +82,14 @@
         if status != web.HTTPBadRequest.status_code:
             return super().handle_error(request, status, exc, message)
         log.info("request from {} can't be parsed: {}", request.remote, type(exc))
-        most = self.listener.limits.header_bytes
+        limit = self.listener.limits.header_bytes
         refused = problem.rejected(
             status,
             "The request can't be read",
-            f"Send HTTP/1.1, with at most {MAX_HEADERS} headers and {most} bytes in "
+            f"Send HTTP/1.1, with at most {MAX_HEADERS} headers and {limit} bytes in "
             "the longest line.",
         )
-        return closing(refused)
+        return closing_response(refused)
 
 
 class Listener:
@@ -149,13 +149,13 @@
             auto_decompress=self.decompresses,
         )
 
-    def add(self, connection: Connection, transport: asyncio.Transport) -> None:
+    def register(self, connection: Connection, transport: asyncio.Transport) -> None:
         """Register a connection, or abort it if there are far too many."""
-        most = self.limits.connections
-        if len(self.open) >= most + REJECTED_CONNECTIONS:
+        limit = self.limits.connections
+        if len(self.open) >= limit + REJECTED_CONNECTIONS:
             transport.abort()
             return
-        connection.is_beyond = len(self.open) >= most
+        connection.is_beyond = len(self.open) >= limit
         self.open[connection] = transport
 
     @web.middleware
@@ -165,7 +165,7 @@
             self.check_connection(request)
             self.check_headers(request)
         except problem.ProblemError as error:
-            return closing(error)
+            return closing_response(error)
         return await handler(request)
 
     def check_connection(self, request: web.Request) -> None:
@@ -181,13 +181,13 @@
 
     def check_headers(self, request: web.Request) -> None:
         """Raise ProblemError if the headers together are too long."""
-        most = self.limits.header_bytes
+        limit = self.limits.header_bytes
         if (
             sum(len(n) + len(v) + SEPARATOR_BYTES for n, v in request.raw_headers)
-            > most
+            > limit
         ):
             raise problem.rejected(
-                431, "The headers are too long", f"Send at most {most} bytes of them."
+                431, "The headers are too long", f"Send at most {limit} bytes of them."
             )
 
     async def sweep(self) -> None:
@@ -219,7 +219,7 @@
                 transport.abort()
 
 
-def closing(error: problem.ProblemError) -> web.Response:
+def closing_response(error: problem.ProblemError) -> web.Response:
     """Return the response for a problem, which closes the connection."""
     response = problem.respond(error.problem)
     response.force_close()
--- a/src/tealcove/plan.py
+++ b/src/tealcove/plan.py
@@ -8,7 +8,7 @@
 from tealcove.resources import codec, copy, kinds, refusals, validation
 
 # A resource can only refer to existing ones, so these are written first.
-ORDER = (
+KIND_ORDER = (
     kinds.Kind.SERVICE_TIER,
     kinds.Kind.MODEL,
     kinds.Kind.ADAPTER,
@@ -17,14 +17,14 @@
     kinds.Kind.CLIENT_ACCOUNT,
     kinds.Kind.ROUTING_RULE,
 )
-NOBODY = "nobody"
+PLACEHOLDER_AUTHOR = "nobody"
 
 
 def by_dependency(
     declared: typing.Iterable[resourcefiles.Declared],
 ) -> list[resourcefiles.Declared]:
     """Return resources so that each comes after those that it refers to."""
-    return sorted(declared, key=lambda one: (ORDER.index(one.kind), one.name))
+    return sorted(declared, key=lambda one: (KIND_ORDER.index(one.kind), one.name))
 
 
 def build_configuration(
@@ -43,7 +43,7 @@
             revision=ids.Revision(configuration.revision + number),
             kind=resource.kind,
             name=resource.metadata.name,
-            changed_by=NOBODY,
+            changed_by=PLACEHOLDER_AUTHOR,
             nonce="",
             resource=resource,
         )
@@ -79,6 +79,6 @@
         name=declared.name,
         revision=copy.NOTHING,
         generation=0,
-        changed_by=NOBODY,
+        changed_by=PLACEHOLDER_AUTHOR,
     )
     return kinds.Resource(kind=declared.kind, metadata=metadata, spec=declared.spec)
--- a/src/tealcove/resourcefiles.py
+++ b/src/tealcove/resourcefiles.py
@@ -71,11 +71,11 @@
     return [declared(path, f"$[{n}]", item) for n, item in enumerate(content)]
 
 
-def declared(path: str, place: str, content: object) -> Declared:
+def declared(path: str, location: str, content: object) -> Declared:
     """Check one resource; raises errors.SettingsError."""
-    written = settingsfile.convert(path, place, content, Written)
+    written = settingsfile.convert(path, location, content, Written)
     shape = kinds.SPECS[written.kind]
-    spec = settingsfile.convert(path, f"{place}.spec", written.spec, shape)
+    spec = settingsfile.convert(path, f"{location}.spec", written.spec, shape)
     return Declared(kind=written.kind, name=written.name, spec=spec, path=path)
 
 
--- a/src/tealcove/settingsfile.py
+++ b/src/tealcove/settingsfile.py
@@ -49,12 +49,12 @@
     return convert(path, "$", parse(path), shape)
 
 
-def convert(path: str, place: str, content: object, shape: type[T]) -> T:
+def convert(path: str, location: str, content: object, shape: type[T]) -> T:
     """Convert the content at a location in a file; raises errors.SettingsError."""
     try:
         return msgspec.convert(content, shape, dec_hook=checked.decode_checked)
     except msgspec.ValidationError as failure:
-        raise conversion_error(path, place, str(failure), content, shape) from None
+        raise conversion_error(path, location, str(failure), content, shape) from None
 
 
 def parse(path: str) -> object:
@@ -89,10 +89,10 @@
 
 
 def location_error(
-    path: str, place: str, problem: str, remedy: str
+    path: str, location: str, problem: str, remedy: str
 ) -> errors.SettingsError:
     """Return the error for a location in a file."""
-    return errors.SettingsError(f"{path}: {place}: {problem}", f"{remedy}.")
+    return errors.SettingsError(f"{path}: {location}: {problem}", f"{remedy}.")
 
 
 def conversion_error(
@@ -103,24 +103,27 @@
     assert parts is not None
     problem = parts["problem"]
     inner = parts["place"] or "$"
-    place = root + inner.removeprefix("$")
+    location = root + inner.removeprefix("$")
     unknown = UNKNOWN_FIELD.search(problem)
     if unknown is not None:
         known = ", ".join(known_fields(shape, inner))
         return location_error(
-            path, f"{place}.{unknown[1]}", "unknown key", f"Write one of: {known}"
+            path, f"{location}.{unknown[1]}", "unknown key", f"Write one of: {known}"
         )
     missing = MISSING_FIELD.search(problem)
     if missing is not None:
         remedy = "Write that key; it has no default"
-        return location_error(path, f"{place}.{missing[1]}", "missing", remedy)
+        return location_error(path, f"{location}.{missing[1]}", "missing", remedy)
     expected = EXPECTED.match(problem)
     if expected is not None:
         found = quote_value(content, inner)
         return location_error(
-            path, place, f"{found}doesn't fit", f"Write {describe_expected(expected)}"
+            path,
+            location,
+            f"{found}doesn't fit",
+            f"Write {describe_expected(expected)}",
         )
-    return location_error(path, place, problem, remedy_for(problem, shape, inner))
+    return location_error(path, location, problem, remedy_for(problem, shape, inner))
 
 
 def describe_expected(expected: re.Match[str]) -> str:
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -23,7 +23,7 @@
     found = []
     for name, exporter in running.exporters.items():
         instance = running.instances[name]
-        instance.telemetry.spans.force_flush()
+        instance.telemetry.tracer_provider.force_flush()
         role = "entry" if instance is running.entry else "holder"
         found.extend((role, span) for span in exporter.get_finished_spans())
         exporter.clear()
