--- a/src/tealcove/count.py
+++ b/src/tealcove/count.py
@@ -7,7 +7,7 @@
 
 
 def read(text: str) -> int | None:
-    """Return a non-negative integer, or None for any other text.
+    """Return an integer of 0 or more, or None for any other text.
 
     `str.isdigit` also accepts superscripts, which `int` rejects, and `int` fails for
     thousands of digits.
--- a/src/tealcove/front/tests/test_archive.py
+++ b/src/tealcove/front/tests/test_archive.py
@@ -14,7 +14,7 @@
 from tealcove.front import archive
 
 # Prints the loader of the program's module, the number of files opened, and its path.
-START = """
+SCRIPT = """
 import sys
 opened = []
 sys.addaudithook(lambda event, _: opened.append(event) if event == "open" else None)
@@ -23,7 +23,7 @@
 print(type(daemon.__spec__.loader).__name__, len(opened), daemon.__file__)
 """
 # An instance has some 600 modules.
-FEW_FILES = 100
+MAX_FILES = 100
 
 
 @pytest.fixture
@@ -50,8 +50,8 @@
 
 
 def start(folder: pathlib.Path) -> list[str]:
-    """Import an instance's program and return what START prints."""
-    return run(folder, "-c", START).split()
+    """Import an instance's program and return what SCRIPT prints."""
+    return run(folder, "-c", SCRIPT).split()
 
 
 def test_an_instance_opens_few_files_at_its_start(folder: pathlib.Path) -> None:
@@ -62,7 +62,7 @@
     """
     loader, opened, file = start(folder)
     assert loader == archive.Finder.__name__
-    assert int(opened) < FEW_FILES
+    assert int(opened) < MAX_FILES
     assert file == str(folder / "tealcove/front/daemon.py")
 
 
--- a/src/tealcove/tests/test_cli.py
+++ b/src/tealcove/tests/test_cli.py
@@ -73,7 +73,7 @@
     assert ended.value.code == exits.Code.FAILED
 
 
-async def test_conflicting_change_is_left_alone(fleet, tier_file, monkeypatch):
+async def test_conflicting_change_is_not_overwritten(fleet, tier_file, monkeypatch):
     """Guard against overwriting a concurrent change.
 
     An operator reads a resource, automation changes it, and the operator writes a
@@ -96,7 +96,7 @@
         assert await asking.get(kinds.Kind.SERVICE_TIER, "night") is None
 
 
-async def test_lost_reply_applies_once(fleet, tier_file, capsys):
+async def test_write_with_lost_reply_is_applied_once(fleet, tier_file, capsys):
     """Guard against retries that are refused as a conflict or applied twice.
 
     The write is applied, its reply is lost, and the client retries at the next
@@ -165,8 +165,8 @@
 
 
 async def test_request(fleet, capsys):
-    order = ["request", "--model", "m", "--once", "--deadline", "2.5", "prompt"]
-    assert await cli.run(order) is exits.Code.OK
+    arguments = ["request", "--model", "m", "--once", "--deadline", "2.5", "prompt"]
+    assert await cli.run(arguments) is exits.Code.OK
     assert capsys.readouterr().out == "Buckwheat\n"
     headers, body = fleet[0].requests[0]
     assert (headers["Tealcove-Deadline"], headers["Tealcove-Idempotent"]) == (
@@ -175,7 +175,7 @@
     )
     assert headers["Idempotency-Key"]
     assert body == {"model": "m", "prompt": "prompt", "max_tokens": 256}
-    assert await cli.run([*order, "--stream"]) is exits.Code.OK
+    assert await cli.run([*arguments, "--stream"]) is exits.Code.OK
     assert capsys.readouterr().out == "Buckwheat\n"
 
 
@@ -186,8 +186,8 @@
     final event with its count.
     """
     fleet[0].completion.pop()
-    order = ["request", "--model", "m", "--stream", "prompt"]
-    assert await cli.run(order) is exits.Code.FAILED
+    arguments = ["request", "--model", "m", "--stream", "prompt"]
+    assert await cli.run(arguments) is exits.Code.FAILED
     assert "broke off" in capsys.readouterr().err
 
 
--- a/src/tealcove/tests/test_listener.py
+++ b/src/tealcove/tests/test_listener.py
@@ -13,7 +13,7 @@
 
 from tealcove import listener, settings
 
-GENEROUS_SECONDS = 30.0
+TIMEOUT_SECONDS = 30.0
 POLL = 0.01
 HOST = "127.0.0.1"
 GET = b"GET / HTTP/1.1\r\nHost: a\r\n"
@@ -67,7 +67,7 @@
     """Send bytes and return status and problem of the one answer."""
     reader, writer = await asyncio.open_connection(HOST, port)
     writer.write(request)
-    async with asyncio.timeout(GENEROUS_SECONDS):
+    async with asyncio.timeout(TIMEOUT_SECONDS):
         head = await reader.readuntil(END + END)
         body = await reader.read()
     writer.close()
@@ -76,7 +76,7 @@
 
 
 async def until(check: Callable[[], bool]) -> None:
-    async with asyncio.timeout(GENEROUS_SECONDS):
+    async with asyncio.timeout(TIMEOUT_SECONDS):
         while True:
             if check():
                 return
@@ -93,7 +93,7 @@
         silent, _ = await asyncio.open_connection(HOST, port)
         slow, writer = await asyncio.open_connection(HOST, port)
         writer.write(GET)
-        async with asyncio.timeout(GENEROUS_SECONDS):
+        async with asyncio.timeout(TIMEOUT_SECONDS):
             while not slow.at_eof():
                 writer.write(b"A: b\r\n")
                 with contextlib.suppress(TimeoutError, ConnectionError):
--- a/src/tealcove/tests/test_settings.py
+++ b/src/tealcove/tests/test_settings.py
@@ -12,7 +12,7 @@
 from tealcove import errors, resourcefiles, settings, settingsfile
 
 SAMPLES = pathlib.Path(__file__).parents[3] / "samples"
-LEAST = {"instance": "a", "data_centre": "b"}
+MINIMAL = {"instance": "a", "data_centre": "b"}
 KEY = "k" * 40
 
 
@@ -59,7 +59,7 @@
 )
 def test_errors_name_location_problem_and_remedy(tmp_path, extra, line):
     with pytest.raises(errors.SettingsError) as refusal:
-        load(tmp_path, LEAST | extra)
+        load(tmp_path, MINIMAL | extra)
     shown = str(refusal.value)
     assert shown.startswith(f"{tmp_path / 'a.json'}: {line}")
     assert "\n" not in shown
@@ -82,19 +82,19 @@
     """
     plain = {"name": "op", "key_hash": "plain-key"}
     with pytest.raises(errors.SettingsError) as refusal:
-        load(tmp_path, LEAST | {"operators": [plain]})
+        load(tmp_path, MINIMAL | {"operators": [plain]})
     assert "plain-key" not in str(refusal.value)
     curve = {"public_key": "p" * 40, "secret_key": KEY, "allowed": []}
-    assert KEY not in repr(load(tmp_path, LEAST | {"peer": {"curve": curve}}))
+    assert KEY not in repr(load(tmp_path, MINIMAL | {"peer": {"curve": curve}}))
     curve["secret_key"] = KEY + "k"
     with pytest.raises(errors.SettingsError) as refusal:
-        load(tmp_path, LEAST | {"peer": {"curve": curve}})
+        load(tmp_path, MINIMAL | {"peer": {"curve": curve}})
     assert KEY not in str(refusal.value)
 
 
 def test_delays_apply_in_both_directions(tmp_path):
     centres = [{"name": "b", "delays": {"c": 0.5}}, {"name": "c"}]
-    there = load(tmp_path, LEAST | {"data_centre": "c", "data_centres": centres})
+    there = load(tmp_path, MINIMAL | {"data_centre": "c", "data_centres": centres})
     assert there.delay_to("b") == 0.5
     assert there.delay_to("c") == 0.0
     assert there.delay_to("d") is None
