--- a/src/tealcove/daemon.py
+++ b/src/tealcove/daemon.py
@@ -1,4 +1,4 @@
-"""One instance: its roles put together, from start to a graceful end."""
+"""One instance: creates its roles, starts them and shuts them down gracefully."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 
 class Instance:
-    """All that one process does; several may live in one process."""
+    """Runs all roles of an instance; one process may run several instances."""
 
     def __init__(
         self,
@@ -61,7 +61,7 @@
         self.http_port = found.http.port
 
     async def start(self) -> None:
-        """Start all roles; accepts requests once the configuration is here."""
+        """Start all roles; accepts requests once a configuration is loaded."""
         found = self.settings
         self.platform = store.StoreClient(
             found.platform.url,
@@ -74,14 +74,14 @@
         await self.engines.start()
         await self.services.start()
         self.start_roles()
-        self.show_roles()
+        self.register_metrics()
         await self.start_http()
         self.members.update_own(http_port=self.http_port)
-        self.heart.start()
-        self.configuration.start(self.heart)
+        self.heartbeats.start()
+        self.configuration.start(self.heartbeats)
         self.mesh.start_receiving()
-        watched = readiness.Readiness(self.members, self.heart, self.configuration)
-        self.tasks.append(tasks.start(watched.run(), "readiness"))
+        monitor = readiness.Readiness(self.members, self.heartbeats, self.configuration)
+        self.tasks.append(tasks.start(monitor.run(), "readiness"))
 
     def start_mesh(self) -> None:
         """Listen for peers."""
@@ -103,19 +103,21 @@
             peer_port=self.mesh.listen.port,
             revision=ids.Revision(0),
         )
-        beat = found.heartbeat
-        self.members = members.Members(own, beat.suspect_after, beat.forget_after)
-        self.heart = heartbeats.HeartbeatService(
+        heartbeat = found.heartbeat
+        self.members = members.Members(
+            own, heartbeat.suspect_after, heartbeat.forget_after
+        )
+        self.heartbeats = heartbeats.HeartbeatService(
             self.mesh,
             self.members,
             rowlist.RowInstanceList(self.rows),
             tuple(endpoint.parse(seed) for seed in found.seeds),
-            beat.interval,
+            heartbeat.interval,
         )
 
     def start_roles(self) -> None:
-        """Start all roles, each after those that it asks."""
-        self.start_guards()
+        """Start all roles, each after those that it depends on."""
+        self.start_configuration()
         self.start_dispatcher()
         self.start_claims()
         self.start_entry()
@@ -128,15 +130,15 @@
         )
         self.stewards.start()
 
-    def start_guards(self) -> None:
-        """Start the configuration, and what decides by account and content."""
+    def start_configuration(self) -> None:
+        """Start the configuration, the quarantine and the limits."""
         self.configuration = configuration.ConfigurationRole(
             self.settings, self.rows, self.objects, self.mesh, self.members
         )
         self.quarantine = quarantine_role.Quarantine(
             self.mesh,
             self.members,
-            self.heart,
+            self.heartbeats,
             self.rows,
             self.settings.quarantine.seconds,
         )
@@ -147,7 +149,7 @@
         self.limits.start()
 
     def start_dispatcher(self) -> None:
-        """Start the dispatcher, and the side that asks dispatchers."""
+        """Start the dispatcher and the requester, which sends it tickets."""
         self.spread = spread.Spread(self.configuration.copy, self.delay_to)
         self.dispatcher = role.Dispatcher(
             self.mesh,
@@ -157,7 +159,7 @@
             self.engines,
             self.settings.dispatch.load_poll_interval,
             self.quarantine,
-            lambda: self.heart.listed,
+            lambda: self.heartbeats.listed,
             source=self.telemetry,
         )
         self.dispatcher.start()
@@ -171,7 +173,7 @@
         self.tickets.listeners.append(self.quarantine.record_end)
 
     def start_entry(self) -> None:
-        """Make the entry; the listener starts it."""
+        """Create the entry, which the HTTP listener serves."""
         self.entry = http.Entry(
             self.settings,
             self.configuration.copy,
@@ -184,10 +186,10 @@
             source=self.telemetry,
             witness=self.start_witness(),
         )
-        self.configuration.copy.subscribe(self.take_configuration)
+        self.configuration.copy.subscribe(self.apply_configuration)
 
     def start_claims(self) -> None:
-        """Start the writer of claims, and the side that takes them."""
+        """Start the writer of claims and the claimer."""
         found = self.settings.claims
         self.claim_writer = writer.Writer(
             self.mesh, self.members, self.rows, found.batch_interval
@@ -197,7 +199,7 @@
         self.claims.start()
 
     def start_witness(self) -> witness_role.Witness | None:
-        """Start to keep records for other entries; None: it's switched off."""
+        """Start the witness that keeps records for other entries; None if disabled."""
         timeout = self.settings.dispatch.witness_timeout
         if not timeout:
             return None
@@ -205,16 +207,16 @@
         found.start()
         return found
 
-    def show_roles(self) -> None:
-        """Add what the roles count to the metrics."""
-        shown = gauges.Gauges(self.telemetry.meter)
-        shown.add_mesh(self.mesh)
-        shown.add_platform(self.platform)
-        shown.add_members(self.members)
-        shown.add_configuration(self.configuration.copy)
-        shown.add_dispatcher(self.dispatcher)
-        shown.add_requester(self.tickets)
-        shown.add_claims(self.claim_writer)
+    def register_metrics(self) -> None:
+        """Register the metrics of all roles."""
+        instruments = gauges.Gauges(self.telemetry.meter)
+        instruments.add_mesh(self.mesh)
+        instruments.add_platform(self.platform)
+        instruments.add_members(self.members)
+        instruments.add_configuration(self.configuration.copy)
+        instruments.add_dispatcher(self.dispatcher)
+        instruments.add_requester(self.tickets)
+        instruments.add_claims(self.claim_writer)
 
     async def start_http(self) -> None:
         """Listen for callers and operators."""
@@ -222,7 +224,7 @@
         app = web.Application(client_max_size=limits.body_bytes)
         app.add_routes(self.configuration.routes())
         app.add_routes(probes.Probes(self.members, self.telemetry).routes())
-        # The entry comes last: it takes every path that no other role serves.
+        # The entry comes last: it handles every path that no other role serves.
         app.add_routes(self.entry.routes())
         self.listener = listener.Listener(app, limits)
         host = str(self.settings.http.host)
@@ -251,26 +253,26 @@
         return None if found is None else limit.of_spec(found.spec)
 
     def delay_to(self, other: ids.DataCentreId) -> float:
-        """Return the delay in seconds to a data centre; unknown ones are far."""
+        """Return the delay in seconds to a data centre; infinite if unknown."""
         delay = self.settings.delay_to(other)
         return math.inf if delay is None else delay
 
-    def take_configuration(
+    def apply_configuration(
         self, previous: copy.Configuration, current: copy.Configuration
     ) -> None:
-        """Put a new revision in force in all roles, and tell the peers."""
+        """Apply a new revision in all roles and broadcast it to the peers."""
         self.dispatcher.reconfigure()
         self.members.update_own(revision=current.revision)
-        self.heart.broadcast()
+        self.heartbeats.broadcast()
 
     async def leave(self) -> None:
-        """Leave gracefully: no request in progress is cut off.
+        """Shut down gracefully: let requests in progress finish.
 
-        Callers keep an answer of /v1/entry-points for a while, so the instance
-        still accepts until the last answer that names it has run out.
+        Callers cache the answers of /v1/entry-points, so the instance accepts
+        requests until the last answer that names it has expired.
         """
         self.members.update_own(lifecycle=messages.Lifecycle.LEAVING)
-        self.heart.broadcast()
+        self.heartbeats.broadcast()
         LOG.info("leaving")
         shutdown = self.settings.shutdown
         await asyncio.sleep(shutdown.entry_points_ttl)
@@ -284,7 +286,7 @@
         await self.configuration.stop()
         await self.listener.stop()
         await self.stewards.stop()
-        await self.heart.stop()
+        await self.heartbeats.stop()
         await self.dispatcher.stop()
         await self.claims.stop()
         await self.claim_writer.stop()
@@ -299,7 +301,7 @@
 
 
 async def serve(found: settings.Settings) -> None:
-    """Run an instance until SIGTERM or SIGINT, then let it leave gracefully."""
+    """Run an instance until SIGTERM or SIGINT, then shut it down gracefully."""
     logs.install(found)
     stopping = asyncio.Event()
     loop = asyncio.get_running_loop()
--- a/src/tealcove/entry/tests/builders.py
+++ b/src/tealcove/entry/tests/builders.py
@@ -91,7 +91,7 @@
         ),
     ]
     held = copy.ConfigurationCopy()
-    held.activate(plan.built(found))
+    held.activate(plan.build_configuration(found))
     return held
 
 
--- a/src/tealcove/exporting.py
+++ b/src/tealcove/exporting.py
@@ -1,4 +1,4 @@
-"""Metrics and traces that are exported, each instance with providers of its own."""
+"""Export of metrics and traces, with separate providers for each instance."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 TRACES_PATH = "/v1/traces"
 
 
-class Telemetry(telemetry.Source, probes.Shown):
-    """The meter and the tracer of one instance, and where they send to."""
+class Telemetry(telemetry.Source, probes.MetricsExporter):
+    """The meter and the tracer of one instance, and their exporters."""
 
     def __init__(
         self,
@@ -31,33 +31,34 @@
                 "cloud.availability_zone": found.data_centre,
             }
         )
-        # A registry of its own, since tests and the demo run several in a process.
+        # Not the global registry, since tests and the demo run several instances in one
+        # process.
         self.registry = prometheus_client.CollectorRegistry()
         reader = prometheus.PrometheusMetricReader(registry=self.registry)
-        # Nobody reads exemplars here, and their upkeep costs time at every count.
-        self.meters = sdk_metrics.MeterProvider(
+        # Exemplars aren't used, and collecting them slows down every measurement.
+        self.meter_provider = sdk_metrics.MeterProvider(
             [reader],
             resource=resource,
             exemplar_filter=sdk_metrics.AlwaysOffExemplarFilter(),
         )
-        self.meter = self.meters.get_meter(telemetry.SCOPE, version.VERSION)
-        self.spans = span_provider(found.telemetry, resource, exporter)
-        self.tracing = self.spans is not None
-        provider = self.spans or trace.NoOpTracerProvider()
+        self.meter = self.meter_provider.get_meter(telemetry.SCOPE, version.VERSION)
+        self.tracer_provider = new_tracer_provider(found.telemetry, resource, exporter)
+        self.tracing = self.tracer_provider is not None
+        provider = self.tracer_provider or trace.NoOpTracerProvider()
         self.tracer = provider.get_tracer(telemetry.SCOPE, version.VERSION)
 
     def metrics_text(self) -> bytes:
-        """See Shown."""
+        """See MetricsExporter."""
         return prometheus_client.generate_latest(self.registry)
 
     def shutdown(self) -> None:
-        """Send the spans that still wait; it blocks, so call it at the very end."""
-        if self.spans is not None:
-            self.spans.shutdown()
-        self.meters.shutdown()
+        """Export the pending spans; it blocks, so call it last."""
+        if self.tracer_provider is not None:
+            self.tracer_provider.shutdown()
+        self.meter_provider.shutdown()
 
 
-def span_provider(
+def new_tracer_provider(
     found: settings.Telemetry,
     resource: resources.Resource,
     exporter: export.SpanExporter | None,
@@ -67,13 +68,13 @@
         return None
     if exporter is None and found.otlp_endpoint is not None:
         endpoint = found.otlp_endpoint.rstrip("/") + TRACES_PATH
-        # Imported where it's used: it brings an HTTP client and protobuf.
+        # Imported only if used: it loads an HTTP client and protobuf.
         from opentelemetry.exporter.otlp.proto.http import trace_exporter
 
         exporter = trace_exporter.OTLPSpanExporter(endpoint=endpoint)
     if exporter is None:
         return None
-    # The caller's own decision goes first, so that a trace is whole or absent.
+    # The caller's sampling decision takes precedence, so that traces are complete.
     sampler = sampling.ParentBased(sampling.TraceIdRatioBased(found.trace_share))
     provider = sdk_trace.TracerProvider(
         sampler=sampler, resource=resource, shutdown_on_exit=False
--- a/src/tealcove/front/figures.py
+++ b/src/tealcove/front/metrics.py
@@ -1,7 +1,7 @@
-"""The metrics of an instance: plain numbers, until somebody looks at them.
+"""The metrics of an instance, kept as plain numbers until they are scraped.
 
-Measured by the SDK of OpenTelemetry they cost a request a twentieth of its time, and
-the start of an instance an eighth.
+The OpenTelemetry SDK would take a twentieth of a request's time and an eighth of an
+instance's start.
 """
 
 from __future__ import annotations
@@ -12,12 +12,12 @@
 
 from tealcove import measuring, probes
 
-# Names and values of a series' labels.
+# Names and values of the labels that identify a series.
 Labels = tuple[tuple[str, str], ...]
 
 
 class Counter:
-    """A number that only grows, by labels."""
+    """A monotonic counter with a value for each set of labels."""
 
     def __init__(self, name: str, description: str) -> None:
         self.name = name
@@ -31,7 +31,7 @@
 
 
 class Series:
-    """The values of one set of labels: how many by bound, and their sum."""
+    """The observations of one set of labels: counts by bucket, and their sum."""
 
     def __init__(self) -> None:
         self.counts = [0] * (len(measuring.SECONDS_BOUNDS) + 1)
@@ -39,7 +39,7 @@
 
 
 class Histogram:
-    """Seconds by bound and labels."""
+    """A histogram of seconds with a series for each set of labels."""
 
     def __init__(self, name: str, description: str) -> None:
         self.name = name
@@ -56,33 +56,35 @@
         found.sum += amount
 
 
-class Figures(measuring.Source, probes.Shown):
-    """All metrics of one instance, and no traces."""
+class Registry(measuring.Source, probes.MetricsExporter):
+    """Holds all metrics of one instance; records no traces."""
 
     def __init__(self) -> None:
         self.counters: list[Counter] = []
         self.histograms: list[Histogram] = []
-        # Counters that are read off a role when somebody looks, with what they are.
-        self.watched: list[tuple[str, str, Callable[[], float]]] = []
+        # Counters read by callback at each scrape: name, description, callback.
+        self.observable_counters: list[tuple[str, str, Callable[[], float]]] = []
 
-    def count(self, name: str, description: str) -> Counter:
+    def counter(self, name: str, description: str) -> Counter:
         """See Source."""
         self.counters.append(Counter(name, description))
         return self.counters[-1]
 
-    def seconds(self, name: str, description: str) -> Histogram:
+    def histogram(self, name: str, description: str) -> Histogram:
         """See Source."""
         self.histograms.append(Histogram(name, description))
         return self.histograms[-1]
 
-    def watch(self, name: str, description: str, read: Callable[[], float]) -> None:
-        """Show a number that a role counts itself, and that only grows."""
-        self.watched.append((name, description, read))
+    def add_observable_counter(
+        self, name: str, description: str, read: Callable[[], float]
+    ) -> None:
+        """Add a monotonic counter whose value is read by callback at each scrape."""
+        self.observable_counters.append((name, description, read))
 
     def metrics_text(self) -> bytes:
-        """See Shown."""
-        # Imported here, since few instances are ever looked at before they have
-        # answered their first requests.
+        """See MetricsExporter."""
+        # Imported here to shorten the start: few instances are scraped before they
+        # have answered their first requests.
         import prometheus_client
 
         registry = prometheus_client.CollectorRegistry()
@@ -90,29 +92,29 @@
         return prometheus_client.generate_latest(registry)
 
     def collect(self) -> Iterator[object]:
-        """Yield the metrics as the library of Prometheus has them."""
+        """Yield the metrics as families of the Prometheus client library."""
         from prometheus_client import core
 
-        for name, description, read in self.watched:
-            yield core.CounterMetricFamily(exported(name), description, read())
+        for name, description, read in self.observable_counters:
+            yield core.CounterMetricFamily(exposed_name(name), description, read())
         for counter in self.counters:
             family = core.CounterMetricFamily(
-                exported(counter.name), counter.description
+                exposed_name(counter.name), counter.description
             )
             for labels, value in counter.values.items():
                 family.add_sample(f"{family.name}_total", dict(labels), value)
             yield family
         for histogram in self.histograms:
             family = core.HistogramMetricFamily(
-                f"{exported(histogram.name)}_seconds", histogram.description
+                f"{exposed_name(histogram.name)}_seconds", histogram.description
             )
             for labels, series in histogram.series.items():
                 add_series(family, dict(labels), series)
             yield family
 
 
-def exported(name: str) -> str:
-    """Return the name under which a metric is shown."""
+def exposed_name(name: str) -> str:
+    """Return the name under which a metric is exposed."""
     return name.replace(".", "_")
 
 
--- a/src/tealcove/front/tests/test_daemon.py
+++ b/src/tealcove/front/tests/test_daemon.py
@@ -1,4 +1,4 @@
-"""Settings that change while an instance runs."""
+"""Tests of reloading the settings at run time."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 }
 
 
-class Running:
-    """Stands for an instance: it remembers the settings that it's given."""
+class FakeInstance:
+    """Stand-in for an instance that records the settings applied to it."""
 
     def __init__(self) -> None:
-        self.given: list[settings.FrontSettings] = []
+        self.applied: list[settings.FrontSettings] = []
 
     def reload(self, found: settings.FrontSettings) -> None:
-        self.given.append(found)
+        self.applied.append(found)
 
 
 def write(path: pathlib.Path, **changes: object) -> None:
@@ -37,8 +37,8 @@
     path.write_bytes(msgspec.json.encode(found))
 
 
-def reloader(path: pathlib.Path) -> tuple[daemon.Reloader, Running]:
-    running = Running()
+def reloader(path: pathlib.Path) -> tuple[daemon.Reloader, FakeInstance]:
+    running = FakeInstance()
     handler = logs.JsonHandler(settings.load(str(path)))
     return daemon.Reloader(str(path), running, handler), running
 
@@ -53,20 +53,19 @@
     write(path, repeats={"slack": 7}, log={"level": "error"})
     async with asyncio.timeout(30):
         while True:
-            if running.given:
+            if running.applied:
                 break
             await asyncio.sleep(0.01)
     task.cancel()
-    assert running.given[0].repeats.slack == 7
+    assert running.applied[0].repeats.slack == 7
     assert found.handler.lowest == logs.LEVELS[settings.settings.Level.ERROR]
 
 
-def test_a_file_that_cant_be_used_changes_nothing(tmp_path: pathlib.Path) -> None:
-    """A mistake in a file stops instances that serve well.
+def test_an_invalid_file_changes_nothing(tmp_path: pathlib.Path) -> None:
+    """Guard against a reload that stops an instance or drops its seeds.
 
-    Symptom: an instance ends, or forgets its seeds, at a reload. Sequence: the
-    settings file is half written when the signal comes. Cause: the new content is
-    put in force before it's checked.
+    The settings file may be half written when the signal arrives; its content must
+    be checked before it is applied.
     """
     path = tmp_path / "i.json"
     write(path)
@@ -76,7 +75,7 @@
         found.reload()
     path.unlink()
     found.reload()
-    assert running.given == []
+    assert running.applied == []
 
 
 def test_the_deploy_template_names_only_known_settings() -> None:
--- a/src/tealcove/plan.py
+++ b/src/tealcove/plan.py
@@ -1,4 +1,4 @@
-"""The order in which resources are written, and a check of them all together."""
+"""The order in which resources are written, and a check of all of them together."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 from tealcove import errors, ids, resourcefiles
 from tealcove.resources import codec, copy, kinds, refusals, validation
 
-# A resource can only name others that exist, so these come first.
-ORDER = (
+# A resource can only refer to existing ones, so these are written first.
+KIND_ORDER = (
     kinds.Kind.SERVICE_TIER,
     kinds.Kind.MODEL,
     kinds.Kind.ADAPTER,
@@ -17,31 +17,33 @@
     kinds.Kind.CLIENT_ACCOUNT,
     kinds.Kind.ROUTING_RULE,
 )
-NOBODY = "nobody"
+PLACEHOLDER_AUTHOR = "nobody"
 
 
-def in_order(
+def by_dependency(
     declared: typing.Iterable[resourcefiles.Declared],
 ) -> list[resourcefiles.Declared]:
-    """Return resources so that each comes after those that it names."""
-    return sorted(declared, key=lambda one: (ORDER.index(one.kind), one.name))
+    """Return resources so that each comes after those that it refers to."""
+    return sorted(declared, key=lambda one: (KIND_ORDER.index(one.kind), one.name))
 
 
-def built(resources: typing.Iterable[kinds.Resource]) -> copy.Configuration:
-    """Return a configuration that holds resources as they were read."""
+def build_configuration(
+    resources: typing.Iterable[kinds.Resource],
+) -> copy.Configuration:
+    """Return a configuration that contains the given resources."""
     return add_all(copy.empty(), resources)
 
 
 def add_all(
     configuration: copy.Configuration, resources: typing.Iterable[kinds.Resource]
 ) -> copy.Configuration:
-    """Return the configuration with resources written."""
+    """Return the configuration with resources added."""
     changes = [
         codec.Change(
             revision=ids.Revision(configuration.revision + number),
             kind=resource.kind,
             name=resource.metadata.name,
-            changed_by=NOBODY,
+            changed_by=PLACEHOLDER_AUTHOR,
             nonce="",
             resource=resource,
         )
@@ -54,11 +56,11 @@
     configuration: copy.Configuration,
     declared: typing.Iterable[resourcefiles.Declared],
 ) -> copy.Configuration:
-    """Check resources as the servers would, one after the other; writes nothing.
+    """Check resources in order, as the instances would; writes nothing.
 
-    Returns the configuration that they lead to; raises errors.SettingsError.
+    Returns the resulting configuration; raises errors.SettingsError.
     """
-    for one in in_order(declared):
+    for one in by_dependency(declared):
         resource = as_resource(one)
         try:
             validation.check(configuration, resource)
@@ -72,11 +74,11 @@
 
 
 def as_resource(declared: resourcefiles.Declared) -> kinds.Resource:
-    """Return a declared resource with metadata that only stand in."""
+    """Return a declared resource with placeholder metadata."""
     metadata = kinds.Metadata(
         name=declared.name,
         revision=copy.NO_REVISION,
         generation=0,
-        changed_by=NOBODY,
+        changed_by=PLACEHOLDER_AUTHOR,
     )
     return kinds.Resource(kind=declared.kind, metadata=metadata, spec=declared.spec)
