--- a/src/tealcove/entry/generation.py
+++ b/src/tealcove/entry/generation.py
@@ -59,11 +59,11 @@
             await super().run()
         finally:
             if self.witness is not None:
-                self.witness.drop()
+                self.witness.delete()
 
     async def find_server(self) -> None:
         """Go on with the run that a lost entry has left, or ask for a slot."""
-        found = None if self.witness is None else await self.witness.find()
+        found = None if self.witness is None else await self.witness.find_lost()
         if found is None or not await self.take_over(found):
             await super().find_server()
 
@@ -83,9 +83,9 @@
         self.taken = stream
         self.state.wait()
         hold = self.new_hold()
-        witnessing.take_ticket(hold, found, self.tickets)
+        witnessing.adopt_ticket(hold, found, self.tickets)
         self.note_dispatch(hold, server)
-        witnessing.announce(hold, self.tickets)
+        witnessing.announce_takeover(hold, self.tickets)
         self.take_chunk(hold, first)
         await self.use(hold, server)
         return True
@@ -158,7 +158,7 @@
     def note_dispatch(self, hold: pending.PendingTicket, server: engine.Server) -> None:
         """See Exchange; the witness learns of it first."""
         if self.witness is not None:
-            self.witness.leave(hold.ticket, server)
+            self.witness.store(hold.ticket, server)
         super().note_dispatch(hold, server)
 
     def note_first_token(self, hold: pending.PendingTicket) -> None:
--- a/src/tealcove/entry/http.py
+++ b/src/tealcove/entry/http.py
@@ -259,7 +259,7 @@
             return None
         return witnessing.RequestWitness(
             self.witness,
-            witness_messages.Place(accepted.caller.account, accepted.key),
+            witness_messages.RequestKey(accepted.caller.account, accepted.key),
             accepted.fingerprint,
             accepted.deadline,
         )
--- a/src/tealcove/entry/witnessing.py
+++ b/src/tealcove/entry/witnessing.py
@@ -11,7 +11,7 @@
 from tealcove.witness import role
 
 # How long a record stays beyond the deadline of its request.
-LINGER_SECONDS = 10.0
+RETENTION_SECONDS = 10.0
 
 
 class RequestWitness:
@@ -20,21 +20,21 @@
     def __init__(
         self,
         witness: role.Witness,
-        place: witness_messages.Place,
+        request_key: witness_messages.RequestKey,
         fingerprint: str,
         deadline: ids.Instant,
     ) -> None:
         self.witness = witness
-        self.place = place
+        self.request_key = request_key
         self.fingerprint = fingerprint
         self.deadline = deadline
         self.request_id: ids.RequestId | None = None
 
-    async def find(self) -> witness_messages.Record | None:
+    async def find_lost(self) -> witness_messages.Record | None:
         """Return where an earlier sending runs whose entry is lost."""
-        return await self.witness.find_lost(self.place, self.fingerprint)
+        return await self.witness.find_lost(self.request_key, self.fingerprint)
 
-    def leave(self, ticket: messages.Ticket, server: engine.Server) -> None:
+    def store(self, ticket: messages.Ticket, server: engine.Server) -> None:
         """Leave a record of a request that is about to be dispatched."""
         now = clock.now()
         own = self.witness.members.own
@@ -50,17 +50,17 @@
             incarnation=own.incarnation,
         )
         self.request_id = ticket.request_id
-        seconds = max(0.0, self.deadline - now) + LINGER_SECONDS
-        self.witness.leave(self.place, record, seconds, now)
+        seconds = max(0.0, self.deadline - now) + RETENTION_SECONDS
+        self.witness.store(self.request_key, record, seconds, now)
 
-    def drop(self) -> None:
+    def delete(self) -> None:
         """Have the record forgotten: the request has ended."""
         if self.request_id is not None:
-            self.witness.drop(self.place, self.request_id)
+            self.witness.delete(self.request_key, self.request_id)
 
 
-def take_ticket(
-    hold: pending.PendingTicket,
+def adopt_ticket(
+    pending_ticket: pending.PendingTicket,
     found: witness_messages.Record,
     tickets: requester.Requester,
 ) -> None:
@@ -69,23 +69,25 @@
     Under a ticket of its own, the run would hold two slots until the dispatcher
     has noticed that the old entry is gone.
     """
-    hold.ticket = msgspec.structs.replace(
-        hold.ticket,
+    pending_ticket.ticket = msgspec.structs.replace(
+        pending_ticket.ticket,
         ticket_id=found.ticket_id,
         request_id=found.request_id,
         cell=found.cell,
     )
     cell = tickets.spread.find(found.cell)
-    hold.near = None if cell is None else cell.data_centre
+    pending_ticket.near = None if cell is None else cell.data_centre
 
 
-def announce(hold: pending.PendingTicket, tickets: requester.Requester) -> None:
+def announce_takeover(
+    pending_ticket: pending.PendingTicket, tickets: requester.Requester
+) -> None:
     """Tell the dispatcher whose the ticket of a running request is now."""
     now = clock.now()
-    ticket = hold.ticket
-    tickets.pending_tickets[ticket.ticket_id] = hold
+    ticket = pending_ticket.ticket
+    tickets.pending_tickets[ticket.ticket_id] = pending_ticket
     tickets.spread.begin(ticket.cell)
-    ranked = tickets.members.rank(ticket.cell, now, hold.near)
+    ranked = tickets.members.rank(ticket.cell, now, pending_ticket.near)
     if ranked:
-        tickets.set_dispatcher(hold, ranked[0])
-        tickets.send(hold, pending.current(hold, now))
+        tickets.set_dispatcher(pending_ticket, ranked[0])
+        tickets.send(pending_ticket, pending.current(pending_ticket, now))
--- a/src/tealcove/witness/messages.py
+++ b/src/tealcove/witness/messages.py
@@ -8,7 +8,7 @@
 from tealcove.peers import message
 
 
-class Place(msgspec.Struct, frozen=True, array_like=True):
+class RequestKey(msgspec.Struct, frozen=True, array_like=True):
     """What a caller names a request by, the same however often it sends it."""
 
     account: ids.AccountId
@@ -32,31 +32,31 @@
     incarnation: ids.Incarnation
 
 
-class Left(message.Message):
+class StoreRecord(message.Message, tag="Left"):
     """Keep a record for so many seconds, or until the request has ended."""
 
-    place: Place
+    request_key: RequestKey
     record: Record
     seconds: float
 
 
-class Dropped(message.Message):
+class DeleteRecord(message.Message, tag="Dropped"):
     """The request has ended at its entry."""
 
-    place: Place
+    request_key: RequestKey
     request_id: ids.RequestId
 
 
-class Asked(message.Message):
+class RecordQuery(message.Message, tag="Asked"):
     """Is there a record? Also asked of a record's entry, to see if it lives."""
 
-    question: int
-    place: Place
+    query_number: int
+    request_key: RequestKey
 
 
-class Told(message.Message):
+class RecordReply(message.Message, tag="Told"):
     """The answer, and which process gave it."""
 
-    question: int
+    query_number: int
     incarnation: ids.Incarnation
     record: Record | None
--- a/src/tealcove/witness/records.py
+++ b/src/tealcove/witness/records.py
@@ -11,43 +11,47 @@
 
 # About 1 kB each. The oldest goes first: a request that was sent again finds no
 # record then, and runs a second time as it would without any.
-MOST_RECORDS = 20_000
+MAX_RECORDS = 20_000
 
 
-class Kept(msgspec.Struct, frozen=True):
+class StoredRecord(msgspec.Struct, frozen=True):
     """A record and when it's of no more use."""
 
     record: messages.Record
-    until: ids.Instant
+    expires_at: ids.Instant
 
 
 class Records:
-    """Records by place, bounded in number and in time."""
+    """Records by request key, bounded in number and in age."""
 
     def __init__(self) -> None:
-        self.kept: collections.OrderedDict[messages.Place, Kept] = (
+        self.by_key: collections.OrderedDict[messages.RequestKey, StoredRecord] = (
             collections.OrderedDict()
         )
 
-    def keep(self, left: messages.Left, now: ids.Instant) -> None:
+    def store(self, sent: messages.StoreRecord, now: ids.Instant) -> None:
         """Keep a record in place of an older one."""
-        self.kept.pop(left.place, None)
-        self.kept[left.place] = Kept(left.record, ids.Instant(now + left.seconds))
-        if len(self.kept) > MOST_RECORDS:
-            self.kept.popitem(last=False)
-
-    def drop(self, dropped: messages.Dropped) -> None:
-        """Forget a record, unless another run has taken its place."""
-        found = self.kept.get(dropped.place)
-        if found is not None and found.record.request_id == dropped.request_id:
-            del self.kept[dropped.place]
-
-    def find(self, place: messages.Place, now: ids.Instant) -> messages.Record | None:
-        """Return the record of a place, if one is kept and not too old."""
-        found = self.kept.get(place)
+        self.by_key.pop(sent.request_key, None)
+        self.by_key[sent.request_key] = StoredRecord(
+            sent.record, ids.Instant(now + sent.seconds)
+        )
+        if len(self.by_key) > MAX_RECORDS:
+            self.by_key.popitem(last=False)
+
+    def delete(self, deleted: messages.DeleteRecord) -> None:
+        """Forget a record, unless another run has replaced it."""
+        found = self.by_key.get(deleted.request_key)
+        if found is not None and found.record.request_id == deleted.request_id:
+            del self.by_key[deleted.request_key]
+
+    def find(
+        self, request_key: messages.RequestKey, now: ids.Instant
+    ) -> messages.Record | None:
+        """Return the record of a request key; None if absent or expired."""
+        found = self.by_key.get(request_key)
         if found is None:
             return None
-        if now >= found.until:
-            del self.kept[place]
+        if now >= found.expires_at:
+            del self.by_key[request_key]
             return None
         return found.record
--- a/src/tealcove/witness/role.py
+++ b/src/tealcove/witness/role.py
@@ -13,35 +13,35 @@
 
 # Instances in rank order that may have a record: the entry that left it chose
 # the first other than itself, and may be the first of all.
-ASKED = 2
+QUERIED_INSTANCES = 2
 # Places share so many rankings: one ranking hashes once for each instance, too
 # much for each request at full size.
-BUCKETS = 1024
+RANKING_BUCKETS = 1024
 BUCKET_BYTES = 4
 
 
-class Question:
+class PendingQuery:
     """Something asked of a few instances at once."""
 
-    def __init__(self, count: int, wanted: ids.Incarnation | None) -> None:
-        self.missing = count
+    def __init__(self, count: int, wanted_incarnation: ids.Incarnation | None) -> None:
+        self.outstanding = count
         # The process to hear from; absent: whoever has a record.
-        self.wanted = wanted
-        self.answer: asyncio.Future[messages.Told | None] = (
+        self.wanted_incarnation = wanted_incarnation
+        self.answer: asyncio.Future[messages.RecordReply | None] = (
             asyncio.get_running_loop().create_future()
         )
 
-    def take(self, told: messages.Told) -> None:
+    def add_reply(self, reply: messages.RecordReply) -> None:
         """Take one answer in; the first wanted one, or the last, is the end."""
-        self.missing -= 1
+        self.outstanding -= 1
         if self.answer.done():
             return
-        is_wanted = told.record is not None
-        if self.wanted is not None:
-            is_wanted = told.incarnation == self.wanted
+        is_wanted = reply.record is not None
+        if self.wanted_incarnation is not None:
+            is_wanted = reply.incarnation == self.wanted_incarnation
         if is_wanted:
-            self.answer.set_result(told)
-        elif self.missing == 0:
+            self.answer.set_result(reply)
+        elif self.outstanding == 0:
             self.answer.set_result(None)
 
 
@@ -58,8 +58,8 @@
         # and isn't missed yet.
         self.timeout = timeout
         self.records = records.Records()
-        self.questions: dict[int, Question] = {}
-        self.numbers = itertools.count()
+        self.queries: dict[int, PendingQuery] = {}
+        self.query_numbers = itertools.count()
         # Where the records of this entry's requests are.
         self.holders: dict[ids.RequestId, ids.InstanceId] = {}
         self.rankings: dict[int, list[ids.InstanceId]] = {}
@@ -67,27 +67,30 @@
     def start(self) -> None:
         """Begin to keep records and to answer."""
         self.transport.handle(
-            messages.Left, lambda sender, left: self.records.keep(left, clock.now())
+            messages.StoreRecord,
+            lambda sender, stored: self.records.store(stored, clock.now()),
         )
         self.transport.handle(
-            messages.Dropped, lambda sender, dropped: self.records.drop(dropped)
+            messages.DeleteRecord, lambda sender, deleted: self.records.delete(deleted)
         )
         self.transport.handle(
-            messages.Asked,
-            lambda sender, asked: self.take_question(sender, asked, clock.now()),
+            messages.RecordQuery,
+            lambda sender, query: self.handle_query(sender, query, clock.now()),
         )
-        self.transport.handle(messages.Told, self.take_answer)
+        self.transport.handle(messages.RecordReply, self.handle_reply)
         self.members.listen(self.rankings.clear)
 
-    def rank(self, place: messages.Place, now: ids.Instant) -> list[ids.InstanceId]:
-        """Rank the serving instances for a place, those of this data centre first.
+    def rank(
+        self, request_key: messages.RequestKey, now: ids.Instant
+    ) -> list[ids.InstanceId]:
+        """Rank the serving instances for a key, those of this data centre first.
 
         Callers send again to a near entry, and a question to a far data centre
         would cost each request a round trip.
         """
-        text = f"{place.account}/{place.key}".encode()
+        text = f"{request_key.account}/{request_key.key}".encode()
         digest = hashlib.blake2b(text, digest_size=BUCKET_BYTES).digest()
-        bucket = int.from_bytes(digest) % BUCKETS
+        bucket = int.from_bytes(digest) % RANKING_BUCKETS
         found = self.rankings.get(bucket)
         if found is None:
             near = self.members.own.data_centre
@@ -95,91 +98,105 @@
             self.rankings[bucket] = found
         return found
 
-    def leave(
+    def store(
         self,
-        place: messages.Place,
+        request_key: messages.RequestKey,
         record: messages.Record,
         seconds: float,
         now: ids.Instant,
     ) -> None:
         """Leave a record at another instance, without waiting for it."""
         own = self.members.own.instance
-        holder = next((i for i in self.rank(place, now) if i != own), None)
+        holder = next((i for i in self.rank(request_key, now) if i != own), None)
         if holder is not None:
             self.holders[record.request_id] = holder
-            left = messages.Left(place=place, record=record, seconds=seconds)
-            self.send(holder, left)
+            sent = messages.StoreRecord(
+                request_key=request_key, record=record, seconds=seconds
+            )
+            self.send(holder, sent)
 
-    def drop(self, place: messages.Place, request_id: ids.RequestId) -> None:
+    def delete(
+        self, request_key: messages.RequestKey, request_id: ids.RequestId
+    ) -> None:
         """Have the record of a request that has ended forgotten."""
         holder = self.holders.pop(request_id, None)
         if holder is not None:
-            self.send(holder, messages.Dropped(place=place, request_id=request_id))
+            self.send(
+                holder,
+                messages.DeleteRecord(request_key=request_key, request_id=request_id),
+            )
 
     async def find_lost(
-        self, place: messages.Place, fingerprint: str
+        self, request_key: messages.RequestKey, fingerprint: str
     ) -> messages.Record | None:
         """Return the record of the same request if its entry doesn't answer."""
-        found = self.records.find(place, clock.now())
+        found = self.records.find(request_key, clock.now())
         if found is None:
-            found = await self.ask_witnesses(place)
+            found = await self.query_witnesses(request_key)
         if found is None or found.fingerprint != fingerprint:
             return None
-        return None if await self.is_alive(found, place) else found
+        return None if await self.is_alive(found, request_key) else found
 
-    async def ask_witnesses(self, place: messages.Place) -> messages.Record | None:
+    async def query_witnesses(
+        self, request_key: messages.RequestKey
+    ) -> messages.Record | None:
         """Ask the instances that may have a record."""
         own = self.members.own.instance
-        ranked = self.rank(place, clock.now())[:ASKED]
-        told = await self.ask([i for i in ranked if i != own], place)
-        return None if told is None else told.record
+        ranked = self.rank(request_key, clock.now())[:QUERIED_INSTANCES]
+        reply = await self.query([i for i in ranked if i != own], request_key)
+        return None if reply is None else reply.record
 
-    async def is_alive(self, record: messages.Record, place: messages.Place) -> bool:
+    async def is_alive(
+        self, record: messages.Record, request_key: messages.RequestKey
+    ) -> bool:
         """Ask a record's entry, since heartbeats miss it a second late."""
         alive = {(h.instance, h.incarnation) for h in self.members.alive(clock.now())}
         if (record.entry, record.incarnation) not in alive:
             return False
-        told = await self.ask([record.entry], place, record.incarnation)
-        return told is not None
+        reply = await self.query([record.entry], request_key, record.incarnation)
+        return reply is not None
 
-    async def ask(
+    async def query(
         self,
-        asked: list[ids.InstanceId],
-        place: messages.Place,
-        wanted: ids.Incarnation | None = None,
-    ) -> messages.Told | None:
+        instances: list[ids.InstanceId],
+        request_key: messages.RequestKey,
+        wanted_incarnation: ids.Incarnation | None = None,
+    ) -> messages.RecordReply | None:
         """Return the first answer with a record, or any of the wanted process."""
-        if not asked:
+        if not instances:
             return None
-        number = next(self.numbers)
-        question = Question(len(asked), wanted)
-        self.questions[number] = question
-        for instance in asked:
-            self.send(instance, messages.Asked(question=number, place=place))
+        number = next(self.query_numbers)
+        pending = PendingQuery(len(instances), wanted_incarnation)
+        self.queries[number] = pending
+        for instance in instances:
+            self.send(
+                instance,
+                messages.RecordQuery(query_number=number, request_key=request_key),
+            )
         try:
             async with asyncio.timeout(self.timeout):
-                return await question.answer
+                return await pending.answer
         except TimeoutError:
             return None
         finally:
-            del self.questions[number]
+            del self.queries[number]
 
-    def take_question(
-        self, sender: ids.InstanceId, asked: messages.Asked, now: ids.Instant
+    def handle_query(
+        self, sender: ids.InstanceId, query: messages.RecordQuery, now: ids.Instant
     ) -> None:
         """Answer from memory."""
-        told = messages.Told(
-            question=asked.question,
+        reply = messages.RecordReply(
+            query_number=query.query_number,
             incarnation=self.members.own.incarnation,
-            record=self.records.find(asked.place, now),
+            record=self.records.find(query.request_key, now),
         )
-        self.send(sender, told)
+        self.send(sender, reply)
 
-    def take_answer(self, sender: ids.InstanceId, told: messages.Told) -> None:
+    def handle_reply(self, sender: ids.InstanceId, reply: messages.RecordReply) -> None:
         """Take in an answer; a late one is dropped."""
-        question = self.questions.get(told.question)
-        if question is not None:
-            question.take(told)
+        pending = self.queries.get(reply.query_number)
+        if pending is not None:
+            pending.add_reply(reply)
 
     def send(self, instance: ids.InstanceId, sent: message.Message) -> None:
         """Send a message to an instance whose address is known."""
--- a/src/tealcove/witness/tests/builders.py
+++ b/src/tealcove/witness/tests/builders.py
@@ -69,10 +69,10 @@
         """Let an instance die; the others don't miss it yet."""
         del self.links[number]
 
-    async def leave(self, number: int, key: str = "k") -> messages.Record:
+    async def store(self, number: int, key: str = "k") -> messages.Record:
         """Leave the record of a request of an entry, and let it arrive."""
         found = record(number, key)
-        self.witnesses[number].leave(place(key), found, 60.0, ids.Instant(0.0))
+        self.witnesses[number].store(request_key(key), found, 60.0, ids.Instant(0.0))
         await asyncio.sleep(0)
         return found
 
@@ -81,8 +81,8 @@
     return ids.InstanceId(f"i-{number}")
 
 
-def place(key: str = "k") -> messages.Place:
-    return messages.Place(ids.AccountId("a"), ids.IdempotencyKey(key))
+def request_key(key: str = "k") -> messages.RequestKey:
+    return messages.RequestKey(ids.AccountId("a"), ids.IdempotencyKey(key))
 
 
 def record(number: int = 0, key: str = "k") -> messages.Record:
--- a/src/tealcove/witness/tests/test_witness.py
+++ b/src/tealcove/witness/tests/test_witness.py
@@ -15,9 +15,13 @@
 NOW = ids.Instant(100.0)
 
 
-def left(key: str = "k", number: int = 0, seconds: float = 5.0) -> messages.Left:
-    return messages.Left(
-        place=builders.place(key), record=builders.record(number, key), seconds=seconds
+def store_message(
+    key: str = "k", number: int = 0, seconds: float = 5.0
+) -> messages.StoreRecord:
+    return messages.StoreRecord(
+        request_key=builders.request_key(key),
+        record=builders.record(number, key),
+        seconds=seconds,
     )
 
 
@@ -28,83 +32,83 @@
     one that asks among them; the dead one isn't missed yet.
     """
     cluster = builders.Cluster(4)
-    left = {f"k{n}": await cluster.leave(ENTRY, f"k{n}") for n in range(60)}
+    stored = {f"k{n}": await cluster.store(ENTRY, f"k{n}") for n in range(60)}
     cluster.kill(ENTRY)
-    for key, record in left.items():
+    for key, record in stored.items():
         for witness in cluster.witnesses[1:]:
-            found = await witness.find_lost(builders.place(key), "f")
+            found = await witness.find_lost(builders.request_key(key), "f")
             assert found == record
 
 
 async def test_a_record_whose_entry_lives_leads_nowhere() -> None:
     """A caller that leaves one entry cancels the run that another reads along."""
     cluster = builders.Cluster(3)
-    await cluster.leave(ENTRY)
-    assert await cluster.witnesses[OTHER].find_lost(builders.place(), "f") is None
+    await cluster.store(ENTRY)
+    assert await cluster.witnesses[OTHER].find_lost(builders.request_key(), "f") is None
 
 
 async def test_an_entry_that_was_restarted_under_its_name_counts_as_lost() -> None:
     """The successor answers in place of the dead entry, whose run is lost then."""
     cluster = builders.Cluster(3)
-    record = await cluster.leave(ENTRY)
+    record = await cluster.store(ENTRY)
     cluster.witnesses[ENTRY].members.update_own(incarnation=ids.Incarnation("second"))
-    found = await cluster.witnesses[OTHER].find_lost(builders.place(), "f")
+    found = await cluster.witnesses[OTHER].find_lost(builders.request_key(), "f")
     assert found == record
 
 
 async def test_an_entry_that_is_missed_isn_t_asked() -> None:
     cluster = builders.Cluster(3)
-    record = await cluster.leave(ENTRY)
+    record = await cluster.store(ENTRY)
     gone = msgspec.structs.replace(
         cluster.witnesses[ENTRY].members.own,
         lifecycle=membership_messages.Lifecycle.GONE,
     )
     cluster.witnesses[OTHER].members.record_heartbeat(gone, ids.Instant(0.0))
-    found = await cluster.witnesses[OTHER].find_lost(builders.place(), "f")
+    found = await cluster.witnesses[OTHER].find_lost(builders.request_key(), "f")
     assert found == record
 
 
 async def test_another_request_or_an_ended_one_finds_nothing() -> None:
     cluster = builders.Cluster(3)
-    record = await cluster.leave(ENTRY)
+    record = await cluster.store(ENTRY)
     asker = cluster.witnesses[OTHER]
-    cluster.witnesses[ENTRY].drop(builders.place(), ids.RequestId("another"))
+    cluster.witnesses[ENTRY].delete(builders.request_key(), ids.RequestId("another"))
     cluster.kill(ENTRY)
-    assert await asker.find_lost(builders.place("other key"), "f") is None
-    assert await asker.find_lost(builders.place(), "another body") is None
-    assert await asker.find_lost(builders.place(), "f") == record
-    cluster.witnesses[ENTRY].drop(builders.place(), record.request_id)
+    assert await asker.find_lost(builders.request_key("other key"), "f") is None
+    assert await asker.find_lost(builders.request_key(), "another body") is None
+    assert await asker.find_lost(builders.request_key(), "f") == record
+    cluster.witnesses[ENTRY].delete(builders.request_key(), record.request_id)
     await asyncio.sleep(0)
-    assert await asker.find_lost(builders.place(), "f") is None
-    assert asker.questions == {}
+    assert await asker.find_lost(builders.request_key(), "f") is None
+    assert asker.queries == {}
     assert cluster.witnesses[ENTRY].holders == {}
 
 
 async def test_an_instance_alone_leaves_and_asks_nothing() -> None:
     cluster = builders.Cluster(1)
-    await cluster.leave(ENTRY)
-    assert await cluster.witnesses[ENTRY].find_lost(builders.place(), "f") is None
+    await cluster.store(ENTRY)
+    assert await cluster.witnesses[ENTRY].find_lost(builders.request_key(), "f") is None
     assert cluster.witnesses[ENTRY].holders == {}
 
 
 def test_a_late_end_of_an_earlier_run_leaves_the_later_one_s_record() -> None:
-    kept = records.Records()
-    kept.keep(left(number=0), NOW)
-    kept.keep(left(number=1), NOW)
-    kept.drop(
-        messages.Dropped(
-            place=builders.place(), request_id=builders.record(0).request_id
+    memory = records.Records()
+    memory.store(store_message(number=0), NOW)
+    memory.store(store_message(number=1), NOW)
+    memory.delete(
+        messages.DeleteRecord(
+            request_key=builders.request_key(), request_id=builders.record(0).request_id
         )
     )
-    assert kept.find(builders.place(), NOW) == builders.record(1)
+    assert memory.find(builders.request_key(), NOW) == builders.record(1)
 
 
 def test_records_end_by_time_and_by_number() -> None:
-    kept = records.Records()
-    kept.keep(left("short", seconds=1.0), NOW)
-    assert kept.find(builders.place("short"), ids.Instant(NOW + 1.0)) is None
-    kept.keep(left("oldest"), NOW)
-    for number in range(records.MOST_RECORDS):
-        kept.keep(left(f"k{number}"), NOW)
-    assert len(kept.kept) == records.MOST_RECORDS
-    assert kept.find(builders.place("oldest"), NOW) is None
+    memory = records.Records()
+    memory.store(store_message("short", seconds=1.0), NOW)
+    assert memory.find(builders.request_key("short"), ids.Instant(NOW + 1.0)) is None
+    memory.store(store_message("oldest"), NOW)
+    for number in range(records.MAX_RECORDS):
+        memory.store(store_message(f"k{number}"), NOW)
+    assert len(memory.by_key) == records.MAX_RECORDS
+    assert memory.find(builders.request_key("oldest"), NOW) is None
