--- a/src/tealcove/daemon.py
+++ b/src/tealcove/daemon.py
@@ -26,7 +26,7 @@
 from tealcove.backends import http_engine, http_service
 from tealcove.claims import claimer, writer
 from tealcove.dispatch import policy, requester, role, spread
-from tealcove.entry import gate, http
+from tealcove.entry import admission_control, http
 from tealcove.limits import limit
 from tealcove.limits import role as limits_role
 from tealcove.membership import heartbeats, members, messages
@@ -180,7 +180,7 @@
             self.services,
             self.tickets,
             self.claims,
-            gate.Gate(self.quarantine, self.limits),
+            admission_control.AdmissionControl(self.quarantine, self.limits),
             source=self.telemetry,
             witness=self.start_witness(),
         )
--- a/src/tealcove/entry/gate.py
+++ b/src/tealcove/entry/admission_control.py
@@ -14,7 +14,7 @@
 )
 
 
-class Gate:
+class AdmissionControl:
     """Refuses quarantined content and accounts that are over their limit."""
 
     def __init__(
@@ -23,8 +23,8 @@
         self.quarantine = quarantine
         self.limits = limits
 
-    async def enter(
-        self, who: caller.Caller, digest: str, tokens: int, request: ids.RequestId
+    async def admit(
+        self, sender: caller.Caller, digest: str, tokens: int, request: ids.RequestId
     ) -> admission.Charge:
         """Return the charge of the predicted tokens; raises ProblemError (not run)."""
         if self.quarantine.is_quarantined(digest):
@@ -34,7 +34,7 @@
                 QUARANTINED,
             )
         try:
-            return await self.limits.admit(who.account, tokens, request)
+            return await self.limits.admit(sender.account, tokens, request)
         except admission.OverLimitError as error:
             raise problem.not_run(
                 messages.RefusalReason.ACCOUNT_LIMIT, error.retry_after, str(error)
@@ -44,7 +44,7 @@
         """Return the seconds until a content's quarantine ends."""
         return self.quarantine.remaining(digest, clock.now())
 
-    def lost(
+    def report_server_lost(
         self, ticket: messages.Ticket, server: ids.BackendServerId, alone: bool
     ) -> None:
         """Learn that a server refuses connections while it should run a request."""
--- a/src/tealcove/entry/exchange.py
+++ b/src/tealcove/entry/exchange.py
@@ -12,15 +12,15 @@
 from tealcove.claims import claim
 from tealcove.dispatch import messages, pending, requester
 from tealcove.entry import (
+    admission_control,
     admitted,
     answer,
     claiming,
     failures,
-    gate,
-    hops,
     lifecycle,
     problem,
     reply,
+    spans,
 )
 from tealcove.limits import admission
 
@@ -51,8 +51,8 @@
         self.readers = 0
         self.task: asyncio.Task[None] | None = None
         # Absent: everything may pass.
-        self.gate: gate.Gate | None = None
-        self.hops = hops.Hops()
+        self.admission_control: admission_control.AdmissionControl | None = None
+        self.spans = spans.RequestSpans()
         self.charge: admission.Charge | None = None
         self.excluded: tuple[ids.BackendServerId, ...] = ()
         self.dispatched_at = ids.Instant(0.0)
@@ -87,7 +87,7 @@
     async def run(self) -> None:
         """Carry the request to its end; the answer always ends with it."""
         try:
-            await self.enter()
+            await self.admit()
             await self.find_server()
             self.answer.end()
         except problem.ProblemError as error:
@@ -111,14 +111,14 @@
             return refusal
         return await self.claim.reconsider(refusal)
 
-    async def enter(self) -> None:
+    async def admit(self) -> None:
         """Pass the gate; raises ProblemError."""
-        if self.gate is None:
+        if self.admission_control is None:
             return
         request = self.request
         tokens = self.predicted_tokens()
         try:
-            self.charge = await self.gate.enter(
+            self.charge = await self.admission_control.admit(
                 request.caller, request.digest, tokens, request.request_id
             )
         except problem.ProblemError:
@@ -137,8 +137,10 @@
 
     def note_lost(self, hold: pending.PendingTicket, server: engine.Server) -> None:
         """Have the request suspected: its server refuses connections."""
-        if self.gate is not None:
-            self.gate.lost(hold.ticket, server.name, hold.alone)
+        if self.admission_control is not None:
+            self.admission_control.report_server_lost(
+                hold.ticket, server.name, hold.alone
+            )
 
     async def find_server(self) -> None:
         """Ask for a slot until a server could be connected to."""
@@ -170,7 +172,7 @@
     async def obtain(self, hold: pending.PendingTicket) -> messages.Grant:
         """Return the grant of a slot; raises ProblemError for a refusal."""
         try:
-            with self.hops.ticket(hold):
+            with self.spans.ticket(hold):
                 found = await self.tickets.obtain(hold)
         except asyncio.CancelledError:
             self.tickets.abandon(hold)
@@ -183,8 +185,8 @@
     def retry_after(self, refusal: messages.Refusal) -> float:
         """Return the seconds after which a refused request may be sent again."""
         is_quarantined = refusal.reason is messages.RefusalReason.QUARANTINED
-        if is_quarantined and self.gate is not None:
-            return self.gate.remaining(self.request.digest)
+        if is_quarantined and self.admission_control is not None:
+            return self.admission_control.remaining(self.request.digest)
         return refusal.retry_after
 
     async def make_ready(
@@ -196,7 +198,7 @@
         """
         try:
             if self.claim is not None:
-                with self.hops.claim():
+                with self.spans.claim():
                     await self.claim.take(server.name, self.request.deadline)
                 self.state.claim()
             if clock.now() >= self.request.deadline:
@@ -210,7 +212,7 @@
         """Run the request on a granted server, and report how it ended."""
         outcome = messages.Outcome.FAILED
         try:
-            with self.hops.server(server):
+            with self.spans.server(server):
                 await self.carry_out_unless_preempted(hold, server)
             self.state.complete()
             outcome = messages.Outcome.COMPLETED
@@ -261,7 +263,7 @@
         else:
             self.state.dispatch_claimed()
         self.dispatched_at = clock.now()
-        self.hops.event(hops.DISPATCHED)
+        self.spans.add_event(spans.DISPATCHED)
         self.tickets.mark_running(hold, server.name)
 
     def fail(
--- a/src/tealcove/entry/generation.py
+++ b/src/tealcove/entry/generation.py
@@ -17,8 +17,8 @@
     claiming,
     exchange,
     failures,
-    hops,
     openai,
+    spans,
     witnessing,
 )
 from tealcove.witness import messages as witness_messages
@@ -164,7 +164,7 @@
     def note_first_token(self, hold: pending.PendingTicket) -> None:
         """Tell the dispatcher that the prefill is over."""
         self.first_token_at = clock.now()
-        self.hops.event(hops.FIRST_TOKEN)
+        self.spans.add_event(spans.FIRST_TOKEN)
         progress = messages.Progress(
             ticket_id=hold.ticket.ticket_id,
             cell=hold.ticket.cell,
--- a/src/tealcove/entry/http.py
+++ b/src/tealcove/entry/http.py
@@ -14,6 +14,7 @@
 from tealcove.dispatch import messages, requester
 from tealcove.entry import (
     acceptance,
+    admission_control,
     admitted,
     call,
     caller,
@@ -21,14 +22,13 @@
     exchange,
     fields,
     forward,
-    gate,
     generation,
-    hops,
     lifecycle,
     observer,
     points,
     problem,
     sending,
+    spans,
     witnessing,
 )
 from tealcove.membership import members
@@ -37,7 +37,7 @@
 from tealcove.witness import messages as witness_messages
 from tealcove.witness import role as witness_role
 
-# Serves a request whose caller and body are known, and whose hops are observed.
+# Serves a request whose caller and body are known, and whose spans are observed.
 Serve = Callable[[acceptance.Received, observer.Seen], Awaitable[web.StreamResponse]]
 
 
@@ -53,7 +53,7 @@
         services: service.ServiceClient,
         tickets: requester.Requester,
         claims: claimer.Claimer,
-        admission: gate.Gate | None = None,
+        admission: admission_control.AdmissionControl | None = None,
         source: telemetry.Source | None = None,
         witness: witness_role.Witness | None = None,
     ) -> None:
@@ -65,9 +65,9 @@
         self.services = services
         self.tickets = tickets
         self.claims = claims
-        self.gate = admission
+        self.admission_control = admission
         self.observer = observer.Observer(source)
-        self.hops = hops.Hops(source)
+        self.spans = spans.RequestSpans(source)
         # Requests in progress by client account and idempotency key: the same
         # key joins the request that lives in place of starting another.
         self.live: dict[tuple[str, str], exchange.Exchange] = {}
@@ -268,8 +268,8 @@
         """Begin a request."""
         slot = slot_of(running.request)
         self.live[slot] = running
-        running.gate = self.gate
-        running.hops = self.hops
+        running.admission_control = self.admission_control
+        running.spans = self.spans
         task = asyncio.create_task(running.run())
         running.task = task
         self.in_progress.add(task)
--- a/src/tealcove/entry/hops.py
+++ b/src/tealcove/entry/spans.py
@@ -19,7 +19,7 @@
 FIRST_TOKEN = "first token"
 
 
-class Hops:
+class RequestSpans:
     """Spans within the span of a request; nothing where that isn't recorded."""
 
     def __init__(self, source: telemetry.Source | None = None) -> None:
@@ -44,7 +44,7 @@
         """Watch a request's run on a backend server."""
         return self.source.step(SERVER_SPAN, **{"tealcove.server": server.name})
 
-    def event(self, name: str) -> None:
+    def add_event(self, name: str) -> None:
         """Note an instant within the current span."""
         if self.source.tracing:
             trace.get_current_span().add_event(name)
