--- a/src/tealcove/entry/acceptance.py
+++ b/src/tealcove/entry/acceptance.py
@@ -18,8 +18,8 @@
 DEADLINE_HEADER = "Tealcove-Deadline"
 IDEMPOTENT_HEADER = "Tealcove-Idempotent"
 NO = "no"
-LONGEST_DEADLINE = 3600.0
-LONGEST_KEY = 255
+MAX_DEADLINE_SECONDS = 3600.0
+MAX_KEY_LENGTH = 255
 
 
 class Received(msgspec.Struct, frozen=True):
@@ -54,8 +54,8 @@
         model=engine_call.model,
         adapter=engine_call.adapter,
     )
-    beginning = work.prefix[0] if work.prefix else received.request_id
-    cell = spreading.choose(pool, str(beginning))
+    first_block = work.prefix[0] if work.prefix else received.request_id
+    cell = spreading.choose(pool, str(first_block))
     return accept(received, rule, cell, work, content.digest_prompt(engine_call.prompt))
 
 
@@ -106,8 +106,8 @@
 ) -> admitted.Request:
     """Return the accepted request; raises ProblemError for headers out of order."""
     headers = received.http.headers
-    said_no = headers.get(IDEMPOTENT_HEADER, "").lower() == NO
-    idempotent = rule.spec.idempotent and not said_no
+    opted_out = headers.get(IDEMPOTENT_HEADER, "").lower() == NO
+    idempotent = rule.spec.idempotent and not opted_out
     return admitted.Request(
         request_id=received.request_id,
         caller=received.caller,
@@ -145,19 +145,19 @@
         )
 
 
-def read_deadline(text: str | None, who: caller.Caller) -> ids.Instant:
+def read_deadline(text: str | None, sender: caller.Caller) -> ids.Instant:
     """Return when the caller stops waiting; the header gives seconds."""
     now = clock.now()
     if text is None:
-        return ids.Instant(now + who.default_deadline)
+        return ids.Instant(now + sender.default_deadline)
     with contextlib.suppress(ValueError):
         seconds = float(text)
-        if 0 < seconds <= LONGEST_DEADLINE:
+        if 0 < seconds <= MAX_DEADLINE_SECONDS:
             return ids.Instant(now + seconds)
     raise problem.rejected(
         400,
         f"The header {DEADLINE_HEADER} can't be used",
-        f"Write seconds, above 0 and at most {LONGEST_DEADLINE:g}.",
+        f"Write seconds, above 0 and at most {MAX_DEADLINE_SECONDS:g}.",
     )
 
 
@@ -170,11 +170,11 @@
             "Write a key of your own that no other request has, and send the same "
             "one when you send this request again.",
         )
-    if key is not None and not 0 < len(key) <= LONGEST_KEY:
+    if key is not None and not 0 < len(key) <= MAX_KEY_LENGTH:
         raise problem.rejected(
             400,
             f"The header {KEY_HEADER} can't be used",
-            f"Write 1 to {LONGEST_KEY} characters.",
+            f"Write 1 to {MAX_KEY_LENGTH} characters.",
         )
     return None if key is None else ids.IdempotencyKey(key)
 
--- a/src/tealcove/entry/answer.py
+++ b/src/tealcove/entry/answer.py
@@ -8,7 +8,7 @@
 from tealcove.backends import engine
 
 # Chunks that came early and wait for those before them, at the most.
-MOST_EARLY = 256
+MAX_EARLY_CHUNKS = 256
 
 
 class GapError(Exception):
@@ -27,7 +27,7 @@
         self.ended = False
         self.failure: Exception | None = None
         # Set when there is something to read; each reader clears it before it waits.
-        self.grown = asyncio.Event()
+        self.changed = asyncio.Event()
         # Apart from it: who waits for the whole isn't woken by each chunk.
         self.finished = asyncio.Event()
 
@@ -41,7 +41,7 @@
         if chunk.index < self.next_index:
             raise GapError
         self.early[chunk.index] = chunk
-        if len(self.early) > MOST_EARLY:
+        if len(self.early) > MAX_EARLY_CHUNKS:
             raise GapError
         while not self.is_whole and self.next_index in self.early:
             self.append(self.early.pop(self.next_index))
@@ -54,7 +54,7 @@
         else:
             self.chunks.append(chunk)
             self.next_index += chunk.count
-        self.grown.set()
+        self.changed.set()
 
     @property
     def is_whole(self) -> bool:
@@ -71,7 +71,7 @@
             return
         self.ended = True
         self.failure = failure
-        self.grown.set()
+        self.changed.set()
         self.finished.set()
 
     async def read(self) -> AsyncIterator[list[engine.Chunk]]:
@@ -84,8 +84,8 @@
                 yield found
             if self.ended:
                 break
-            self.grown.clear()
-            await self.grown.wait()
+            self.changed.clear()
+            await self.changed.wait()
         if self.failure is not None:
             raise self.failure
 
--- a/src/tealcove/entry/claiming.py
+++ b/src/tealcove/entry/claiming.py
@@ -18,7 +18,7 @@
 
 RETRY_AFTER = 1.0
 # A refusal waits so many seconds at the most for a look at the table.
-LOOK_SECONDS = 0.05
+LOOKUP_TIMEOUT = 0.05
 EARLIER_UNKNOWN = (
     "This sending was not run; whether an earlier one with the same key was can't "
     "be told now. Keep the key when you send again."
@@ -51,7 +51,7 @@
         self.held: claimer.HeldClaim | None = None
         self.server = ids.BackendServerId("")
 
-    async def take(self, server: ids.BackendServerId, deadline: ids.Instant) -> None:
+    async def acquire(self, server: ids.BackendServerId, deadline: ids.Instant) -> None:
         """Take the claim, unless it's held already.
 
         Raises ProblemError or KeptAnswerError when the request may not be run.
@@ -72,13 +72,13 @@
         try:
             self.held = await self.claims.claim(self.key, wanted, deadline)
         except claimer.TakenError as error:
-            raise self.describe(error.found) from error
+            raise self.error_for(error.found) from error
         except claimer.UnavailableError as error:
             raise problem.not_run(
                 messages.RefusalReason.PLATFORM_DOWN, RETRY_AFTER
             ) from error
 
-    async def reconsider(self, refusal: problem.ProblemError) -> Exception:
+    async def check_earlier_claim(self, refusal: problem.ProblemError) -> Exception:
         """Return the answer to a request that is about to be refused.
 
         A caller that is told "not run" of a sending may take it for the whole
@@ -88,14 +88,14 @@
         if self.held is not None:
             return refusal
         try:
-            async with asyncio.timeout(LOOK_SECONDS):
+            async with asyncio.timeout(LOOKUP_TIMEOUT):
                 found = await self.claims.read_claim(self.key)
         except (errors.PlatformError, TimeoutError):
-            told = msgspec.structs.replace(refusal.problem, detail=EARLIER_UNKNOWN)
-            return problem.ProblemError(told)
-        return refusal if found is None else self.describe(found)
+            explained = msgspec.structs.replace(refusal.problem, detail=EARLIER_UNKNOWN)
+            return problem.ProblemError(explained)
+        return refusal if found is None else self.error_for(found)
 
-    def describe(self, found: claim.Claim) -> Exception:
+    def error_for(self, found: claim.Claim) -> Exception:
         """Return how a request ends whose claim another sending holds."""
         if found.fingerprint != self.fingerprint:
             return problem.other_request()
@@ -109,7 +109,7 @@
             return problem.unknown("in_progress", retry_after=RETRY_AFTER)
         return problem.unknown("entry_lost")
 
-    async def settle(
+    async def record_end(
         self,
         state: lifecycle.State,
         whole_answer: Callable[[], claim.StoredAnswer | None],
@@ -125,13 +125,15 @@
             if state is lifecycle.State.NOT_RUN:
                 await self.claims.release(self.held)
             else:
-                await self.claims.record(self.held, self.ended(state, whole_answer))
+                await self.claims.record(
+                    self.held, self.ended_claim(state, whole_answer)
+                )
         except Exception:
             # Nobody waits for this task: without a line in the log one would only
             # notice that a key stays "in progress" for ever.
             log.exception("claim not settled", extra={"key": self.key})
 
-    def ended(
+    def ended_claim(
         self,
         state: lifecycle.State,
         whole_answer: Callable[[], claim.StoredAnswer | None],
--- a/src/tealcove/entry/exchange.py
+++ b/src/tealcove/entry/exchange.py
@@ -59,12 +59,12 @@
         self.first_token_at: ids.Instant | None = None
 
     @abc.abstractmethod
-    async def carry_out(
-        self, hold: pending.PendingTicket, server: engine.Server
+    async def execute(
+        self, pending_ticket: pending.PendingTicket, server: engine.Server
     ) -> None:
         """Dispatch the request once and fill `answer`.
 
-        Must call `note_dispatch` before the first byte is written. Raises
+        Must call `mark_dispatched` before the first byte is written. Raises
         NotDispatchedError only if it didn't, BackendError for any other failure.
         """
 
@@ -80,7 +80,7 @@
         """Return what an account's limit is charged with; calls cost nothing."""
         return 0
 
-    async def stop_leftover(self, server: engine.Server) -> None:
+    async def cancel_leftover(self, server: engine.Server) -> None:
         """Stop what the server may still be working on, if that can be done."""
         return
 
@@ -88,10 +88,10 @@
         """Carry the request to its end; the answer always ends with it."""
         try:
             await self.admit()
-            await self.find_server()
+            await self.run_with_slot()
             self.answer.end()
         except problem.ProblemError as error:
-            self.answer.end(await self.reconsider(error))
+            self.answer.end(await self.check_earlier_claim(error))
         except claiming.KeptAnswerError as error:
             self.answer.end(error)
         except asyncio.CancelledError:
@@ -101,15 +101,15 @@
             log.exception("request failed", extra={"request": self.request.request_id})
             self.answer.end(self.fail("internal_error"))
         finally:
-            self.settle()
+            self.settle_charge()
         if self.claim is not None:
-            await self.claim.settle(self.state.state, self.whole_answer)
+            await self.claim.record_end(self.state.state, self.whole_answer)
 
-    async def reconsider(self, refusal: problem.ProblemError) -> Exception:
+    async def check_earlier_claim(self, refusal: problem.ProblemError) -> Exception:
         """Return the answer to a request that ends with a problem."""
         if self.claim is None or refusal.problem.outcome is not problem.Outcome.NOT_RUN:
             return refusal
-        return await self.claim.reconsider(refusal)
+        return await self.claim.check_earlier_claim(refusal)
 
     async def admit(self) -> None:
         """Pass the gate; raises ProblemError."""
@@ -125,7 +125,7 @@
             self.state.give_up()
             raise
 
-    def settle(self) -> None:
+    def settle_charge(self) -> None:
         """Charge the account with what was used in place of the prediction."""
         if self.charge is None:
             return
@@ -135,23 +135,25 @@
             used = usage.prompt_tokens + usage.completion_tokens
         self.charge.settle(used)
 
-    def note_lost(self, hold: pending.PendingTicket, server: engine.Server) -> None:
+    def report_server_lost(
+        self, pending_ticket: pending.PendingTicket, server: engine.Server
+    ) -> None:
         """Have the request suspected: its server refuses connections."""
         if self.admission_control is not None:
             self.admission_control.report_server_lost(
-                hold.ticket, server.name, hold.alone
+                pending_ticket.ticket, server.name, pending_ticket.alone
             )
 
-    async def find_server(self) -> None:
+    async def run_with_slot(self) -> None:
         """Ask for a slot until a server could be connected to."""
         for _ in range(CONNECT_ATTEMPTS):
             self.state.wait()
-            hold = self.new_hold()
-            granted = await self.obtain(hold)
+            pending_ticket = self.new_pending_ticket()
+            granted = await self.obtain(pending_ticket)
             server = engine.Server(granted.server, granted.host, granted.port)
-            await self.make_ready(hold, server)
+            await self.prepare_dispatch(pending_ticket, server)
             try:
-                await self.use(hold, server)
+                await self.run_granted(pending_ticket, server)
                 return
             except engine.NotDispatchedError as error:
                 log.info("{}", error, extra={"request": self.request.request_id})
@@ -163,19 +165,19 @@
             "No backend server of the pool could be connected to.",
         )
 
-    def new_hold(self) -> pending.PendingTicket:
+    def new_pending_ticket(self) -> pending.PendingTicket:
         """Return a ticket for this request."""
         own = self.tickets.members.own.instance
         ticket = admitted.new_ticket(self.request, own, self.excluded)
         return pending.PendingTicket(ticket, self.request.deadline, self.request.near)
 
-    async def obtain(self, hold: pending.PendingTicket) -> messages.Grant:
+    async def obtain(self, pending_ticket: pending.PendingTicket) -> messages.Grant:
         """Return the grant of a slot; raises ProblemError for a refusal."""
         try:
-            with self.spans.ticket(hold):
-                found = await self.tickets.obtain(hold)
+            with self.spans.ticket(pending_ticket):
+                found = await self.tickets.obtain(pending_ticket)
         except asyncio.CancelledError:
-            self.tickets.abandon(hold)
+            self.tickets.abandon(pending_ticket)
             raise
         if isinstance(found, messages.Refusal):
             self.state.give_up()
@@ -189,8 +191,8 @@
             return self.admission_control.remaining(self.request.digest)
         return refusal.retry_after
 
-    async def make_ready(
-        self, hold: pending.PendingTicket, server: engine.Server
+    async def prepare_dispatch(
+        self, pending_ticket: pending.PendingTicket, server: engine.Server
     ) -> None:
         """Take the claim if one is needed, or give the grant back.
 
@@ -199,21 +201,23 @@
         try:
             if self.claim is not None:
                 with self.spans.claim():
-                    await self.claim.take(server.name, self.request.deadline)
+                    await self.claim.acquire(server.name, self.request.deadline)
                 self.state.claim()
             if clock.now() >= self.request.deadline:
                 raise problem.not_run(messages.RefusalReason.DEADLINE, RETRY_AFTER)
         except BaseException:
-            self.tickets.abandon(hold)
+            self.tickets.abandon(pending_ticket)
             self.state.give_up()
             raise
 
-    async def use(self, hold: pending.PendingTicket, server: engine.Server) -> None:
+    async def run_granted(
+        self, pending_ticket: pending.PendingTicket, server: engine.Server
+    ) -> None:
         """Run the request on a granted server, and report how it ended."""
         outcome = messages.Outcome.FAILED
         try:
             with self.spans.server(server):
-                await self.carry_out_unless_preempted(hold, server)
+                await self.execute_unless_preempted(pending_ticket, server)
             self.state.complete()
             outcome = messages.Outcome.COMPLETED
         except engine.NotDispatchedError:
@@ -231,21 +235,25 @@
         except errors.BackendError as error:
             raise self.fail("backend_server_failed", detail=error.problem) from error
         finally:
-            self.tickets.finish(hold, self.describe_end(hold, server, outcome))
+            self.tickets.finish(
+                pending_ticket, self.done_message(pending_ticket, server, outcome)
+            )
             if outcome not in (messages.Outcome.COMPLETED, messages.Outcome.NOT_SENT):
-                await self.stop_leftover(server)
+                await self.cancel_leftover(server)
 
-    async def carry_out_unless_preempted(
-        self, hold: pending.PendingTicket, server: engine.Server
+    async def execute_unless_preempted(
+        self, pending_ticket: pending.PendingTicket, server: engine.Server
     ) -> None:
         """Run the request, or stop it when its slot is needed more elsewhere."""
-        running = asyncio.create_task(self.carry_out(hold, server))
+        running = asyncio.create_task(self.execute(pending_ticket, server))
         try:
             await asyncio.wait(
-                (running, hold.preempted), return_when=asyncio.FIRST_COMPLETED
+                (running, pending_ticket.preempted), return_when=asyncio.FIRST_COMPLETED
             )
             if not running.done():
-                raise failures.PreemptedError(hold.preempted.result().retry_after)
+                raise failures.PreemptedError(
+                    pending_ticket.preempted.result().retry_after
+                )
             running.result()
         finally:
             if not running.done():
@@ -256,7 +264,9 @@
                 # that nobody has looked at.
                 running.exception()
 
-    def note_dispatch(self, hold: pending.PendingTicket, server: engine.Server) -> None:
+    def mark_dispatched(
+        self, pending_ticket: pending.PendingTicket, server: engine.Server
+    ) -> None:
         """Take the step that can't be taken back, before the first byte goes out."""
         if self.request.idempotent:
             self.state.dispatch()
@@ -264,7 +274,7 @@
             self.state.dispatch_claimed()
         self.dispatched_at = clock.now()
         self.spans.add_event(spans.DISPATCHED)
-        self.tickets.mark_running(hold, server.name)
+        self.tickets.mark_running(pending_ticket, server.name)
 
     def fail(
         self, reason: str, retry_after: float | None = None, detail: str = ""
@@ -284,9 +294,9 @@
             self.state.lose()
         return problem.unknown(reason, detail)
 
-    def describe_end(
+    def done_message(
         self,
-        hold: pending.PendingTicket,
+        pending_ticket: pending.PendingTicket,
         server: engine.Server,
         outcome: messages.Outcome,
     ) -> messages.Done:
@@ -295,8 +305,8 @@
         now = clock.now()
         first = self.first_token_at or now
         return messages.Done(
-            ticket_id=hold.ticket.ticket_id,
-            cell=hold.ticket.cell,
+            ticket_id=pending_ticket.ticket.ticket_id,
+            cell=pending_ticket.ticket.cell,
             server=server.name,
             outcome=outcome,
             prompt_tokens=usage.prompt_tokens,
--- a/src/tealcove/entry/forward.py
+++ b/src/tealcove/entry/forward.py
@@ -12,7 +12,7 @@
 
 NOT_MODIFIED = 304
 # aiohttp takes a limit of 0 for none.
-LEAST_SECONDS = 0.001
+MIN_TIMEOUT_SECONDS = 0.001
 
 
 class ServiceExchange(exchange.Exchange):
@@ -31,30 +31,30 @@
         self.services = services
         self.answer = reply.Reply()
 
-    async def carry_out(
-        self, hold: pending.PendingTicket, server: engine.Server
+    async def execute(
+        self, pending_ticket: pending.PendingTicket, server: engine.Server
     ) -> None:
         """See Exchange."""
 
         def dispatched() -> None:
-            self.note_dispatch(hold, server)
+            self.mark_dispatched(pending_ticket, server)
 
-        remaining = max(LEAST_SECONDS, self.request.deadline - clock.now())
+        remaining = max(MIN_TIMEOUT_SECONDS, self.request.deadline - clock.now())
         stream = self.services.call(server, self.call, remaining, dispatched)
         try:
             async with contextlib.aclosing(stream) as parts:
                 async for part in parts:
-                    await self.take(part)
+                    await self.add_part(part)
         except engine.BrokenStreamError as error:
             if await reach.refuses(server):
                 raise failures.CrashError(server.name) from error
             raise
 
-    async def take(self, part: service.Head | bytes) -> None:
+    async def add_part(self, part: service.Head | bytes) -> None:
         """Put a part of the response into the answer."""
         if isinstance(part, service.Head):
             self.first_token_at = clock.now()
-            self.answer.begin(part)
+            self.answer.set_head(part)
         else:
             await self.answer.add(part)
 
--- a/src/tealcove/entry/generation.py
+++ b/src/tealcove/entry/generation.py
@@ -51,7 +51,7 @@
         # By this the engine knows the run; a lost entry's has the id it gave it.
         self.run_id = request.request_id
         # The stream of a lost entry's run that this request goes on with.
-        self.taken: AsyncIterator[engine.Chunk] | None = None
+        self.takeover_stream: AsyncIterator[engine.Chunk] | None = None
 
     async def run(self) -> None:
         """See Exchange."""
@@ -61,11 +61,11 @@
             if self.witness is not None:
                 self.witness.delete()
 
-    async def find_server(self) -> None:
+    async def run_with_slot(self) -> None:
         """Go on with the run that a lost entry has left, or ask for a slot."""
         found = None if self.witness is None else await self.witness.find_lost()
         if found is None or not await self.take_over(found):
-            await super().find_server()
+            await super().run_with_slot()
 
     async def take_over(self, found: witness_messages.Record) -> bool:
         """Go on with a run from its first token; False: the engine has it no more.
@@ -80,18 +80,18 @@
         except (errors.BackendError, StopAsyncIteration):
             return False
         self.run_id = found.request_id
-        self.taken = stream
+        self.takeover_stream = stream
         self.state.wait()
-        hold = self.new_hold()
-        witnessing.adopt_ticket(hold, found, self.tickets)
-        self.note_dispatch(hold, server)
-        witnessing.announce_takeover(hold, self.tickets)
-        self.take_chunk(hold, first)
-        await self.use(hold, server)
+        pending_ticket = self.new_pending_ticket()
+        witnessing.adopt_ticket(pending_ticket, found, self.tickets)
+        self.mark_dispatched(pending_ticket, server)
+        witnessing.announce_takeover(pending_ticket, self.tickets)
+        self.add_chunk(pending_ticket, first)
+        await self.run_granted(pending_ticket, server)
         return True
 
-    async def carry_out(
-        self, hold: pending.PendingTicket, server: engine.Server
+    async def execute(
+        self, pending_ticket: pending.PendingTicket, server: engine.Server
     ) -> None:
         """See Exchange."""
         completion = engine.Completion(
@@ -103,21 +103,23 @@
         )
 
         def dispatched() -> None:
-            self.note_dispatch(hold, server)
+            self.mark_dispatched(pending_ticket, server)
 
-        stream = self.taken
+        stream = self.takeover_stream
         if stream is None:
             stream = self.engines.generate(server, completion, dispatched)
         with contextlib.suppress(engine.BrokenStreamError, answer.GapError):
-            await self.collect(hold, stream)
+            await self.collect(pending_ticket, stream)
         for _ in range(RESUME_ATTEMPTS):
             if self.answer.is_whole:
                 return
-            await self.resume(hold, server)
+            await self.resume(pending_ticket, server)
         if not self.answer.is_whole:
             raise failures.CrashError(server.name)
 
-    async def resume(self, hold: pending.PendingTicket, server: engine.Server) -> None:
+    async def resume(
+        self, pending_ticket: pending.PendingTicket, server: engine.Server
+    ) -> None:
         """Take the stream up from the first token that is missing.
 
         This is no second dispatch: the engine goes on with the same run.
@@ -126,16 +128,16 @@
         offset = self.answer.next_index
         stream = self.engines.resume(server, self.run_id, offset)
         try:
-            await self.collect(hold, stream)
+            await self.collect(pending_ticket, stream)
         except engine.NotDispatchedError:
             # Told at once: until the attempts are over, the caller may send the
             # same request to another entry, and kill another server with it.
-            self.note_lost(hold, server)
+            self.report_server_lost(pending_ticket, server)
             await asyncio.sleep(RESUME_PAUSE)
         except (engine.BrokenStreamError, answer.GapError):
             await asyncio.sleep(RESUME_PAUSE)
         except engine.RefusedCallError as error:
-            if self.taken is not None:
+            if self.takeover_stream is not None:
                 # The entry that seemed lost was frozen only. It woke, and its
                 # caller was gone: it cancelled the run.
                 raise
@@ -143,68 +145,74 @@
             # and was restarted before anybody could see that it was gone.
             raise failures.CrashError(server.name) from error
 
-    async def collect(self, hold: pending.PendingTicket, stream: object) -> None:
+    async def collect(
+        self, pending_ticket: pending.PendingTicket, stream: object
+    ) -> None:
         """Put the chunks of a stream into the answer."""
         async with contextlib.aclosing(stream) as chunks:
             async for chunk in chunks:
-                self.take_chunk(hold, chunk)
+                self.add_chunk(pending_ticket, chunk)
 
-    def take_chunk(self, hold: pending.PendingTicket, chunk: engine.Chunk) -> None:
+    def add_chunk(
+        self, pending_ticket: pending.PendingTicket, chunk: engine.Chunk
+    ) -> None:
         """Put a chunk into the answer; raises GapError."""
         self.answer.add(chunk)
         if self.first_token_at is None:
-            self.note_first_token(hold)
+            self.report_first_token(pending_ticket)
 
-    def note_dispatch(self, hold: pending.PendingTicket, server: engine.Server) -> None:
+    def mark_dispatched(
+        self, pending_ticket: pending.PendingTicket, server: engine.Server
+    ) -> None:
         """See Exchange; the witness learns of it first."""
         if self.witness is not None:
-            self.witness.store(hold.ticket, server)
-        super().note_dispatch(hold, server)
+            self.witness.store(pending_ticket.ticket, server)
+        super().mark_dispatched(pending_ticket, server)
 
-    def note_first_token(self, hold: pending.PendingTicket) -> None:
+    def report_first_token(self, pending_ticket: pending.PendingTicket) -> None:
         """Tell the dispatcher that the prefill is over."""
         self.first_token_at = clock.now()
         self.spans.add_event(spans.FIRST_TOKEN)
         progress = messages.Progress(
-            ticket_id=hold.ticket.ticket_id,
-            cell=hold.ticket.cell,
+            ticket_id=pending_ticket.ticket.ticket_id,
+            cell=pending_ticket.ticket.cell,
             first_token_seconds=self.first_token_at - self.dispatched_at,
         )
-        self.tickets.send(hold, progress)
+        self.tickets.send(pending_ticket, progress)
 
     def usage(self) -> engine.Usage:
         """See Exchange."""
-        told = self.answer.usage
-        prompt = told.prompt_tokens if told else self.request.work.prompt_tokens
-        cached = told.cached_tokens if told else 0
+        reported = self.answer.usage
+        prompt = reported.prompt_tokens if reported else self.request.work.prompt_tokens
+        cached = reported.cached_tokens if reported else 0
         return engine.Usage(prompt, cached, self.answer.next_index)
 
-    def describe_end(
+    def done_message(
         self,
-        hold: pending.PendingTicket,
+        pending_ticket: pending.PendingTicket,
         server: engine.Server,
         outcome: messages.Outcome,
     ) -> messages.Done:
         """See Exchange; of a run taken over, the times are too short to learn from."""
-        if self.taken is not None and outcome is messages.Outcome.COMPLETED:
+        if self.takeover_stream is not None and outcome is messages.Outcome.COMPLETED:
             outcome = messages.Outcome.CANCELLED
-        return super().describe_end(hold, server, outcome)
+        return super().done_message(pending_ticket, server, outcome)
 
-    def form(self) -> openai.Form:
+    def renderer(self) -> openai.Renderer:
         """Return what renders the answer."""
         call = self.call
-        return openai.Form(self.request.request_id, call.model, call.chat)
+        return openai.Renderer(self.request.request_id, call.model, call.chat)
 
     def whole_answer(self) -> claim.StoredAnswer:
         """See Exchange; of a streamed answer it is the events in one piece."""
         found = self.answer
-        form = self.form()
+        renderer = self.renderer()
         if self.call.stream:
-            closing = form.closing_event(found.finish, found.usage)
-            body = form.event(found.text()) + closing + openai.DONE_EVENT
+            closing = renderer.closing_event(found.finish, found.usage)
+            body = renderer.chunk_event(found.text()) + closing + openai.DONE_EVENT
             content_type = EVENT_STREAM
         else:
-            body = form.whole(found.text(), found.finish, found.usage)
+            body = renderer.full_body(found.text(), found.finish, found.usage)
             content_type = JSON
         headers = (
             ("Content-Type", content_type),
@@ -216,7 +224,7 @@
         """See Exchange."""
         return self.request.work.prompt_tokens + self.request.work.output_tokens
 
-    async def stop_leftover(self, server: engine.Server) -> None:
+    async def cancel_leftover(self, server: engine.Server) -> None:
         """See Exchange."""
         with contextlib.suppress(errors.BackendError):
             await asyncio.shield(self.engines.cancel(server, self.run_id))
--- a/src/tealcove/entry/http.py
+++ b/src/tealcove/entry/http.py
@@ -38,7 +38,9 @@
 from tealcove.witness import role as witness_role
 
 # Serves a request whose caller and body are known, and whose spans are observed.
-Serve = Callable[[acceptance.Received, observer.Seen], Awaitable[web.StreamResponse]]
+Handler = Callable[
+    [acceptance.Received, observer.ObservedRequest], Awaitable[web.StreamResponse]
+]
 
 
 class Entry:
@@ -70,7 +72,7 @@
         self.spans = spans.RequestSpans(source)
         # Requests in progress by client account and idempotency key: the same
         # key joins the request that lives in place of starting another.
-        self.live: dict[tuple[str, str], exchange.Exchange] = {}
+        self.joinable: dict[tuple[str, str], exchange.Exchange] = {}
         self.in_progress: set[asyncio.Task[None]] = set()
 
     def routes(self) -> list[web.RouteDef]:
@@ -91,7 +93,7 @@
         found = points.find(self.members, self.settings, clock.now())
         if not found.entry_points:
             reason = messages.RefusalReason.NOT_READY
-            error = problem.not_run(reason, 1.0, self.elsewhere())
+            error = problem.not_run(reason, 1.0, self.alternatives())
             return problem.respond(error.problem)
         return web.Response(
             body=msgspec.json.encode(found),
@@ -113,7 +115,7 @@
         """Answer one request for an engine."""
 
         async def serve(
-            received: acceptance.Received, seen: observer.Seen
+            received: acceptance.Received, observed: observer.ObservedRequest
         ) -> web.StreamResponse:
             engine_call = parse(received.body)
             accepted = acceptance.accept_generation(
@@ -122,7 +124,7 @@
                 self.configuration.current,
                 self.tickets.spread,
             )
-            running = self.join(accepted) or self.start(
+            running = self.find_joinable(accepted) or self.start(
                 generation.EngineExchange(
                     accepted,
                     self.tickets,
@@ -132,7 +134,7 @@
                     self.new_witness(accepted),
                 )
             )
-            with Reading(seen.join(running)):
+            with ReaderCount(observed.attach(running)):
                 return await sending.send_generation(request, running)
 
         return await self.answer(request, serve)
@@ -141,12 +143,12 @@
         """Answer one call to a plain service, of any method and path."""
 
         async def serve(
-            received: acceptance.Received, seen: observer.Seen
+            received: acceptance.Received, observed: observer.ObservedRequest
         ) -> web.StreamResponse:
             accepted = acceptance.accept_call(
                 received, self.configuration.current, self.tickets.spread
             )
-            running = self.join(accepted) or self.start(
+            running = self.find_joinable(accepted) or self.start(
                 forward.ServiceExchange(
                     accepted,
                     self.tickets,
@@ -155,20 +157,20 @@
                     self.services,
                 )
             )
-            with Reading(seen.join(running)):
+            with ReaderCount(observed.attach(running)):
                 return await sending.send_reply(request, running)
 
         return await self.answer(request, serve)
 
-    async def answer(self, request: web.Request, serve: Serve) -> web.StreamResponse:
+    async def answer(self, request: web.Request, serve: Handler) -> web.StreamResponse:
         """Answer one request; problems and kept answers become its final answer."""
         request_id = ids.new_request_id()
-        with self.observer.request(request, request_id) as seen:
+        with self.observer.request(request, request_id) as observed:
             try:
                 received = await self.receive(request, request_id)
-                return await serve(received, seen)
+                return await serve(received, observed)
             except problem.ProblemError as error:
-                return seen.refuse(error.problem)
+                return observed.respond_problem(error.problem)
             except claiming.KeptAnswerError as error:
                 return sending.send_whole(error.answer)
 
@@ -178,9 +180,9 @@
         """Return the request with its caller and body; raises ProblemError."""
         self.check_accepting()
         header = request.headers.get("Authorization")
-        who = caller.identify(header, self.configuration.current)
+        sender = caller.identify(header, self.configuration.current)
         body = await self.read_body(request)
-        return acceptance.Received(request_id, who, request, body)
+        return acceptance.Received(request_id, sender, request, body)
 
     async def read_body(self, request: web.Request) -> bytes:
         """Return the whole body; raises ProblemError.
@@ -214,25 +216,27 @@
         lifecycle = self.members.own.lifecycle
         if lifecycle is membership_messages.Lifecycle.JOINING:
             raise problem.not_run(
-                messages.RefusalReason.NOT_READY, 1.0, self.elsewhere()
+                messages.RefusalReason.NOT_READY, 1.0, self.alternatives()
             )
         if lifecycle is membership_messages.Lifecycle.GONE:
-            raise problem.not_run(messages.RefusalReason.LEAVING, 0.0, self.elsewhere())
+            raise problem.not_run(
+                messages.RefusalReason.LEAVING, 0.0, self.alternatives()
+            )
 
-    def elsewhere(self) -> str:
+    def alternatives(self) -> str:
         """Return which addresses a caller may try in place of this one."""
         found = points.find(self.members, self.settings, clock.now()).entry_points
         if not found:
             return "This instance reaches no other; use another address you know."
         return "Use " + " or ".join(point.url for point in found) + "."
 
-    def join(self, accepted: admitted.Request) -> exchange.Exchange | None:
+    def find_joinable(self, accepted: admitted.Request) -> exchange.Exchange | None:
         """Return the request that lives under the same key, if there is one.
 
         Raises ProblemError when it's another request under the same key: its
         answer is not this caller's.
         """
-        running = self.live.get(slot_of(accepted))
+        running = self.joinable.get(join_key(accepted))
         if running is None or running.state.state is lifecycle.State.NOT_RUN:
             return None
         if running.request.fingerprint != accepted.fingerprint:
@@ -266,8 +270,8 @@
 
     def start(self, running: exchange.Exchange) -> exchange.Exchange:
         """Begin a request."""
-        slot = slot_of(running.request)
-        self.live[slot] = running
+        key = join_key(running.request)
+        self.joinable[key] = running
         running.admission_control = self.admission_control
         running.spans = self.spans
         task = asyncio.create_task(running.run())
@@ -276,14 +280,14 @@
 
         def finished(ended: asyncio.Task[None]) -> None:
             self.in_progress.discard(ended)
-            if self.live.get(slot) is running:
-                del self.live[slot]
+            if self.joinable.get(key) is running:
+                del self.joinable[key]
 
         task.add_done_callback(finished)
         return running
 
 
-class Reading:
+class ReaderCount:
     """Counts a caller of a request while it waits for the answer."""
 
     def __init__(self, running: exchange.Exchange) -> None:
@@ -300,7 +304,7 @@
             running.task.cancel()
 
 
-def slot_of(accepted: admitted.Request) -> tuple[str, str]:
+def join_key(accepted: admitted.Request) -> tuple[str, str]:
     """Return under what a request can be joined."""
     return (accepted.caller.account, accepted.key or accepted.request_id)
 
--- a/src/tealcove/entry/observer.py
+++ b/src/tealcove/entry/observer.py
@@ -17,7 +17,7 @@
 REQUEST_SPAN = "request"
 
 
-class Seen:
+class ObservedRequest:
     """One caller's request, from its arrival to the end of its answer."""
 
     def __init__(
@@ -29,12 +29,12 @@
         self.running: exchange.Exchange | None = None
         self.problem: problem.Problem | None = None
 
-    def join(self, running: exchange.Exchange) -> exchange.Exchange:
+    def attach(self, running: exchange.Exchange) -> exchange.Exchange:
         """Note which running request the caller waits for; returns it."""
         self.running = running
         return running
 
-    def refuse(self, found: problem.Problem) -> web.Response:
+    def respond_problem(self, found: problem.Problem) -> web.Response:
         """Return the response of a problem, and note it."""
         self.problem = found
         response = problem.respond(found, self.request_id)
@@ -47,7 +47,7 @@
         """Return the tier; "" for callers that aren't known."""
         return "" if self.running is None else self.running.request.caller.tier
 
-    def end(self) -> tuple[str, str]:
+    def outcome_and_reason(self) -> tuple[str, str]:
         """Return outcome and reason of the answer that was sent."""
         found = self.problem
         if found is None and self.running is not None:
@@ -82,25 +82,29 @@
         )
 
     @contextlib.contextmanager
-    def request(self, http: web.Request, request_id: ids.RequestId) -> Iterator[Seen]:
+    def request(
+        self, http: web.Request, request_id: ids.RequestId
+    ) -> Iterator[ObservedRequest]:
         """Watch one caller's request, inside its span."""
-        seen = Seen(http, request_id, clock.now())
-        with self.trace(http, seen) as span:
+        observed = ObservedRequest(http, request_id, clock.now())
+        with self.trace(http, observed) as span:
             outcome, reason = BROKEN, ""
             try:
-                yield seen
-                outcome, reason = seen.end()
+                yield observed
+                outcome, reason = observed.outcome_and_reason()
             except BaseException:
                 if http.transport is None or http.transport.is_closing():
                     outcome = problem.CALLER_GONE
                 raise
             finally:
-                self.count(seen, outcome, reason, clock.now())
+                self.count(observed, outcome, reason, clock.now())
                 if span is not None:
-                    describe(span, seen, outcome, reason)
+                    describe(span, observed, outcome, reason)
 
     @contextlib.contextmanager
-    def trace(self, http: web.Request, seen: Seen) -> Iterator[trace.Span | None]:
+    def trace(
+        self, http: web.Request, observed: ObservedRequest
+    ) -> Iterator[trace.Span | None]:
         """Go on with the caller's trace, with a span of our own if it's recorded."""
         if self.source.tracing:
             with self.source.span(
@@ -120,29 +124,33 @@
         finally:
             opentelemetry.context.detach(token)
 
-    def count(self, seen: Seen, outcome: str, reason: str, now: ids.Instant) -> None:
+    def count(
+        self, observed: ObservedRequest, outcome: str, reason: str, now: ids.Instant
+    ) -> None:
         """Add a request that has ended to the metrics."""
-        tier = seen.tier()
+        tier = observed.tier()
         self.requests.add(1, {"tier": tier, "outcome": outcome, "reason": reason})
-        if seen.running is None:
+        if observed.running is None:
             return
-        first = seen.running.first_token_at
+        first = observed.running.first_token_at
         if first is not None:
             # A caller that joined a running request may come after the token.
-            self.first_tokens.record(max(0.0, first - seen.began), {"tier": tier})
+            self.first_tokens.record(max(0.0, first - observed.began), {"tier": tier})
         if outcome == COMPLETED:
-            self.durations.record(now - seen.began, {"tier": tier})
+            self.durations.record(now - observed.began, {"tier": tier})
 
 
-def describe(span: trace.Span, seen: Seen, outcome: str, reason: str) -> None:
+def describe(
+    span: trace.Span, observed: ObservedRequest, outcome: str, reason: str
+) -> None:
     """Put into a request's span what identifies it; no key and no content."""
-    span.set_attribute("tealcove.request_id", seen.request_id)
+    span.set_attribute("tealcove.request_id", observed.request_id)
     span.set_attribute("tealcove.outcome", outcome)
     if reason:
         span.set_attribute("tealcove.reason", reason)
-    if seen.running is None:
+    if observed.running is None:
         return
-    request = seen.running.request
+    request = observed.running.request
     span.set_attribute("tealcove.tier", request.caller.tier)
     span.set_attribute("tealcove.account", request.caller.account)
     span.set_attribute("tealcove.pool", request.cell.rpartition("/")[0])
--- a/src/tealcove/entry/openai.py
+++ b/src/tealcove/entry/openai.py
@@ -46,7 +46,7 @@
     count: int | None = None
 
 
-class Form:
+class Renderer:
     """Renders the answer of one request."""
 
     def __init__(self, request_id: str, model: str, chat: bool) -> None:
@@ -54,7 +54,7 @@
         self.model = model
         self.chat = chat
 
-    def whole(self, text: str, finish: str, usage: engine.Usage) -> bytes:
+    def full_body(self, text: str, finish: str, usage: engine.Usage) -> bytes:
         """Return the body of a buffered answer."""
         choice = Choice(index=0, finish_reason=finish)
         if self.chat:
@@ -64,15 +64,15 @@
         name = "chat.completion" if self.chat else "text_completion"
         return msgspec.json.encode(self.body(name, choice, usage))
 
-    def event(self, text: str) -> bytes:
+    def chunk_event(self, text: str) -> bytes:
         """Return the streamed event for one chunk."""
-        return render(self.body(self.stream_object, self.choice(text, None)))
+        return encode_event(self.body(self.stream_object, self.choice(text, None)))
 
     def closing_event(self, finish: str, usage: engine.Usage) -> bytes:
         """Return the event that ends a stream, with its count of tokens."""
         body = self.body(self.stream_object, self.choice("", finish), usage)
         body.count = usage.completion_tokens
-        return render(body)
+        return encode_event(body)
 
     @property
     def stream_object(self) -> str:
@@ -96,6 +96,6 @@
         return body
 
 
-def render(body: Body) -> bytes:
+def encode_event(body: Body) -> bytes:
     """Return a server-sent event."""
     return b"data: " + msgspec.json.encode(body) + b"\n\n"
--- a/src/tealcove/entry/reply.py
+++ b/src/tealcove/entry/reply.py
@@ -10,7 +10,7 @@
 from tealcove.entry import problem
 
 # A longer response isn't held whole: callers read along while it comes.
-MOST_HELD_BYTES = 1 << 20
+MAX_BUFFERED_BYTES = 1 << 20
 
 
 class Reader:
@@ -27,27 +27,27 @@
         self.head: service.Head | None = None
         self.parts: collections.deque[bytes] = collections.deque()
         # The number of the first part that is still held.
-        self.first = 0
-        self.held_bytes = 0
+        self.first_index = 0
+        self.buffered_bytes = 0
         self.is_long = False
         self.ended = False
         self.failure: Exception | None = None
         self.readers: set[Reader] = set()
         self.changed = asyncio.Event()
 
-    def begin(self, head: service.Head) -> None:
+    def set_head(self, head: service.Head) -> None:
         """Take in the head."""
         self.head = head
 
     async def add(self, part: bytes) -> None:
         """Take in a part, once there is room for it."""
         self.parts.append(part)
-        self.held_bytes += len(part)
-        if self.held_bytes > MOST_HELD_BYTES:
+        self.buffered_bytes += len(part)
+        if self.buffered_bytes > MAX_BUFFERED_BYTES:
             self.is_long = True
-        self.wake()
-        self.trim()
-        while self.held_bytes > MOST_HELD_BYTES:
+        self.notify()
+        self.discard_read()
+        while self.buffered_bytes > MAX_BUFFERED_BYTES:
             await self.changed.wait()
 
     def end(self, failure: Exception | None = None) -> None:
@@ -56,26 +56,26 @@
             return
         self.ended = True
         self.failure = failure
-        self.wake()
+        self.notify()
 
-    def wake(self) -> None:
+    def notify(self) -> None:
         """Let those who wait look again."""
         self.changed.set()
         self.changed = asyncio.Event()
 
-    def trim(self) -> None:
+    def discard_read(self) -> None:
         """Let go of the parts of a long response that all callers have taken.
 
         With no caller left all of it goes, so that the call can run to its end.
         """
         if not self.is_long:
             return
-        end = self.first + len(self.parts)
+        end = self.first_index + len(self.parts)
         keep_from = min((r.position for r in self.readers), default=end)
-        while self.parts and self.first < keep_from:
-            self.held_bytes -= len(self.parts.popleft())
-            self.first += 1
-        self.wake()
+        while self.parts and self.first_index < keep_from:
+            self.buffered_bytes -= len(self.parts.popleft())
+            self.first_index += 1
+        self.notify()
 
     async def wait(self) -> bool:
         """Wait for the end or a long body; tell whether it's here whole.
@@ -97,10 +97,10 @@
     async def read(self, reader: Reader) -> AsyncIterator[bytes]:
         """Yield the parts of a long body; raises `failure` at a bad end."""
         while True:
-            while reader.position < self.first + len(self.parts):
-                part = self.parts[reader.position - self.first]
+            while reader.position < self.first_index + len(self.parts):
+                part = self.parts[reader.position - self.first_index]
                 reader.position += 1
-                self.trim()
+                self.discard_read()
                 yield part
             if self.ended:
                 break
@@ -108,12 +108,12 @@
         if self.failure is not None:
             raise self.failure
 
-    def join(self) -> Reader:
+    def add_reader(self) -> Reader:
         """Return a caller that reads from the first part on.
 
         Raises ProblemError when the first parts of a long body are gone.
         """
-        if self.first > 0:
+        if self.first_index > 0:
             raise problem.rejected(
                 409,
                 "The response to this key is being sent already",
@@ -123,7 +123,7 @@
         self.readers.add(reader)
         return reader
 
-    def leave(self, reader: Reader) -> None:
+    def remove_reader(self, reader: Reader) -> None:
         """Forget a caller that left."""
         self.readers.discard(reader)
-        self.trim()
+        self.discard_read()
--- a/src/tealcove/entry/sending.py
+++ b/src/tealcove/entry/sending.py
@@ -36,13 +36,15 @@
             "X-Request-Id": running.request.request_id,
         }
     )
-    form = running.form()
+    renderer = running.renderer()
     try:
         async for chunks in running.answer.read():
             if not response.prepared:
                 await response.prepare(request)
             # What is there already goes out in one piece.
-            await response.write(b"".join(form.event(one.text) for one in chunks))
+            await response.write(
+                b"".join(renderer.chunk_event(one.text) for one in chunks)
+            )
     except problem.ProblemError:
         if not response.prepared:
             raise
@@ -50,7 +52,7 @@
     if not response.prepared:
         await response.prepare(request)
     found = running.answer
-    closing = form.closing_event(found.finish, found.usage)
+    closing = renderer.closing_event(found.finish, found.usage)
     await response.write_eof(closing + openai.DONE_EVENT)
     return response
 
@@ -71,13 +73,13 @@
 ) -> web.StreamResponse:
     """Send a service's response; raises ProblemError before the first byte."""
     found = running.answer
-    reader = found.join()
+    reader = found.add_reader()
     try:
         if await found.wait():
             return send_whole(running.whole_answer())
         return await stream_reply(request, running, reader)
     finally:
-        found.leave(reader)
+        found.remove_reader(reader)
 
 
 async def stream_reply(
--- a/src/tealcove/entry/spans.py
+++ b/src/tealcove/entry/spans.py
@@ -26,12 +26,14 @@
         self.source = source or telemetry.Source()
 
     @contextlib.contextmanager
-    def ticket(self, hold: pending.PendingTicket) -> Iterator[None]:
+    def ticket(self, pending_ticket: pending.PendingTicket) -> Iterator[None]:
         """Watch a ticket from the asking to its grant or refusal."""
         with self.source.step(TICKET_SPAN) as span:
             if span is not None:
                 written = telemetry.traceparent()
-                hold.ticket = msgspec.structs.replace(hold.ticket, traceparent=written)
+                pending_ticket.ticket = msgspec.structs.replace(
+                    pending_ticket.ticket, traceparent=written
+                )
             yield
 
     def claim(self) -> contextlib.AbstractContextManager[trace.Span | None]:
--- a/src/tealcove/entry/tests/builders.py
+++ b/src/tealcove/entry/tests/builders.py
@@ -48,19 +48,19 @@
         self.port = port
         self.ended: list[messages.Outcome] = []
 
-    async def obtain(self, hold: pending.PendingTicket) -> messages.Grant:
+    async def obtain(self, request: pending.PendingTicket) -> messages.Grant:
         return messages.Grant(
-            ticket_id=hold.ticket.ticket_id,
-            cell=hold.ticket.cell,
+            ticket_id=request.ticket.ticket_id,
+            cell=request.ticket.cell,
             server=ids.BackendServerId("s"),
             host="127.0.0.1",
             port=self.port,
         )
 
-    def finish(self, hold: pending.PendingTicket, done: messages.Done) -> None:
+    def finish(self, request: pending.PendingTicket, done: messages.Done) -> None:
         self.ended.append(done.outcome)
 
-    def abandon(self, hold: pending.PendingTicket) -> None:
+    def abandon(self, request: pending.PendingTicket) -> None:
         self.ended.append(messages.Outcome.NOT_SENT)
 
 
@@ -95,7 +95,7 @@
     return held
 
 
-class Running:
+class RunningEntry:
     """An entry that listens, and a caller of it."""
 
     def __init__(self, session: aiohttp.ClientSession, entry: http.Entry) -> None:
@@ -108,9 +108,9 @@
         headers = {"Authorization": f"Bearer {KEY}", **more.pop("headers", {})}
         return self.session.request(method, path, headers=headers, **more)
 
-    async def until_joined(self) -> None:
+    async def wait_until_joined(self) -> None:
         """Wait until two callers wait for the one request in progress."""
-        (running,) = self.entry.live.values()
+        (running,) = self.entry.joinable.values()
         async with asyncio.timeout(GENEROUS_SECONDS):
             while running.readers < 2:  # noqa: ASYNC110
                 await asyncio.sleep(POLL)
@@ -131,7 +131,7 @@
 
 
 @contextlib.asynccontextmanager
-async def running(handler: Handler) -> AsyncIterator[Running]:
+async def running(handler: Handler) -> AsyncIterator[RunningEntry]:
     """Run an entry before a service that consists of one handler."""
     services = http_service.HttpServiceClient()
     await services.start()
@@ -143,5 +143,5 @@
         async with listening(entry.routes()) as port:
             url = f"http://127.0.0.1:{port}"
             async with aiohttp.ClientSession(url, auto_decompress=False) as session:
-                yield Running(session, entry)
+                yield RunningEntry(session, entry)
     await services.stop()
--- a/src/tealcove/entry/tests/test_bodies.py
+++ b/src/tealcove/entry/tests/test_bodies.py
@@ -16,7 +16,7 @@
     raise AssertionError("nothing may be forwarded")
 
 
-async def rejection(found: builders.Running, data: object, **headers: str) -> int:
+async def rejection(found: builders.RunningEntry, data: object, **headers: str) -> int:
     """Send a body and return the status of the rejection."""
     async with found.call("POST", "/app/x", data=data, headers=headers) as response:
         assert (await response.json(content_type=None))["outcome"] == "rejected"
--- a/src/tealcove/entry/tests/test_forward.py
+++ b/src/tealcove/entry/tests/test_forward.py
@@ -12,7 +12,7 @@
 from tealcove.entry import reply
 from tealcove.entry.tests import builders
 
-LONG = 4 * reply.MOST_HELD_BYTES
+LONG = 4 * reply.MAX_BUFFERED_BYTES
 
 
 async def test_a_call_goes_through_whole_and_without_the_key() -> None:
@@ -150,7 +150,7 @@
         await go_on.wait()
         return web.Response(body=b"once")
 
-    async def send(found: builders.Running, body: bytes) -> tuple[int, bytes]:
+    async def send(found: builders.RunningEntry, body: bytes) -> tuple[int, bytes]:
         headers = {"Idempotency-Key": "k"}
         async with found.call("POST", "/app/x", data=body, headers=headers) as response:
             return response.status, await response.read()
@@ -160,7 +160,7 @@
         await arrived.wait()
         assert (await send(found, b"b"))[0] == 422
         second = asyncio.create_task(send(found, b"a"))
-        await found.until_joined()
+        await found.wait_until_joined()
         go_on.set()
         assert await asyncio.gather(first, second) == [(200, b"once")] * 2
     assert len(calls) == 1
