--- a/src/tealcove/entry/__init__.py
+++ b/src/tealcove/entry/__init__.py
@@ -1,1 +1,1 @@
-"""The caller's connection and the whole life of a request."""
+"""Accepts callers' requests and handles each until its answer is sent."""
--- a/src/tealcove/entry/acceptance.py
+++ b/src/tealcove/entry/acceptance.py
@@ -1,4 +1,4 @@
-"""What is decided of a request when it's accepted: where it goes, what holds."""
+"""Acceptance of a request: its validation, routing rule, cell, deadline and key."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class Received(msgspec.Struct, frozen=True):
-    """A request as it came, its body whole, and who sent it."""
+    """An HTTP request with its complete body and its caller."""
 
     request_id: ids.RequestId
     caller: caller.Caller
@@ -37,7 +37,7 @@
     configuration: copy.Configuration,
     spreading: spread.Spread,
 ) -> admitted.Request:
-    """Accept a request for an engine; raises ProblemError (rejected)."""
+    """Return the accepted request for an engine; raises ProblemError (rejected)."""
     rule = find_rule(received, engine_call.model, configuration)
     pool = None if rule is None else configuration.engine_pools.get(rule.spec.pool)
     if pool is None:
@@ -60,10 +60,10 @@
 
 
 def check_model(engine_call: call.EngineCall, spec: kinds.EnginePoolSpec) -> None:
-    """Refuse a model or adapter that the pool doesn't declare.
+    """Reject a model or adapter that the pool doesn't declare.
 
-    No engine has it, so the request would wait for one that never comes, and be
-    told to try again later.
+    No engine has it, so the request would wait until its deadline, and its caller
+    would be asked to retry later.
     """
     if spec.models and engine_call.model not in spec.models:
         raise problem.rejected(
@@ -83,7 +83,7 @@
 def accept_call(
     received: Received, configuration: copy.Configuration, spreading: spread.Spread
 ) -> admitted.Request:
-    """Accept a call to a plain service; raises ProblemError (rejected)."""
+    """Return the accepted call to a plain service; raises ProblemError (rejected)."""
     check_path(received.http.path)
     rule = find_rule(received, None, configuration)
     pool = None if rule is None else configuration.service_pools.get(rule.spec.pool)
@@ -104,7 +104,7 @@
     work: admitted.Work,
     content_digest: str,
 ) -> admitted.Request:
-    """Return the accepted request; raises ProblemError for headers out of order."""
+    """Return the accepted request; raises ProblemError for an invalid header."""
     headers = received.http.headers
     opted_out = headers.get(IDEMPOTENT_HEADER, "").lower() == NO
     idempotent = rule.spec.idempotent and not opted_out
@@ -125,16 +125,16 @@
 def find_rule(
     received: Received, model: str | None, configuration: copy.Configuration
 ) -> kinds.Resource | None:
-    """Return the routing rule of a request."""
+    """Return the routing rule that matches a request, if there is one."""
     http = received.http
     return configuration.route(http.path, http.method, model, received.caller.account)
 
 
 def check_path(path: str) -> None:
-    """Refuse a path that a service could read as another one.
+    """Reject a path that a service could resolve to another one.
 
-    The rules match the path as it stands. A service that resolves `..` would
-    take a call under a rule that wasn't meant for it, such as an idempotent one.
+    Routing rules match the path unresolved. A service that resolves `..` would
+    handle the call under a rule that isn't meant for it, such as an idempotent one.
     """
     parts = path.split("/")
     if not path.startswith("/") or "." in parts or ".." in parts:
@@ -146,7 +146,7 @@
 
 
 def read_deadline(text: str | None, sender: caller.Caller) -> ids.Instant:
-    """Return when the caller stops waiting; the header gives seconds."""
+    """Return the deadline of a request; the header gives seconds from now."""
     now = clock.now()
     if text is None:
         return ids.Instant(now + sender.default_deadline)
@@ -162,7 +162,7 @@
 
 
 def read_key(key: str | None, idempotent: bool) -> ids.IdempotencyKey | None:
-    """Return the caller's key; a non-idempotent request can't go without."""
+    """Return the idempotency key, which a non-idempotent request must have."""
     if key is None and not idempotent:
         raise problem.rejected(
             400,
@@ -180,11 +180,11 @@
 
 
 def fingerprint(received: Received) -> str:
-    """Return the digest of all that makes two requests the same."""
+    """Return a digest of method, target and body, to compare requests by."""
     http = received.http
     return content.digest_call(http.method, target(http), received.body)
 
 
 def target(http: web.Request) -> str:
-    """Return the path and query as the caller wrote them."""
+    """Return the path and query as the caller encoded them."""
     return http.rel_url.raw_path_qs
--- a/src/tealcove/entry/admission_control.py
+++ b/src/tealcove/entry/admission_control.py
@@ -1,4 +1,4 @@
-"""What an accepted request passes before it may ask for a slot."""
+"""Checks of an accepted request before it may ask for a slot."""
 
 from __future__ import annotations
 
@@ -41,11 +41,11 @@
             ) from error
 
     def remaining(self, digest: str) -> float:
-        """Return the seconds until a content's quarantine ends."""
+        """Return the seconds until the quarantine of a content ends."""
         return self.quarantine.remaining(digest, clock.now())
 
     def report_server_lost(
         self, ticket: messages.Ticket, server: ids.BackendServerId, alone: bool
     ) -> None:
-        """Learn that a server refuses connections while it should run a request."""
+        """Report that a server refuses connections while it should run a request."""
         self.quarantine.lost(ticket, server, alone, clock.now())
--- a/src/tealcove/entry/admitted.py
+++ b/src/tealcove/entry/admitted.py
@@ -1,4 +1,4 @@
-"""What the entry knows of a request when it accepts it."""
+"""An accepted request, and the ticket that is made from it."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Work(msgspec.Struct, frozen=True, kw_only=True):
-    """How much work a request is; a call to a plain service counts as one unit."""
+    """The work of a request; a call to a plain service counts as one token each way."""
 
     prompt_tokens: int = 1
     output_tokens: int = 1
@@ -21,7 +21,7 @@
 
 
 class Request(msgspec.Struct, frozen=True, kw_only=True):
-    """What the entry knows of a request when it accepts it."""
+    """An accepted request, with its routing, deadline and digests."""
 
     request_id: ids.RequestId
     caller: caller.Caller
@@ -30,9 +30,9 @@
     idempotent: bool
     deadline: ids.Instant
     work: Work
-    # Of the content alone, by which crashing requests are known again.
+    # Digest of the content alone; identifies requests that crash servers.
     digest: str
-    # Of method, path and body: what a key must always come with.
+    # Digest of method, path and body, which must be the same for a reused key.
     fingerprint: str
     key: ids.IdempotencyKey | None = None
 
@@ -42,7 +42,7 @@
     entry: ids.InstanceId,
     excluded: tuple[ids.BackendServerId, ...],
 ) -> messages.Ticket:
-    """Return a new ticket for a request; `remaining` is set when it's sent."""
+    """Return a new ticket for a request; `remaining` is set on sending."""
     return messages.Ticket(
         ticket_id=ids.new_ticket_id(),
         request_id=request.request_id,
--- a/src/tealcove/entry/answer.py
+++ b/src/tealcove/entry/answer.py
@@ -1,4 +1,4 @@
-"""The answer of an engine, put together from chunks in any order."""
+"""The answer of an engine, assembled from chunks that arrive in any order."""
 
 from __future__ import annotations
 
@@ -7,16 +7,16 @@
 
 from tealcove.backends import engine
 
-# Chunks that came early and wait for those before them, at the most.
+# Largest number of chunks that arrived early and wait for those before them.
 MAX_EARLY_CHUNKS = 256
 
 
 class GapError(Exception):
-    """The stream can't be put in order any more; resume at `next_index`."""
+    """The stream can't be reordered; it must be resumed at `next_index`."""
 
 
 class Answer:
-    """Chunks in order; callers read along from any index while it grows."""
+    """Chunks in order; any number of callers read them while more arrive."""
 
     def __init__(self) -> None:
         self.chunks: list[engine.Chunk] = []
@@ -26,15 +26,15 @@
         self.finish: str | None = None
         self.ended = False
         self.failure: Exception | None = None
-        # Set when there is something to read; each reader clears it before it waits.
+        # Set on new chunks and at the end; each reader clears it before it waits.
         self.changed = asyncio.Event()
-        # Apart from it: who waits for the whole isn't woken by each chunk.
+        # A separate event, so that chunks don't wake those who wait for the end.
         self.finished = asyncio.Event()
 
     def add(self, chunk: engine.Chunk) -> None:
-        """Take in a chunk; a repeated one is dropped, an early one kept back.
+        """Add a chunk; drop a repeated one, and buffer an early one.
 
-        Raises GapError when a chunk overlaps what is there, or too many are early.
+        Raises GapError when a chunk overlaps earlier ones, or too many are early.
         """
         if chunk.finish is None and chunk.index + chunk.count <= self.next_index:
             return
@@ -47,7 +47,7 @@
             self.append(self.early.pop(self.next_index))
 
     def append(self, chunk: engine.Chunk) -> None:
-        """Add the chunk that comes next."""
+        """Append the next chunk in order."""
         if chunk.finish is not None:
             self.finish = chunk.finish
             self.usage = chunk.usage
@@ -58,7 +58,7 @@
 
     @property
     def is_whole(self) -> bool:
-        """Tell whether the closing event came, and all tokens before it."""
+        """Whether the closing event and all tokens before it have arrived."""
         return self.finish is not None
 
     def text(self) -> str:
@@ -66,7 +66,7 @@
         return "".join(chunk.text for chunk in self.chunks)
 
     def end(self, failure: Exception | None = None) -> None:
-        """Say that nothing more will come, and why when it isn't whole."""
+        """End the answer; `failure` is the reason if it's incomplete."""
         if self.ended:
             return
         self.ended = True
@@ -75,7 +75,7 @@
         self.finished.set()
 
     async def read(self) -> AsyncIterator[list[engine.Chunk]]:
-        """Yield all chunks that are new, again and again; raises `failure`."""
+        """Yield new chunks in lists until the end; raises `failure`."""
         position = 0
         while True:
             while position < len(self.chunks):
@@ -90,7 +90,7 @@
             raise self.failure
 
     async def wait(self) -> None:
-        """Wait for the end; raises `failure` at a bad one."""
+        """Wait for the end; raises `failure` if there is one."""
         await self.finished.wait()
         if self.failure is not None:
             raise self.failure
--- a/src/tealcove/entry/call.py
+++ b/src/tealcove/entry/call.py
@@ -1,4 +1,4 @@
-"""Requests for completions, as callers write them (OpenAI style)."""
+"""Completion and chat requests in the format of the OpenAI API."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 
 class EngineCall(msgspec.Struct, frozen=True):
-    """What both kinds of request come down to."""
+    """A completion or chat request in the common form for engines."""
 
     model: str
     adapter: str | None
@@ -52,7 +52,7 @@
 
 
 def parse_completion(body: bytes) -> EngineCall:
-    """Read a completion request; raises ProblemError (rejected)."""
+    """Parse a completion request; raises ProblemError (rejected)."""
     found = decode(body, CompletionRequest)
     return EngineCall(
         model=found.model,
@@ -65,7 +65,7 @@
 
 
 def parse_chat(body: bytes) -> EngineCall:
-    """Read a chat request; raises ProblemError (rejected)."""
+    """Parse a chat request; raises ProblemError (rejected)."""
     found = decode(body, ChatRequest)
     prompt = "".join(
         f"{message.role}: {message.content}\n" for message in found.messages
@@ -83,7 +83,7 @@
 def decode(
     body: bytes, expected: type[CompletionRequest] | type[ChatRequest]
 ) -> CompletionRequest | ChatRequest:
-    """Decode a body; the error names the field and what it should be."""
+    """Decode a body; the error names the field and its expected type or range."""
     try:
         return msgspec.json.decode(body, type=expected)
     except msgspec.MsgspecError as error:
--- a/src/tealcove/entry/caller.py
+++ b/src/tealcove/entry/caller.py
@@ -1,4 +1,4 @@
-"""Who calls: a client account, known by its bearer key."""
+"""Authentication of callers: a bearer key identifies a client account."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
 def identify(header: str | None, configuration: copy.Configuration) -> Caller:
     """Return the caller of an Authorization header; raises ProblemError.
 
-    Looking up the hash takes the same time whichever part of a wrong key is
-    right, since the hash of a guess says nothing about the guess.
+    The timing of the lookup reveals nothing about a key: a guess that is partly
+    right has an unrelated hash.
     """
     if header is None or not header.startswith(bearer.PREFIX):
         raise problem.rejected(
--- a/src/tealcove/entry/claiming.py
+++ b/src/tealcove/entry/claiming.py
@@ -1,4 +1,4 @@
-"""The claim of one non-idempotent request, and what another's claim tells."""
+"""The claim of one non-idempotent request, and answers from an earlier claim."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 log = logbook.Logger("entry")
 
 RETRY_AFTER = 1.0
-# A refusal waits so many seconds at the most for a look at the table.
+# Longest wait of a refusal for the lookup of an earlier claim, in seconds.
 LOOKUP_TIMEOUT = 0.05
 EARLIER_UNKNOWN = (
     "This sending was not run; whether an earlier one with the same key was can't "
@@ -34,7 +34,7 @@
 
 
 class RequestClaim:
-    """Says whether this request may be dispatched, and keeps how it ended."""
+    """Decides whether a request may be dispatched, and records how it ended."""
 
     def __init__(
         self,
@@ -52,7 +52,7 @@
         self.server = ids.BackendServerId("")
 
     async def acquire(self, server: ids.BackendServerId, deadline: ids.Instant) -> None:
-        """Take the claim, unless it's held already.
+        """Acquire the claim, unless it's held already.
 
         Raises ProblemError or KeptAnswerError when the request may not be run.
         """
@@ -79,11 +79,11 @@
             ) from error
 
     async def check_earlier_claim(self, refusal: problem.ProblemError) -> Exception:
-        """Return the answer to a request that is about to be refused.
+        """Return the error for a request that is about to be refused.
 
-        A caller that is told "not run" of a sending may take it for the whole
-        request, and send it under a new key although the first one ran. So it's
-        looked up whether an earlier sending holds the claim.
+        A caller may read "not run" as referring to all its attempts, and send the
+        request under a new key although an earlier attempt ran. So this looks up
+        whether an earlier attempt holds the claim.
         """
         if self.held is not None:
             return refusal
@@ -96,7 +96,7 @@
         return refusal if found is None else self.error_for(found)
 
     def error_for(self, found: claim.Claim) -> Exception:
-        """Return how a request ends whose claim another sending holds."""
+        """Return the error for a request whose claim another attempt holds."""
         if found.fingerprint != self.fingerprint:
             return problem.other_request()
         if found.state is claim.State.COMPLETED:
@@ -114,10 +114,10 @@
         state: lifecycle.State,
         whole_answer: Callable[[], claim.StoredAnswer | None],
     ) -> None:
-        """Put into the table how the request ended, after its callers were told.
+        """Record in the table how the request ended, after it was answered.
 
-        Until that is done the request counts as in progress: the same key joins
-        it here, and a shutdown waits for it. Waits while the platform is down.
+        Until this returns, the request counts as in progress: requests with the same
+        key join it, and a shutdown waits for it. Waits while the platform is down.
         """
         if self.held is None:
             return
@@ -129,16 +129,19 @@
                     self.held, self.ended_claim(state, whole_answer)
                 )
         except Exception:
-            # Nobody waits for this task: without a line in the log one would only
-            # notice that a key stays "in progress" for ever.
-            log.exception("claim not settled", extra={"key": self.key})
+            # Nothing awaits this task's result: without the log line, the only sign
+            # would be a key that stays "in progress" indefinitely.
+            log.exception(
+                "cannot record the end of a request in its claim",
+                extra={"key": self.key},
+            )
 
     def ended_claim(
         self,
         state: lifecycle.State,
         whole_answer: Callable[[], claim.StoredAnswer | None],
     ) -> claim.Claim:
-        """Return the claim of a request that was dispatched."""
+        """Return the final claim of a request that was dispatched."""
         if state is not lifecycle.State.COMPLETED:
             return msgspec.structs.replace(
                 self.held.claim, server=self.server, state=claim.State.UNKNOWN
--- a/src/tealcove/entry/exchange.py
+++ b/src/tealcove/entry/exchange.py
@@ -1,4 +1,4 @@
-"""The life that all requests share, from acceptance to the one final answer."""
+"""The processing of a request, from acceptance to its one final answer."""
 
 from __future__ import annotations
 
@@ -26,13 +26,13 @@
 
 log = logbook.Logger("entry")
 
-# Servers that may refuse the connection before the request is given up.
+# Servers that are tried; a request whose connections all fail is given up.
 CONNECT_ATTEMPTS = 3
 RETRY_AFTER = 1.0
 
 
 class Exchange(abc.ABC):
-    """The task that carries one request; callers read its `answer`."""
+    """Runs one request in a task; callers read its `answer`."""
 
     answer: answer.Answer | reply.Reply
 
@@ -44,13 +44,13 @@
     ) -> None:
         self.request = request
         self.tickets = tickets
-        # None: the request is idempotent.
+        # None for an idempotent request.
         self.claim = claimed
         self.state = lifecycle.Lifecycle()
         # Callers that read the answer; the entry cancels the task when none is left.
         self.readers = 0
         self.task: asyncio.Task[None] | None = None
-        # Absent: everything may pass.
+        # None admits every request.
         self.admission_control: admission_control.AdmissionControl | None = None
         self.spans = spans.RequestSpans()
         self.charge: admission.Charge | None = None
@@ -70,22 +70,22 @@
 
     @abc.abstractmethod
     def usage(self) -> engine.Usage:
-        """Return the work that was done."""
+        """Return the tokens that were processed."""
 
     @abc.abstractmethod
     def whole_answer(self) -> claim.StoredAnswer | None:
-        """Return the answer of a completed request; None when it's too long."""
+        """Return the answer of a completed request; None if it's too long to store."""
 
     def predicted_tokens(self) -> int:
-        """Return what an account's limit is charged with; calls cost nothing."""
+        """Return the tokens to charge the account with; calls to services cost none."""
         return 0
 
     async def cancel_leftover(self, server: engine.Server) -> None:
-        """Stop what the server may still be working on, if that can be done."""
+        """Cancel the request on the server if it may still run and can be cancelled."""
         return
 
     async def run(self) -> None:
-        """Carry the request to its end; the answer always ends with it."""
+        """Run the request; `answer` has always ended afterwards."""
         try:
             await self.admit()
             await self.run_with_slot()
@@ -106,13 +106,13 @@
             await self.claim.record_end(self.state.state, self.whole_answer)
 
     async def check_earlier_claim(self, refusal: problem.ProblemError) -> Exception:
-        """Return the answer to a request that ends with a problem."""
+        """Return the error for a request that ends with a problem."""
         if self.claim is None or refusal.problem.outcome is not problem.Outcome.NOT_RUN:
             return refusal
         return await self.claim.check_earlier_claim(refusal)
 
     async def admit(self) -> None:
-        """Pass the gate; raises ProblemError."""
+        """Check for quarantine and charge the account; raises ProblemError."""
         if self.admission_control is None:
             return
         request = self.request
@@ -126,7 +126,7 @@
             raise
 
     def settle_charge(self) -> None:
-        """Charge the account with what was used in place of the prediction."""
+        """Replace the predicted charge by the tokens that were used."""
         if self.charge is None:
             return
         used = 0
@@ -138,14 +138,14 @@
     def report_server_lost(
         self, pending_ticket: pending.PendingTicket, server: engine.Server
     ) -> None:
-        """Have the request suspected: its server refuses connections."""
+        """Report that the server refuses connections, so the request is suspect."""
         if self.admission_control is not None:
             self.admission_control.report_server_lost(
                 pending_ticket.ticket, server.name, pending_ticket.alone
             )
 
     async def run_with_slot(self) -> None:
-        """Ask for a slot until a server could be connected to."""
+        """Obtain a slot and run the request; retry if the connection fails."""
         for _ in range(CONNECT_ATTEMPTS):
             self.state.wait()
             pending_ticket = self.new_pending_ticket()
@@ -166,7 +166,7 @@
         )
 
     def new_pending_ticket(self) -> pending.PendingTicket:
-        """Return a ticket for this request."""
+        """Return a new pending ticket for this request."""
         own = self.tickets.members.own.instance
         ticket = admitted.new_ticket(self.request, own, self.excluded)
         return pending.PendingTicket(ticket, self.request.deadline, self.request.near)
@@ -194,9 +194,9 @@
     async def prepare_dispatch(
         self, pending_ticket: pending.PendingTicket, server: engine.Server
     ) -> None:
-        """Take the claim if one is needed, or give the grant back.
+        """Acquire the claim if one is needed; return the grant on failure.
 
-        An entry that was frozen may find here that its deadline has passed.
+        After a pause of this process the deadline may have passed already.
         """
         try:
             if self.claim is not None:
@@ -244,7 +244,7 @@
     async def execute_unless_preempted(
         self, pending_ticket: pending.PendingTicket, server: engine.Server
     ) -> None:
-        """Run the request, or stop it when its slot is needed more elsewhere."""
+        """Run the request, and stop it if it's preempted."""
         running = asyncio.create_task(self.execute(pending_ticket, server))
         try:
             await asyncio.wait(
@@ -260,14 +260,14 @@
                 running.cancel()
                 await asyncio.gather(running, return_exceptions=True)
             elif not running.cancelled():
-                # It failed just as this was cancelled; asyncio would log an error
-                # that nobody has looked at.
+                # It failed while this was being cancelled; asyncio would log an
+                # exception that was never retrieved.
                 running.exception()
 
     def mark_dispatched(
         self, pending_ticket: pending.PendingTicket, server: engine.Server
     ) -> None:
-        """Take the step that can't be taken back, before the first byte goes out."""
+        """Mark the request as dispatched, for good, before its first byte is sent."""
         if self.request.idempotent:
             self.state.dispatch()
         else:
@@ -279,7 +279,7 @@
     def fail(
         self, reason: str, retry_after: float | None = None, detail: str = ""
     ) -> problem.ProblemError:
-        """Take the step to a bad end and return the answer that tells of it."""
+        """Move to the state of a failed request and return the caller's error."""
         if self.state.state in lifecycle.UNSENT:
             self.state.give_up()
         if self.state.state is lifecycle.State.NOT_RUN:
@@ -300,7 +300,7 @@
         server: engine.Server,
         outcome: messages.Outcome,
     ) -> messages.Done:
-        """Return the message that frees the slot and teaches the server's speed."""
+        """Return the message that frees the slot and reports the server's speed."""
         usage = self.usage()
         now = clock.now()
         first = self.first_token_at or now
--- a/src/tealcove/entry/failures.py
+++ b/src/tealcove/entry/failures.py
@@ -1,4 +1,4 @@
-"""Why a dispatched request ends badly, beside what its server says."""
+"""Failures of a dispatched request other than those that its server reports."""
 
 from __future__ import annotations
 
--- a/src/tealcove/entry/forward.py
+++ b/src/tealcove/entry/forward.py
@@ -1,4 +1,4 @@
-"""A call to a plain service, forwarded once and answered whole."""
+"""A call to a plain service, forwarded once."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from tealcove.entry import admitted, claiming, exchange, failures, fields, reply
 
 NOT_MODIFIED = 304
-# aiohttp takes a limit of 0 for none.
+# aiohttp treats a timeout of 0 as none.
 MIN_TIMEOUT_SECONDS = 0.001
 
 
 class ServiceExchange(exchange.Exchange):
-    """Forwards one call; a response that breaks off is never taken for whole."""
+    """Forwards one call; a truncated response is never passed off as complete."""
 
     def __init__(
         self,
@@ -70,6 +70,6 @@
             return None
         headers = fields.returned_headers(found.head, self.request.request_id)
         if self.call.method == "HEAD" or found.head.status == NOT_MODIFIED:
-            # The length is that of the body which a GET would have got.
+            # The length is that of the body that a GET would return.
             headers += fields.length_of(found.head)
         return claim.StoredAnswer(found.head.status, headers, found.body())
--- a/src/tealcove/entry/generation.py
+++ b/src/tealcove/entry/generation.py
@@ -23,7 +23,7 @@
 )
 from tealcove.witness import messages as witness_messages
 
-# A broken stream is taken up again so often, and with this pause in seconds.
+# Attempts to resume a broken stream, and the pause after a failed one in seconds.
 RESUME_ATTEMPTS = 20
 RESUME_PAUSE = 0.1
 EVENT_STREAM = "text/event-stream"
@@ -31,7 +31,7 @@
 
 
 class EngineExchange(exchange.Exchange):
-    """Generates once, and takes a broken stream up again where it broke."""
+    """Dispatches to an engine once, and resumes a broken stream where it broke."""
 
     def __init__(
         self,
@@ -46,11 +46,11 @@
         self.call = engine_call
         self.engines = engines
         self.answer = answer.Answer()
-        # None: no other entry can learn where the request runs.
+        # None: no other entry can find out where the request runs.
         self.witness = witness
-        # By this the engine knows the run; a lost entry's has the id it gave it.
+        # The engine's id of the run; a lost entry's run keeps that entry's request id.
         self.run_id = request.request_id
-        # The stream of a lost entry's run that this request goes on with.
+        # The stream of a lost entry's run that this request took over.
         self.takeover_stream: AsyncIterator[engine.Chunk] | None = None
 
     async def run(self) -> None:
@@ -62,16 +62,16 @@
                 self.witness.delete()
 
     async def run_with_slot(self) -> None:
-        """Go on with the run that a lost entry has left, or ask for a slot."""
+        """Take over the run of a lost entry if there is one, or obtain a slot."""
         found = None if self.witness is None else await self.witness.find_lost()
         if found is None or not await self.take_over(found):
             await super().run_with_slot()
 
     async def take_over(self, found: witness_messages.Record) -> bool:
-        """Go on with a run from its first token; False: the engine has it no more.
+        """Resume a run from its first token; False if the engine has it no longer.
 
-        Until the first event is here nothing is noted anywhere, so that the
-        request can still be dispatched like any other one.
+        Nothing is recorded before the first event arrives, so that the request can
+        still be dispatched normally.
         """
         server = engine.Server(found.server, found.host, found.port)
         stream = self.engines.resume(server, found.request_id, 0)
@@ -120,9 +120,9 @@
     async def resume(
         self, pending_ticket: pending.PendingTicket, server: engine.Server
     ) -> None:
-        """Take the stream up from the first token that is missing.
+        """Resume the stream from the first missing token.
 
-        This is no second dispatch: the engine goes on with the same run.
+        This isn't a second dispatch: the engine continues the same run.
         """
         self.answer.early.clear()
         offset = self.answer.next_index
@@ -130,25 +130,25 @@
         try:
             await self.collect(pending_ticket, stream)
         except engine.NotDispatchedError:
-            # Told at once: until the attempts are over, the caller may send the
-            # same request to another entry, and kill another server with it.
+            # Reported at once: before the attempts are over, the caller may send
+            # the same request to another entry and crash another server with it.
             self.report_server_lost(pending_ticket, server)
             await asyncio.sleep(RESUME_PAUSE)
         except (engine.BrokenStreamError, answer.GapError):
             await asyncio.sleep(RESUME_PAUSE)
         except engine.RefusedCallError as error:
             if self.takeover_stream is not None:
-                # The entry that seemed lost was frozen only. It woke, and its
-                # caller was gone: it cancelled the run.
+                # The entry that seemed lost was only paused. It continued, found
+                # its caller gone, and cancelled the run.
                 raise
-            # The server knows nothing of a request that it ran: it has crashed
-            # and was restarted before anybody could see that it was gone.
+            # The server doesn't know a request that it ran: it has crashed and was
+            # restarted before its absence was detected.
             raise failures.CrashError(server.name) from error
 
     async def collect(
         self, pending_ticket: pending.PendingTicket, stream: object
     ) -> None:
-        """Put the chunks of a stream into the answer."""
+        """Add the chunks of a stream to the answer."""
         async with contextlib.aclosing(stream) as chunks:
             async for chunk in chunks:
                 self.add_chunk(pending_ticket, chunk)
@@ -156,7 +156,7 @@
     def add_chunk(
         self, pending_ticket: pending.PendingTicket, chunk: engine.Chunk
     ) -> None:
-        """Put a chunk into the answer; raises GapError."""
+        """Add a chunk to the answer; raises GapError."""
         self.answer.add(chunk)
         if self.first_token_at is None:
             self.report_first_token(pending_ticket)
@@ -164,13 +164,13 @@
     def mark_dispatched(
         self, pending_ticket: pending.PendingTicket, server: engine.Server
     ) -> None:
-        """See Exchange; the witness learns of it first."""
+        """See Exchange; the witness's record is stored first."""
         if self.witness is not None:
             self.witness.store(pending_ticket.ticket, server)
         super().mark_dispatched(pending_ticket, server)
 
     def report_first_token(self, pending_ticket: pending.PendingTicket) -> None:
-        """Tell the dispatcher that the prefill is over."""
+        """Notify the dispatcher that the prefill is over."""
         self.first_token_at = clock.now()
         self.spans.add_event(spans.FIRST_TOKEN)
         progress = messages.Progress(
@@ -193,18 +193,18 @@
         server: engine.Server,
         outcome: messages.Outcome,
     ) -> messages.Done:
-        """See Exchange; of a run taken over, the times are too short to learn from."""
+        """See Exchange; the times of a run taken over are too short to learn from."""
         if self.takeover_stream is not None and outcome is messages.Outcome.COMPLETED:
             outcome = messages.Outcome.CANCELLED
         return super().done_message(pending_ticket, server, outcome)
 
     def renderer(self) -> openai.Renderer:
-        """Return what renders the answer."""
+        """Return the renderer of the answer."""
         call = self.call
         return openai.Renderer(self.request.request_id, call.model, call.chat)
 
     def whole_answer(self) -> claim.StoredAnswer:
-        """See Exchange; of a streamed answer it is the events in one piece."""
+        """See Exchange; for a streamed request, the body is its events."""
         found = self.answer
         renderer = self.renderer()
         if self.call.stream:
--- a/src/tealcove/entry/http.py
+++ b/src/tealcove/entry/http.py
@@ -1,4 +1,4 @@
-"""The HTTP handlers that callers reach."""
+"""The HTTP handlers for callers."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 from tealcove.witness import messages as witness_messages
 from tealcove.witness import role as witness_role
 
-# Serves a request whose caller and body are known, and whose spans are observed.
+# Serves a request whose caller is authenticated and whose body has been read.
 Handler = Callable[
     [acceptance.Received, observer.ObservedRequest], Awaitable[web.StreamResponse]
 ]
@@ -70,13 +70,13 @@
         self.admission_control = admission
         self.observer = observer.Observer(source)
         self.spans = spans.RequestSpans(source)
-        # Requests in progress by client account and idempotency key: the same
-        # key joins the request that lives in place of starting another.
+        # Requests in progress by client account and idempotency key. A request with
+        # the same key joins the one in progress instead of starting another.
         self.joinable: dict[tuple[str, str], exchange.Exchange] = {}
         self.in_progress: set[asyncio.Task[None]] = set()
 
     def routes(self) -> list[web.RouteDef]:
-        """Return the handlers to mount; the last takes what no other one does."""
+        """Return the handlers to mount; the last is for all other paths."""
         return [
             web.post("/v1/completions", self.completions),
             web.post("/v1/chat/completions", self.chat),
@@ -85,10 +85,10 @@
         ]
 
     async def entry_points(self, request: web.Request) -> web.Response:
-        """Tell which addresses to use.
+        """Return the addresses of the serving instances.
 
-        An instance that knows of none yet says so at once. Callers would keep an
-        empty answer for its time to live, and send nothing in the meantime.
+        An instance that knows of none yet answers with a problem. Callers would
+        cache an empty list for its time to live, and send nothing meanwhile.
         """
         found = points.find(self.members, self.settings, clock.now())
         if not found.entry_points:
@@ -163,7 +163,7 @@
         return await self.answer(request, serve)
 
     async def answer(self, request: web.Request, serve: Handler) -> web.StreamResponse:
-        """Answer one request; problems and kept answers become its final answer."""
+        """Answer one request; a problem or a stored answer becomes its final answer."""
         request_id = ids.new_request_id()
         with self.observer.request(request, request_id) as observed:
             try:
@@ -187,8 +187,8 @@
     async def read_body(self, request: web.Request) -> bytes:
         """Return the whole body; raises ProblemError.
 
-        A caller that sends it in trickles would otherwise keep its connection and
-        what has come so far for as long as it likes.
+        Without the time limit, a caller that sends it slowly could hold its
+        connection and the memory of the received part indefinitely.
         """
         limits = self.settings.limits
         try:
@@ -224,17 +224,17 @@
             )
 
     def alternatives(self) -> str:
-        """Return which addresses a caller may try in place of this one."""
+        """Return a sentence with the addresses that a caller may try instead."""
         found = points.find(self.members, self.settings, clock.now()).entry_points
         if not found:
             return "This instance reaches no other; use another address you know."
         return "Use " + " or ".join(point.url for point in found) + "."
 
     def find_joinable(self, accepted: admitted.Request) -> exchange.Exchange | None:
-        """Return the request that lives under the same key, if there is one.
+        """Return the request in progress with the same key, if there is one.
 
-        Raises ProblemError when it's another request under the same key: its
-        answer is not this caller's.
+        Raises ProblemError if it's a different request: its answer isn't for this
+        caller.
         """
         running = self.joinable.get(join_key(accepted))
         if running is None or running.state.state is lifecycle.State.NOT_RUN:
@@ -244,7 +244,7 @@
         return running
 
     def new_claim(self, accepted: admitted.Request) -> claiming.RequestClaim | None:
-        """Return the claim that a non-idempotent request will need."""
+        """Return the claim of a non-idempotent request; None for an idempotent one."""
         if accepted.idempotent:
             return None
         return claiming.RequestClaim(
@@ -258,7 +258,7 @@
     def new_witness(
         self, accepted: admitted.Request
     ) -> witnessing.RequestWitness | None:
-        """Return what keeps a record of an idempotent request that has a key."""
+        """Return the witness of an idempotent request with a key, else None."""
         if self.witness is None or accepted.key is None or not accepted.idempotent:
             return None
         return witnessing.RequestWitness(
@@ -269,7 +269,7 @@
         )
 
     def start(self, running: exchange.Exchange) -> exchange.Exchange:
-        """Begin a request."""
+        """Start the task of a request."""
         key = join_key(running.request)
         self.joinable[key] = running
         running.admission_control = self.admission_control
@@ -288,7 +288,7 @@
 
 
 class ReaderCount:
-    """Counts a caller of a request while it waits for the answer."""
+    """Counts a caller as a reader of a request while it waits for the answer."""
 
     def __init__(self, running: exchange.Exchange) -> None:
         self.running = running
@@ -300,17 +300,17 @@
         running = self.running
         running.readers -= 1
         if running.readers == 0 and running.request.idempotent:
-            # Nobody waits for the result: let the server have its slot back.
+            # No caller waits for the result: free the slot of the server.
             running.task.cancel()
 
 
 def join_key(accepted: admitted.Request) -> tuple[str, str]:
-    """Return under what a request can be joined."""
+    """Return the key under which a request can be joined."""
     return (accepted.caller.account, accepted.key or accepted.request_id)
 
 
 def service_call(received: acceptance.Received) -> service.Call:
-    """Return the call as it goes on to the service."""
+    """Return the call that is forwarded to the service."""
     http = received.http
     return service.Call(
         request_id=received.request_id,
--- a/src/tealcove/entry/lifecycle.py
+++ b/src/tealcove/entry/lifecycle.py
@@ -1,4 +1,4 @@
-"""The states of a request at its entry, and the steps between them."""
+"""The states of a request at its entry, and the transitions between them."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 
 class State(enum.Enum):
-    """How far a request has come."""
+    """The state of a request at its entry."""
 
     ACCEPTED = "accepted"
     # In a dispatcher's queue, or between a grant and the connection.
     WAITING = "waiting"
     # Non-idempotent, and its claim is in the platform's table.
     CLAIMED = "claimed"
-    # From just before the first byte is written to a backend server, for good.
+    # Set just before the first byte is written to a backend server; irrevocable.
     DISPATCHED = "dispatched"
     COMPLETED = "completed"
     NOT_RUN = "not_run"
@@ -23,45 +23,45 @@
     UNKNOWN = "unknown"
 
 
-# Nothing was written to any backend server yet.
+# States in which nothing has been written to any backend server.
 UNSENT = (State.ACCEPTED, State.WAITING, State.CLAIMED)
 
 
 class Lifecycle:
-    """The state of one request; a step that isn't allowed raises MachineError.
+    """The state of one request; a transition that isn't allowed raises MachineError.
 
-    No step leads from `dispatched` to `not_run` or back to `waiting`: a request
-    that was told "not run", or dispatched a second time, after a backend server
-    may have seen it would break the two promises that callers build on. A
-    non-idempotent request takes `dispatch_claimed`, which only a claim allows.
+    No transition leads from `dispatched` to `not_run` or back to `waiting`. To
+    answer "not run" or to dispatch again, once a backend server may have received
+    the request, would break the two guarantees that callers rely on. A
+    non-idempotent request uses `dispatch_claimed`, which only a claim allows.
     """
 
     state: State
 
     def __init__(self) -> None:
-        # The machine gets the object at each step and doesn't keep it. To add it to
-        # the machine, which binds some twenty functions to it, and to take it out of
-        # the list of all others took half of what the whole life of a request cost.
+        # The machine is passed the object at each transition and doesn't hold it.
+        # Adding it to the machine, which binds some twenty functions to it, and
+        # removing it from the list of all objects took half of a request's whole cost.
         self.state = State.ACCEPTED
 
     def wait(self) -> None:
-        """Begin to wait for a slot."""
+        """Wait for a slot."""
         MACHINE.events["wait"].trigger(self)
 
     def claim(self) -> None:
-        """Note that the claim is in the table."""
+        """Record that the claim is in the table."""
         MACHINE.events["claim"].trigger(self)
 
     def dispatch(self) -> None:
-        """Go to a backend server, for good."""
+        """Mark an idempotent request as dispatched."""
         MACHINE.events["dispatch"].trigger(self)
 
     def dispatch_claimed(self) -> None:
-        """Go to a backend server under a claim, for good."""
+        """Mark a claimed, non-idempotent request as dispatched."""
         MACHINE.events["dispatch_claimed"].trigger(self)
 
     def complete(self) -> None:
-        """End with a whole answer."""
+        """End with a complete answer."""
         MACHINE.events["complete"].trigger(self)
 
     def give_up(self) -> None:
@@ -69,16 +69,16 @@
         MACHINE.events["give_up"].trigger(self)
 
     def interrupt(self) -> None:
-        """End in the middle of an idempotent request's run."""
+        """End a dispatched idempotent request without a complete answer."""
         MACHINE.events["interrupt"].trigger(self)
 
     def lose(self) -> None:
-        """End in the middle of a non-idempotent request's run."""
+        """End a dispatched non-idempotent request whose outcome is unknown."""
         MACHINE.events["lose"].trigger(self)
 
 
 def step(trigger: str, sources: tuple[State, ...], to: State) -> dict[str, object]:
-    """Return a transition in the form that the machine takes."""
+    """Return a transition in the format of `transitions.Machine`."""
     return {"trigger": trigger, "source": list(sources), "dest": to}
 
 
--- a/src/tealcove/entry/observer.py
+++ b/src/tealcove/entry/observer.py
@@ -1,4 +1,4 @@
-"""What the entry tells of its requests: a span for each, and few metrics."""
+"""Telemetry of an entry's requests: a span for each, and metrics."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class ObservedRequest:
-    """One caller's request, from its arrival to the end of its answer."""
+    """The observed data of one caller's request, until its answer has ended."""
 
     def __init__(
         self, http: web.Request, request_id: ids.RequestId, now: ids.Instant
@@ -30,28 +30,28 @@
         self.problem: problem.Problem | None = None
 
     def attach(self, running: exchange.Exchange) -> exchange.Exchange:
-        """Note which running request the caller waits for; returns it."""
+        """Record which request in progress the caller waits for; returns it."""
         self.running = running
         return running
 
     def respond_problem(self, found: problem.Problem) -> web.Response:
-        """Return the response of a problem, and note it."""
+        """Record a problem and return its response."""
         self.problem = found
         response = problem.respond(found, self.request_id)
         if not self.http.content.is_eof():
-            # Nothing can follow a body that didn't come to its end.
+            # The connection can't be reused after an incomplete request body.
             response.force_close()
         return response
 
     def tier(self) -> str:
-        """Return the tier; "" for callers that aren't known."""
+        """Return the service tier; "" if the request wasn't accepted."""
         return "" if self.running is None else self.running.request.caller.tier
 
     def outcome_and_reason(self) -> tuple[str, str]:
-        """Return outcome and reason of the answer that was sent."""
+        """Return the outcome and the reason of the answer that was sent."""
         found = self.problem
         if found is None and self.running is not None:
-            # A streamed answer that broke off has its problem here.
+            # An interrupted streamed answer has its problem here.
             failure = self.running.answer.failure
             if isinstance(failure, problem.ProblemError):
                 found = failure.problem
@@ -61,10 +61,10 @@
 
 
 class Observer:
-    """The spans and metrics of an entry.
+    """Creates the spans and metrics of an entry.
 
-    Client accounts are in spans only: as labels they would make as many series
-    as there are accounts, on each instance.
+    Client accounts are in spans only: as metric labels they would create one series
+    per account on each instance.
     """
 
     def __init__(self, source: telemetry.Source | None = None) -> None:
@@ -85,7 +85,7 @@
     def request(
         self, http: web.Request, request_id: ids.RequestId
     ) -> Iterator[ObservedRequest]:
-        """Watch one caller's request, inside its span."""
+        """Observe one caller's request inside its span."""
         observed = ObservedRequest(http, request_id, clock.now())
         with self.trace(http, observed) as span:
             outcome, reason = BROKEN, ""
@@ -105,7 +105,7 @@
     def trace(
         self, http: web.Request, observed: ObservedRequest
     ) -> Iterator[trace.Span | None]:
-        """Go on with the caller's trace, with a span of our own if it's recorded."""
+        """Continue the caller's trace, with a span of this entry if it's recorded."""
         if self.source.tracing:
             with self.source.span(
                 REQUEST_SPAN,
@@ -117,7 +117,7 @@
         if telemetry.TRACEPARENT not in http.headers:
             yield None
             return
-        # Passed on to the backend server as it came.
+        # Passed on to the backend server unchanged.
         token = opentelemetry.context.attach(telemetry.extract(http.headers))
         try:
             yield None
@@ -134,7 +134,7 @@
             return
         first = observed.running.first_token_at
         if first is not None:
-            # A caller that joined a running request may come after the token.
+            # A caller that joins a request in progress may arrive after the token.
             self.first_tokens.record(max(0.0, first - observed.began), {"tier": tier})
         if outcome == COMPLETED:
             self.durations.record(now - observed.began, {"tier": tier})
@@ -143,7 +143,7 @@
 def describe(
     span: trace.Span, observed: ObservedRequest, outcome: str, reason: str
 ) -> None:
-    """Put into a request's span what identifies it; no key and no content."""
+    """Set the attributes of a request's span; neither keys nor content."""
     span.set_attribute("tealcove.request_id", observed.request_id)
     span.set_attribute("tealcove.outcome", outcome)
     if reason:
--- a/src/tealcove/entry/openai.py
+++ b/src/tealcove/entry/openai.py
@@ -1,4 +1,4 @@
-"""Answers in the form that OpenAI's client libraries read."""
+"""Answers in the format of the OpenAI API."""
 
 from __future__ import annotations
 
@@ -42,7 +42,8 @@
     model: str
     choices: list[Choice]
     usage: Usage | None = None
-    # Tokens in all, in the closing event only: a stream without it isn't whole.
+    # Total of output tokens, in the closing event only: without it a stream is
+    # incomplete.
     count: int | None = None
 
 
@@ -69,14 +70,14 @@
         return encode_event(self.body(self.stream_object, self.choice(text, None)))
 
     def closing_event(self, finish: str, usage: engine.Usage) -> bytes:
-        """Return the event that ends a stream, with its count of tokens."""
+        """Return the closing event of a stream, with its token count."""
         body = self.body(self.stream_object, self.choice("", finish), usage)
         body.count = usage.completion_tokens
         return encode_event(body)
 
     @property
     def stream_object(self) -> str:
-        """The name of streamed objects."""
+        """The object type of streamed events."""
         return "chat.completion.chunk" if self.chat else "text_completion"
 
     def choice(self, text: str, finish: str | None) -> Choice:
@@ -88,7 +89,7 @@
     def body(
         self, name: str, choice: Choice, usage: engine.Usage | None = None
     ) -> Body:
-        """Return a body with the fields that all have."""
+        """Return a body with the fields common to all bodies."""
         body = Body(id=self.request_id, object=name, model=self.model, choices=[choice])
         if usage is not None:
             total = usage.prompt_tokens + usage.completion_tokens
--- a/src/tealcove/entry/points.py
+++ b/src/tealcove/entry/points.py
@@ -1,4 +1,4 @@
-"""Which addresses callers may use: the answer of `GET /v1/entry-points`."""
+"""The addresses for callers: the answer of `GET /v1/entry-points`."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     """Addresses in the order in which to try them."""
 
     entry_points: list[EntryPoint]
-    # Seconds for which callers may keep the answer.
+    # Seconds for which callers may cache the answer.
     ttl_seconds: float
 
 
@@ -32,8 +32,8 @@
 ) -> EntryPoints:
     """Return the serving instances, the nearest data centre first.
 
-    Within a data centre the order differs from answer to answer, so that callers
-    who all take the first one spread over the instances.
+    Within a data centre the order rotates between answers, so that callers that all
+    use the first address spread over the instances.
     """
     scheme = "http" if found.http.tls is None else "https"
     serving = known.serving(now)
@@ -48,6 +48,6 @@
 
 
 def distance(found: settings.Settings, other: ids.DataCentreId) -> float:
-    """Return the delay to a data centre; unknown ones come last."""
+    """Return the delay to a data centre; an unknown one sorts last."""
     delay = found.delay_to(other)
     return UNKNOWN_DELAY if delay is None else delay
--- a/src/tealcove/entry/problem.py
+++ b/src/tealcove/entry/problem.py
@@ -1,4 +1,4 @@
-"""Answers that aren't the caller's result: `application/problem+json`."""
+"""Problem answers: `application/problem+json`."""
 
 from __future__ import annotations
 
@@ -11,27 +11,27 @@
 from tealcove.dispatch import messages
 
 CONTENT_TYPE = "application/problem+json"
-# What metrics say of a caller that left before the answer was sent; not one of the
-# answers' outcomes.
+# The outcome in metrics for a caller that disconnected before the answer was sent;
+# no answer has it.
 CALLER_GONE = "caller_gone"
 
 
 class Outcome(enum.Enum):
-    """What became of a request; docs/API.md says what callers may rely on."""
+    """The outcome of a request; docs/API.md has its guarantees to callers."""
 
     COMPLETED = "completed"
-    # Nothing of it was written to any backend server.
+    # No byte was written to any backend server.
     NOT_RUN = "not_run"
     # Dispatched and partly run; idempotent, so it is safe to send again.
     INTERRUPTED = "interrupted"
-    # Non-idempotent and dispatched; its end isn't known and it never runs again.
+    # Non-idempotent and dispatched; its outcome is unknown and it never runs again.
     UNKNOWN = "unknown"
-    # The request itself can't be served as it stands.
+    # The request is invalid or not permitted.
     REJECTED = "rejected"
 
 
 class Problem(msgspec.Struct, frozen=True, omit_defaults=True, kw_only=True):
-    """The body of an answer that isn't a result (RFC 9457)."""
+    """The body of a problem answer (RFC 9457)."""
 
     status: int
     title: str
@@ -44,7 +44,7 @@
 
 
 class ProblemError(Exception):
-    """Ends a request with a problem as its one final answer."""
+    """Raised to end a request with a problem as its one final answer."""
 
     def __init__(self, problem: Problem) -> None:
         super().__init__(problem.title)
@@ -63,7 +63,7 @@
 def not_run(
     reason: messages.RefusalReason, retry_after: float | None, detail: str = ""
 ) -> ProblemError:
-    """Return the end of a request that no backend server has seen."""
+    """Return the error for a request that no backend server has received."""
     problem = Problem(
         status=STATUS_BY_REASON.get(reason, NOT_RUN_STATUS),
         title="The request was not run",
@@ -78,7 +78,7 @@
 def interrupted(
     reason: str, detail: str = "", retry_after: float | None = None
 ) -> ProblemError:
-    """Return the end of a request that a backend server didn't finish."""
+    """Return the error for a request that a backend server didn't finish."""
     problem = Problem(
         status=INTERRUPTED_STATUS,
         title="The request was interrupted; it is safe to send it again",
@@ -93,7 +93,7 @@
 def unknown(
     reason: str, detail: str = "", retry_after: float | None = None
 ) -> ProblemError:
-    """Return the end of a non-idempotent request whose end isn't known."""
+    """Return the error for a non-idempotent request with an unknown outcome."""
     problem = Problem(
         status=UNKNOWN_STATUS,
         title="Whether the request was carried out isn't known; it won't run again",
@@ -106,7 +106,7 @@
 
 
 def rejected(status: int, title: str, detail: str = "") -> ProblemError:
-    """Return the end of a request that can't be served as it stands."""
+    """Return the error for a request that is invalid or not permitted."""
     problem = Problem(
         status=status, title=title, outcome=Outcome.REJECTED, detail=detail
     )
@@ -114,7 +114,7 @@
 
 
 def answer_not_kept() -> ProblemError:
-    """Return the end of a request that ran before and whose answer is gone."""
+    """Return the error for a completed request whose answer isn't stored."""
     problem = Problem(
         status=409,
         title="The request was carried out; its answer was too long to be kept",
@@ -125,7 +125,7 @@
 
 
 def other_request() -> ProblemError:
-    """Return the end of a request whose key belongs to another one."""
+    """Return the error for a request whose key belongs to another one."""
     return rejected(
         422,
         "The Idempotency-Key belongs to another request",
--- a/src/tealcove/entry/reply.py
+++ b/src/tealcove/entry/reply.py
@@ -1,4 +1,4 @@
-"""The response of a plain service: held whole, or read along when it's long."""
+"""The response of a plain service: buffered whole, or streamed if it's long."""
 
 from __future__ import annotations
 
@@ -9,24 +9,24 @@
 from tealcove.backends import service
 from tealcove.entry import problem
 
-# A longer response isn't held whole: callers read along while it comes.
+# A longer response isn't buffered whole: callers read it while it arrives.
 MAX_BUFFERED_BYTES = 1 << 20
 
 
 class Reader:
-    """How many parts one caller has taken."""
+    """The position of one caller: how many parts it has read."""
 
     def __init__(self, position: int) -> None:
         self.position = position
 
 
 class Reply:
-    """Parts in order; the service waits while the slowest caller is behind."""
+    """Parts in order; the service is slowed down to its slowest caller."""
 
     def __init__(self) -> None:
         self.head: service.Head | None = None
         self.parts: collections.deque[bytes] = collections.deque()
-        # The number of the first part that is still held.
+        # The index of the first part that is still buffered.
         self.first_index = 0
         self.buffered_bytes = 0
         self.is_long = False
@@ -36,11 +36,11 @@
         self.changed = asyncio.Event()
 
     def set_head(self, head: service.Head) -> None:
-        """Take in the head."""
+        """Store the response head."""
         self.head = head
 
     async def add(self, part: bytes) -> None:
-        """Take in a part, once there is room for it."""
+        """Add a part, then wait until the buffer is within its limit."""
         self.parts.append(part)
         self.buffered_bytes += len(part)
         if self.buffered_bytes > MAX_BUFFERED_BYTES:
@@ -51,7 +51,7 @@
             await self.changed.wait()
 
     def end(self, failure: Exception | None = None) -> None:
-        """Say that nothing more will come, and why when it isn't whole."""
+        """End the response; `failure` is the reason if it's incomplete."""
         if self.ended:
             return
         self.ended = True
@@ -59,14 +59,14 @@
         self.notify()
 
     def notify(self) -> None:
-        """Let those who wait look again."""
+        """Wake all waiting tasks to check the state again."""
         self.changed.set()
         self.changed = asyncio.Event()
 
     def discard_read(self) -> None:
-        """Let go of the parts of a long response that all callers have taken.
+        """Discard the parts of a long response that all callers have read.
 
-        With no caller left all of it goes, so that the call can run to its end.
+        Without any caller all parts are discarded, so that the call can complete.
         """
         if not self.is_long:
             return
@@ -78,9 +78,9 @@
         self.notify()
 
     async def wait(self) -> bool:
-        """Wait for the end or a long body; tell whether it's here whole.
+        """Wait for the end or a long body; tell whether the whole is buffered.
 
-        Raises `failure` when the response ended badly before a caller got any.
+        Raises `failure` if the response failed while it was short.
         """
         while not self.ended and not self.is_long:
             await self.changed.wait()
@@ -95,7 +95,7 @@
         return b"".join(self.parts)
 
     async def read(self, reader: Reader) -> AsyncIterator[bytes]:
-        """Yield the parts of a long body; raises `failure` at a bad end."""
+        """Yield the parts of a long body; raises `failure` if there is one."""
         while True:
             while reader.position < self.first_index + len(self.parts):
                 part = self.parts[reader.position - self.first_index]
@@ -109,9 +109,9 @@
             raise self.failure
 
     def add_reader(self) -> Reader:
-        """Return a caller that reads from the first part on.
+        """Add a caller that reads from the first part on.
 
-        Raises ProblemError when the first parts of a long body are gone.
+        Raises ProblemError if parts of a long body were already discarded.
         """
         if self.first_index > 0:
             raise problem.rejected(
@@ -124,6 +124,6 @@
         return reader
 
     def remove_reader(self, reader: Reader) -> None:
-        """Forget a caller that left."""
+        """Remove a caller that has finished or disconnected."""
         self.readers.discard(reader)
         self.discard_read()
--- a/src/tealcove/entry/sending.py
+++ b/src/tealcove/entry/sending.py
@@ -1,4 +1,4 @@
-"""How the answer of a request reaches one caller: whole, or visibly broken."""
+"""Sends the answer of a request to one caller: complete, or visibly broken."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def send_whole(answer: claim.StoredAnswer) -> web.Response:
-    """Return the response that carries a whole answer."""
+    """Return the response for a complete answer."""
     headers = multidict.CIMultiDict(answer.headers)
     return web.Response(status=answer.status, headers=headers, body=answer.body)
 
@@ -28,7 +28,7 @@
 async def stream_generation(
     request: web.Request, running: generation.EngineExchange
 ) -> web.StreamResponse:
-    """Send the answer as it grows; a broken one breaks the connection."""
+    """Stream the answer; abort the connection if it fails."""
     response = web.StreamResponse(
         headers={
             "Content-Type": generation.EVENT_STREAM,
@@ -41,7 +41,7 @@
         async for chunks in running.answer.read():
             if not response.prepared:
                 await response.prepare(request)
-            # What is there already goes out in one piece.
+            # All chunks available so far are sent in one write.
             await response.write(
                 b"".join(renderer.chunk_event(one.text) for one in chunks)
             )
@@ -58,10 +58,10 @@
 
 
 def abort(request: web.Request, response: web.StreamResponse) -> web.StreamResponse:
-    """Break the connection of a response that can't be sent to its end.
+    """Abort the connection of a response that can't be completed.
 
-    The body stays without its end, so that no client library takes the fragment
-    for the whole answer.
+    The body isn't terminated, so that no client library takes the fragment for the
+    complete answer.
     """
     if request.transport is not None:
         request.transport.abort()
@@ -85,7 +85,7 @@
 async def stream_reply(
     request: web.Request, running: forward.ServiceExchange, reader: reply.Reader
 ) -> web.StreamResponse:
-    """Send a long response as it comes; a broken one breaks the connection."""
+    """Stream a long response; abort the connection if it fails."""
     found = running.answer
     headers = fields.returned_headers(found.head, running.request.request_id)
     response = web.StreamResponse(
--- a/src/tealcove/entry/spans.py
+++ b/src/tealcove/entry/spans.py
@@ -1,4 +1,4 @@
-"""The spans of a request's way on from its entry."""
+"""Trace spans of what an entry waits for: ticket, claim and backend server."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 
 
 class RequestSpans:
-    """Spans within the span of a request; nothing where that isn't recorded."""
+    """Creates spans within a request's span; does nothing if that isn't recorded."""
 
     def __init__(self, source: telemetry.Source | None = None) -> None:
         self.source = source or telemetry.Source()
 
     @contextlib.contextmanager
     def ticket(self, pending_ticket: pending.PendingTicket) -> Iterator[None]:
-        """Watch a ticket from the asking to its grant or refusal."""
+        """Trace a ticket from its sending to its grant or refusal."""
         with self.source.step(TICKET_SPAN) as span:
             if span is not None:
                 written = telemetry.traceparent()
@@ -37,16 +37,16 @@
             yield
 
     def claim(self) -> contextlib.AbstractContextManager[trace.Span | None]:
-        """Watch a claim from the asking to the writer's reply."""
+        """Trace a claim from its sending to the writer's reply."""
         return self.source.step(CLAIM_SPAN)
 
     def server(
         self, server: engine.Server
     ) -> contextlib.AbstractContextManager[trace.Span | None]:
-        """Watch a request's run on a backend server."""
+        """Trace a request's run on a backend server."""
         return self.source.step(SERVER_SPAN, **{"tealcove.server": server.name})
 
     def add_event(self, name: str) -> None:
-        """Note an instant within the current span."""
+        """Add an event to the current span."""
         if self.source.tracing:
             trace.get_current_span().add_event(name)
--- a/src/tealcove/entry/witnessing.py
+++ b/src/tealcove/entry/witnessing.py
@@ -1,4 +1,4 @@
-"""The record of one idempotent request at a witness, and the run it may lead to."""
+"""The witness's record of an idempotent request, and takeover of a lost entry's run."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from tealcove.witness import messages as witness_messages
 from tealcove.witness import role
 
-# How long a record stays beyond the deadline of its request.
+# Seconds for which a record is kept beyond the deadline of its request.
 RETENTION_SECONDS = 10.0
 
 
 class RequestWitness:
-    """Says whether a request runs already for an entry that died."""
+    """Stores and finds the records of one request at the witness."""
 
     def __init__(
         self,
@@ -31,11 +31,11 @@
         self.request_id: ids.RequestId | None = None
 
     async def find_lost(self) -> witness_messages.Record | None:
-        """Return where an earlier sending runs whose entry is lost."""
+        """Return the record of an earlier attempt whose entry is lost."""
         return await self.witness.find_lost(self.request_key, self.fingerprint)
 
     def store(self, ticket: messages.Ticket, server: engine.Server) -> None:
-        """Leave a record of a request that is about to be dispatched."""
+        """Store a record of a request that is about to be dispatched."""
         now = clock.now()
         own = self.witness.members.own
         record = witness_messages.Record(
@@ -54,7 +54,7 @@
         self.witness.store(self.request_key, record, seconds, now)
 
     def delete(self) -> None:
-        """Have the record forgotten: the request has ended."""
+        """Delete the record of the request, which has ended."""
         if self.request_id is not None:
             self.witness.delete(self.request_key, self.request_id)
 
@@ -64,10 +64,10 @@
     found: witness_messages.Record,
     tickets: requester.Requester,
 ) -> None:
-    """Make a ticket the one that a lost entry's run has its slot by.
+    """Give a pending ticket the ids of the ticket that a lost entry's run has.
 
-    Under a ticket of its own, the run would hold two slots until the dispatcher
-    has noticed that the old entry is gone.
+    With a ticket of its own, the run would hold two slots until the dispatcher
+    detects the loss of the old entry.
     """
     pending_ticket.ticket = msgspec.structs.replace(
         pending_ticket.ticket,
@@ -82,7 +82,7 @@
 def announce_takeover(
     pending_ticket: pending.PendingTicket, tickets: requester.Requester
 ) -> None:
-    """Tell the dispatcher whose the ticket of a running request is now."""
+    """Notify the dispatcher of the new entry of a running request's ticket."""
     now = clock.now()
     ticket = pending_ticket.ticket
     tickets.pending_tickets[ticket.ticket_id] = pending_ticket
