--- a/src/tealcove/entry/tests/__init__.py
+++ b/src/tealcove/entry/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of entry."""
+"""Tests of the entry."""
--- a/src/tealcove/entry/tests/builders.py
+++ b/src/tealcove/entry/tests/builders.py
@@ -1,4 +1,4 @@
-"""An entry whose tickets are granted at once, before a service in the test."""
+"""An entry whose tickets are granted at once, with a service in the test."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def heartbeat() -> membership_messages.Heartbeat:
-    """Return what a serving instance says of itself."""
+    """Return the heartbeat of a serving instance."""
     return membership_messages.Heartbeat(
         instance=ids.InstanceId("i"),
         incarnation=ids.Incarnation("1"),
@@ -40,7 +40,7 @@
 
 
 class InstantTickets(requester.Requester):
-    """Grants the one server to every ticket and notes how each ended."""
+    """Grants the only server to every ticket and records how each ended."""
 
     def __init__(self, known: members.Members, port: int) -> None:
         spreading = spread.Spread(copy.ConfigurationCopy(), lambda centre: 0.0)
@@ -65,7 +65,7 @@
 
 
 def resource(kind: kinds.Kind, name: str, spec: kinds.Spec) -> kinds.Resource:
-    """Return a resource as a copy holds it."""
+    """Return a resource as a configuration copy holds it."""
     metadata = kinds.Metadata(
         name=name, revision=ids.Revision(1), generation=1, changed_by="ops"
     )
@@ -73,7 +73,7 @@
 
 
 def configuration() -> copy.ConfigurationCopy:
-    """Return one account, a pool of one service, and rules for two paths."""
+    """Return a configuration of one account, one service pool and one rule."""
     server = kinds.BackendServerSpec(
         name="s", host="127.0.0.1", port=1, data_centre="d"
     )
@@ -96,7 +96,7 @@
 
 
 class RunningEntry:
-    """An entry that listens, and a caller of it."""
+    """A listening entry and the session of its caller."""
 
     def __init__(self, session: aiohttp.ClientSession, entry: http.Entry) -> None:
         self.session = session
@@ -109,7 +109,7 @@
         return self.session.request(method, path, headers=headers, **more)
 
     async def wait_until_joined(self) -> None:
-        """Wait until two callers wait for the one request in progress."""
+        """Wait until two callers wait for the only request in progress."""
         (running,) = self.entry.joinable.values()
         async with asyncio.timeout(GENEROUS_SECONDS):
             while running.readers < 2:  # noqa: ASYNC110
@@ -132,7 +132,7 @@
 
 @contextlib.asynccontextmanager
 async def running(handler: Handler) -> AsyncIterator[RunningEntry]:
-    """Run an entry before a service that consists of one handler."""
+    """Run an entry that forwards to a service with one handler."""
     services = http_service.HttpServiceClient()
     await services.start()
     known = members.Members(heartbeat(), 1.0, 10.0)
--- a/src/tealcove/entry/tests/test_acceptance.py
+++ b/src/tealcove/entry/tests/test_acceptance.py
@@ -1,4 +1,4 @@
-"""What is refused before anything is asked of a dispatcher."""
+"""Models and adapters that are rejected before a slot is asked for."""
 
 from __future__ import annotations
 
@@ -18,12 +18,13 @@
 
 
 @pytest.mark.parametrize(("model", "adapter"), [("other", None), ("m", "other")])
-def test_what_no_engine_will_have_is_rejected(model: str, adapter: str | None) -> None:
-    """A caller with a misspelt model is told to come back later, for ever.
+def test_an_undeclared_model_or_adapter_is_rejected(
+    model: str, adapter: str | None
+) -> None:
+    """A request with a misspelt model would be answered "retry later" indefinitely.
 
-    Symptom: `not_run`, reason `no_backend_server`, however often it's sent again.
-    Sequence: a routing rule matches, and the pool doesn't have the model.
-    Cause: only the engines knew, and a missing model looked like a missing engine.
+    A routing rule matches, but the pool doesn't have the model. Without the check,
+    a missing model looks like a missing engine: `not_run`, `no_backend_server`.
     """
     with pytest.raises(problem.ProblemError) as raised:
         acceptance.check_model(wanted(model, adapter), POOL)
@@ -32,9 +33,11 @@
 
 
 @pytest.mark.parametrize(("model", "adapter"), [("m", None), ("m", "a")])
-def test_what_the_pool_declares_is_accepted(model: str, adapter: str | None) -> None:
+def test_a_declared_model_or_adapter_is_accepted(
+    model: str, adapter: str | None
+) -> None:
     acceptance.check_model(wanted(model, adapter), POOL)
 
 
-def test_a_pool_that_declares_nothing_leaves_it_to_its_engines() -> None:
+def test_a_pool_that_declares_no_models_accepts_any() -> None:
     acceptance.check_model(wanted("any", "any"), kinds.EnginePoolSpec())
--- a/src/tealcove/entry/tests/test_bodies.py
+++ b/src/tealcove/entry/tests/test_bodies.py
@@ -1,4 +1,4 @@
-"""Bodies that are too long, too slow, or not what their headers say."""
+"""Request bodies that are too long, too slow, or don't match their headers."""
 
 from __future__ import annotations
 
@@ -23,13 +23,11 @@
         return response.status
 
 
-async def test_bodies_that_cannot_be_taken_are_rejected() -> None:
-    """A caller that keeps what it was lent.
+async def test_unreadable_bodies_are_rejected() -> None:
+    """Memory would never be freed, or a caller's error would be answered with 500.
 
-    Symptom: memory that never comes back, or an answer 500 for a fault of the
-    caller's. Sequence: a caller sends a part of its body and then nothing, or a
-    body in another coding than its header names. Cause: reading had no time limit,
-    and only the length was checked.
+    A caller sends a part of its body and then nothing, or a body in another coding
+    than its header names. Reading needs a time limit, and decoding errors a check.
     """
     ended = asyncio.Event()
 
--- a/src/tealcove/entry/tests/test_crash.py
+++ b/src/tealcove/entry/tests/test_crash.py
@@ -1,4 +1,4 @@
-"""A plain service that dies with a call."""
+"""A plain service that crashes during a call."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     return engine.Server(ids.BackendServerId("s"), "127.0.0.1", port)
 
 
-async def test_only_a_closed_port_counts_as_gone() -> None:
+async def test_only_a_closed_port_refuses_connections() -> None:
     async with builders.listening([]) as port:
         assert not await reach.refuses(local(port))
     assert await reach.refuses(local(port))
@@ -25,14 +25,13 @@
     ("gone", "outcome"),
     [(True, messages.Outcome.CRASHED), (False, messages.Outcome.FAILED)],
 )
-async def test_a_call_whose_service_is_gone_is_told_as_a_crash(
+async def test_a_call_whose_service_is_gone_is_reported_as_a_crash(
     monkeypatch: pytest.MonkeyPatch, gone: bool, outcome: messages.Outcome
 ) -> None:
-    """A call that kills service after service.
+    """A retried call would crash all servers of a plain service one by one.
 
-    Symptom: all servers of a plain service die. Sequence: a call crashes the one
-    that serves it, and its caller sends it again. Cause: a broken connection
-    alone says nothing of the server, so the call is never suspected.
+    A call crashes the server that runs it, and its caller sends it again. A broken
+    connection alone doesn't show a crash, so the call would never be suspected.
     """
 
     async def refuses(server: engine.Server) -> bool:
--- a/src/tealcove/entry/tests/test_entry_points.py
+++ b/src/tealcove/entry/tests/test_entry_points.py
@@ -1,4 +1,4 @@
-"""The addresses that callers are told."""
+"""The addresses that are returned to callers."""
 
 from __future__ import annotations
 
@@ -12,12 +12,11 @@
     raise AssertionError("nothing may be forwarded")
 
 
-async def test_an_instance_that_knows_no_address_says_so() -> None:
-    """Callers keep an empty list, and send nothing for as long as they keep it.
+async def test_without_any_address_the_answer_is_a_problem() -> None:
+    """Callers cache an empty list and send nothing until its time to live ends.
 
-    Symptom: requests of a caller fail for seconds although instances serve.
-    Sequence: the caller asks an instance that has just started and heard nobody.
-    Cause: an answer without any address, with the usual time to live.
+    A caller asks an instance that has just started and received no heartbeat. Its
+    requests would fail for seconds although other instances serve.
     """
     async with builders.running(never) as found:
         known = found.entry.members
--- a/src/tealcove/entry/tests/test_forward.py
+++ b/src/tealcove/entry/tests/test_forward.py
@@ -15,7 +15,7 @@
 LONG = 4 * reply.MAX_BUFFERED_BYTES
 
 
-async def test_a_call_goes_through_whole_and_without_the_key() -> None:
+async def test_a_call_is_forwarded_complete_and_without_the_key() -> None:
     seen: list[web.Request] = []
 
     async def handler(request: web.Request) -> web.Response:
@@ -41,7 +41,7 @@
     assert seen[1].raw_path == "/app/a%2Fb?c=d%26"
     assert seen[1].headers["X-Request-Id"] == shown
     assert seen[1].headers["X-Kept"] == "here"
-    # The cookie that one caller was given must not come with another's call.
+    # A cookie set for one caller must not be sent with another caller's call.
     for name in ("Authorization", "X-Mine", "Cookie"):
         assert name not in seen[1].headers
 
@@ -92,11 +92,11 @@
 
 
 @pytest.mark.parametrize("cut", [False, True])
-async def test_a_long_response_is_whole_or_visibly_broken(cut: bool) -> None:
-    """A caller takes half of a long response for all of it.
+async def test_a_long_response_is_complete_or_visibly_broken(cut: bool) -> None:
+    """A caller would take a part of a long response for all of it.
 
-    Events: the service's connection breaks after the entry has begun to pass the
-    response on. Cause: the entry ends its own response in order.
+    The service's connection breaks after the entry has begun to pass the response
+    on. The entry must not terminate its own response normally then.
     """
 
     async def handler(request: web.Request) -> web.StreamResponse:
@@ -135,10 +135,10 @@
 
 
 async def test_the_same_key_joins_and_another_body_is_rejected() -> None:
-    """Two callers with one key get one run, unless their requests differ.
+    """Two callers with the same key share one run, unless their requests differ.
 
-    Symptom: a caller gets the answer to a request that it never sent. Cause: a
-    key was used twice by mistake, and only the key was compared.
+    A key is used twice by mistake. If only keys were compared, a caller would get
+    the answer to a request that it never sent.
     """
     arrived = asyncio.Event()
     go_on = asyncio.Event()
--- a/src/tealcove/witness/__init__.py
+++ b/src/tealcove/witness/__init__.py
@@ -1,1 +1,1 @@
-"""Records of where idempotent requests run, kept in the memory of other instances."""
+"""Records of where idempotent requests run, held in the memory of other instances."""
--- a/src/tealcove/witness/messages.py
+++ b/src/tealcove/witness/messages.py
@@ -1,4 +1,4 @@
-"""Messages between entries and the instances that keep their records."""
+"""Messages between entries and the instances that hold their records."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 
 
 class RequestKey(msgspec.Struct, frozen=True, array_like=True):
-    """What a caller names a request by, the same however often it sends it."""
+    """The account and idempotency key of a request, the same for every attempt."""
 
     account: ids.AccountId
     key: ids.IdempotencyKey
 
 
 class Record(msgspec.Struct, frozen=True, array_like=True):
-    """Where a request runs and for whom; nothing of its prompt or answer."""
+    """The server and the entry of a running request; neither prompt nor answer."""
 
-    # Of method, path and body: a key may come back with another request.
+    # Digest of method, path and body: the key may be reused for another request.
     fingerprint: str
-    # The id under which the engine knows the run.
+    # The engine's id of the run.
     request_id: ids.RequestId
     # The ticket that holds the run's slot, and the cell of its dispatcher.
     ticket_id: ids.TicketId
@@ -33,7 +33,7 @@
 
 
 class StoreRecord(message.Message, tag="Left"):
-    """Keep a record for so many seconds, or until the request has ended."""
+    """Asks to store a record for some seconds, or until the request has ended."""
 
     request_key: RequestKey
     record: Record
@@ -41,21 +41,21 @@
 
 
 class DeleteRecord(message.Message, tag="Dropped"):
-    """The request has ended at its entry."""
+    """Asks to delete a record, because its request has ended."""
 
     request_key: RequestKey
     request_id: ids.RequestId
 
 
 class RecordQuery(message.Message, tag="Asked"):
-    """Is there a record? Also asked of a record's entry, to see if it lives."""
+    """Asks for a record; also sent to a record's entry, to check that it's alive."""
 
     query_number: int
     request_key: RequestKey
 
 
 class RecordReply(message.Message, tag="Told"):
-    """The answer, and which process gave it."""
+    """The reply to a query, with the process that sent it."""
 
     query_number: int
     incarnation: ids.Incarnation
--- a/src/tealcove/witness/records.py
+++ b/src/tealcove/witness/records.py
@@ -1,4 +1,4 @@
-"""The records that this instance keeps for others."""
+"""The records that this instance holds for other instances."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 from tealcove import ids
 from tealcove.witness import messages
 
-# About 1 kB each. The oldest goes first: a request that was sent again finds no
-# record then, and runs a second time as it would without any.
+# About 1 kB each. The oldest is evicted first; a retried request whose record is
+# evicted runs a second time, as it would without a witness.
 MAX_RECORDS = 20_000
 
 
 class StoredRecord(msgspec.Struct, frozen=True):
-    """A record and when it's of no more use."""
+    """A record and its time of expiry."""
 
     record: messages.Record
     expires_at: ids.Instant
@@ -30,7 +30,7 @@
         )
 
     def store(self, sent: messages.StoreRecord, now: ids.Instant) -> None:
-        """Keep a record in place of an older one."""
+        """Store a record; replaces an older one of the same request key."""
         self.by_key.pop(sent.request_key, None)
         self.by_key[sent.request_key] = StoredRecord(
             sent.record, ids.Instant(now + sent.seconds)
@@ -39,7 +39,7 @@
             self.by_key.popitem(last=False)
 
     def delete(self, deleted: messages.DeleteRecord) -> None:
-        """Forget a record, unless another run has replaced it."""
+        """Delete a record, unless another run has replaced it."""
         found = self.by_key.get(deleted.request_key)
         if found is not None and found.record.request_id == deleted.request_id:
             del self.by_key[deleted.request_key]
--- a/src/tealcove/witness/role.py
+++ b/src/tealcove/witness/role.py
@@ -1,4 +1,4 @@
-"""The witness: leaves records at other instances, keeps theirs, and asks."""
+"""The witness: stores records at other instances, holds theirs, and queries them."""
 
 from __future__ import annotations
 
@@ -11,28 +11,28 @@
 from tealcove.peers import mesh, message
 from tealcove.witness import messages, records
 
-# Instances in rank order that may have a record: the entry that left it chose
-# the first other than itself, and may be the first of all.
+# How many of the first instances in rank may have a record: its entry stored it at
+# the first one other than itself, and may itself be the first.
 QUERIED_INSTANCES = 2
-# Places share so many rankings: one ranking hashes once for each instance, too
-# much for each request at full size.
+# Number of rankings that all request keys share: a ranking takes one hash per
+# instance, too costly for each request in a deployment of full size.
 RANKING_BUCKETS = 1024
 BUCKET_BYTES = 4
 
 
 class PendingQuery:
-    """Something asked of a few instances at once."""
+    """A query sent to several instances at once."""
 
     def __init__(self, count: int, wanted_incarnation: ids.Incarnation | None) -> None:
         self.outstanding = count
-        # The process to hear from; absent: whoever has a record.
+        # The process that must reply; None: any that has a record.
         self.wanted_incarnation = wanted_incarnation
         self.answer: asyncio.Future[messages.RecordReply | None] = (
             asyncio.get_running_loop().create_future()
         )
 
     def add_reply(self, reply: messages.RecordReply) -> None:
-        """Take one answer in; the first wanted one, or the last, is the end."""
+        """Add a reply; the first wanted one, or the last, completes the query."""
         self.outstanding -= 1
         if self.answer.done():
             return
@@ -46,26 +46,26 @@
 
 
 class Witness:
-    """Both sides: the entry's, and that of the instance in whose memory it writes."""
+    """Both sides: the entry, and the instance that holds its records in memory."""
 
     def __init__(
         self, transport: mesh.Mesh, known: members.Members, timeout: float
     ) -> None:
         self.transport = transport
         self.members = known
-        # Seconds to wait for an answer. Who is alive answers in a few milliseconds;
-        # a first sending waits for so long only if an instance died a moment ago
-        # and isn't missed yet.
+        # Seconds to wait for a reply. A live instance replies within a few
+        # milliseconds; the first attempt of a request waits for the whole timeout
+        # only if an instance died a moment ago and isn't detected as dead yet.
         self.timeout = timeout
         self.records = records.Records()
         self.queries: dict[int, PendingQuery] = {}
         self.query_numbers = itertools.count()
-        # Where the records of this entry's requests are.
+        # The instances that hold the records of this entry's requests.
         self.holders: dict[ids.RequestId, ids.InstanceId] = {}
         self.rankings: dict[int, list[ids.InstanceId]] = {}
 
     def start(self) -> None:
-        """Begin to keep records and to answer."""
+        """Register the message handlers."""
         self.transport.handle(
             messages.StoreRecord,
             lambda sender, stored: self.records.store(stored, clock.now()),
@@ -85,8 +85,8 @@
     ) -> list[ids.InstanceId]:
         """Rank the serving instances for a key, those of this data centre first.
 
-        Callers send again to a near entry, and a question to a far data centre
-        would cost each request a round trip.
+        Callers retry at a near entry, and a query to a distant data centre would
+        cost each request a long round trip.
         """
         text = f"{request_key.account}/{request_key.key}".encode()
         digest = hashlib.blake2b(text, digest_size=BUCKET_BYTES).digest()
@@ -105,7 +105,7 @@
         seconds: float,
         now: ids.Instant,
     ) -> None:
-        """Leave a record at another instance, without waiting for it."""
+        """Store a record at another instance, without waiting for it."""
         own = self.members.own.instance
         holder = next((i for i in self.rank(request_key, now) if i != own), None)
         if holder is not None:
@@ -118,7 +118,7 @@
     def delete(
         self, request_key: messages.RequestKey, request_id: ids.RequestId
     ) -> None:
-        """Have the record of a request that has ended forgotten."""
+        """Delete the record of a request that has ended."""
         holder = self.holders.pop(request_id, None)
         if holder is not None:
             self.send(
@@ -129,7 +129,7 @@
     async def find_lost(
         self, request_key: messages.RequestKey, fingerprint: str
     ) -> messages.Record | None:
-        """Return the record of the same request if its entry doesn't answer."""
+        """Return the record of the same request if its entry doesn't reply."""
         found = self.records.find(request_key, clock.now())
         if found is None:
             found = await self.query_witnesses(request_key)
@@ -140,7 +140,7 @@
     async def query_witnesses(
         self, request_key: messages.RequestKey
     ) -> messages.Record | None:
-        """Ask the instances that may have a record."""
+        """Query the instances that may have a record."""
         own = self.members.own.instance
         ranked = self.rank(request_key, clock.now())[:QUERIED_INSTANCES]
         reply = await self.query([i for i in ranked if i != own], request_key)
@@ -149,7 +149,7 @@
     async def is_alive(
         self, record: messages.Record, request_key: messages.RequestKey
     ) -> bool:
-        """Ask a record's entry, since heartbeats miss it a second late."""
+        """Query a record's entry, since heartbeats detect its loss a second late."""
         alive = {(h.instance, h.incarnation) for h in self.members.alive(clock.now())}
         if (record.entry, record.incarnation) not in alive:
             return False
@@ -162,7 +162,7 @@
         request_key: messages.RequestKey,
         wanted_incarnation: ids.Incarnation | None = None,
     ) -> messages.RecordReply | None:
-        """Return the first answer with a record, or any of the wanted process."""
+        """Return the first reply with a record, or the one of the wanted process."""
         if not instances:
             return None
         number = next(self.query_numbers)
@@ -184,7 +184,7 @@
     def handle_query(
         self, sender: ids.InstanceId, query: messages.RecordQuery, now: ids.Instant
     ) -> None:
-        """Answer from memory."""
+        """Reply with the record from memory, if there is one."""
         reply = messages.RecordReply(
             query_number=query.query_number,
             incarnation=self.members.own.incarnation,
@@ -193,7 +193,7 @@
         self.send(sender, reply)
 
     def handle_reply(self, sender: ids.InstanceId, reply: messages.RecordReply) -> None:
-        """Take in an answer; a late one is dropped."""
+        """Add a reply to its query; drop a late one."""
         pending = self.queries.get(reply.query_number)
         if pending is not None:
             pending.add_reply(reply)
--- a/src/tealcove/witness/tests/builders.py
+++ b/src/tealcove/witness/tests/builders.py
@@ -1,4 +1,4 @@
-"""Instances with witnesses whose messages arrive at once, or never."""
+"""Instances with witnesses whose messages are delivered at once, or never."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from tealcove.peers import endpoint, message
 from tealcove.witness import messages, role
 
-# Nobody falls silent unless a test says so; a machine at its limits mustn't.
+# Heartbeats never time out, since an overloaded machine would cause false timeouts.
 NEVER = 1e9
 TIMEOUT = 0.02
 
 
 class Link:
-    """Takes the place of `mesh.Mesh` at one instance."""
+    """A fake `mesh.Mesh` of one instance."""
 
     def __init__(self, number: int, links: dict[int, Link]) -> None:
         self.number = number
@@ -29,7 +29,7 @@
         self.handlers[message_type] = handler
 
     def send(self, peer: endpoint.Endpoint, sent: message.Message) -> bool:
-        """Hand a message over soon, unless the other has died meanwhile."""
+        """Deliver a message soon, unless the receiver has died meanwhile."""
         asyncio.get_running_loop().call_soon(self.deliver, peer.port, sent)
         return True
 
@@ -66,11 +66,11 @@
         return found
 
     def kill(self, number: int) -> None:
-        """Let an instance die; the others don't miss it yet."""
+        """Kill an instance; the others don't detect it yet."""
         del self.links[number]
 
     async def store(self, number: int, key: str = "k") -> messages.Record:
-        """Leave the record of a request of an entry, and let it arrive."""
+        """Store the record of an entry's request, and wait until it has arrived."""
         found = record(number, key)
         self.witnesses[number].store(request_key(key), found, 60.0, ids.Instant(0.0))
         await asyncio.sleep(0)
--- a/src/tealcove/witness/tests/test_witness.py
+++ b/src/tealcove/witness/tests/test_witness.py
@@ -1,4 +1,4 @@
-"""Who finds which record, and who doesn't."""
+"""Which instances find which record."""
 
 from __future__ import annotations
 
@@ -26,10 +26,10 @@
 
 
 async def test_every_instance_finds_the_record_of_a_dead_entry() -> None:
-    """A request runs twice. Cause: the next entry asks others than its witness.
+    """A request runs twice if the next entry queries other instances than the holder.
 
-    Events: each key ranks the instances in another order, the dead entry and the
-    one that asks among them; the dead one isn't missed yet.
+    Each key ranks the instances in another order, including the dead entry and the
+    one that queries; the dead one isn't detected as dead yet.
     """
     cluster = builders.Cluster(4)
     stored = {f"k{n}": await cluster.store(ENTRY, f"k{n}") for n in range(60)}
@@ -40,15 +40,15 @@
             assert found == record
 
 
-async def test_a_record_whose_entry_lives_leads_nowhere() -> None:
-    """A caller that leaves one entry cancels the run that another reads along."""
+async def test_a_record_of_a_live_entry_is_not_returned() -> None:
+    """A caller that leaves one entry would cancel the run that another one reads."""
     cluster = builders.Cluster(3)
     await cluster.store(ENTRY)
     assert await cluster.witnesses[OTHER].find_lost(builders.request_key(), "f") is None
 
 
 async def test_an_entry_that_was_restarted_under_its_name_counts_as_lost() -> None:
-    """The successor answers in place of the dead entry, whose run is lost then."""
+    """The restarted process replies under the dead entry's name, without its run."""
     cluster = builders.Cluster(3)
     record = await cluster.store(ENTRY)
     cluster.witnesses[ENTRY].members.update_own(incarnation=ids.Incarnation("second"))
@@ -56,7 +56,7 @@
     assert found == record
 
 
-async def test_an_entry_that_is_missed_isn_t_asked() -> None:
+async def test_an_entry_known_to_be_dead_is_not_queried() -> None:
     cluster = builders.Cluster(3)
     record = await cluster.store(ENTRY)
     gone = msgspec.structs.replace(
@@ -84,14 +84,14 @@
     assert cluster.witnesses[ENTRY].holders == {}
 
 
-async def test_an_instance_alone_leaves_and_asks_nothing() -> None:
+async def test_a_single_instance_stores_and_queries_nothing() -> None:
     cluster = builders.Cluster(1)
     await cluster.store(ENTRY)
     assert await cluster.witnesses[ENTRY].find_lost(builders.request_key(), "f") is None
     assert cluster.witnesses[ENTRY].holders == {}
 
 
-def test_a_late_end_of_an_earlier_run_leaves_the_later_one_s_record() -> None:
+def test_a_late_deletion_for_an_earlier_run_keeps_the_later_record() -> None:
     memory = records.Records()
     memory.store(store_message(number=0), NOW)
     memory.store(store_message(number=1), NOW)
@@ -103,7 +103,7 @@
     assert memory.find(builders.request_key(), NOW) == builders.record(1)
 
 
-def test_records_end_by_time_and_by_number() -> None:
+def test_records_are_bounded_by_age_and_by_number() -> None:
     memory = records.Records()
     memory.store(store_message("short", seconds=1.0), NOW)
     assert memory.find(builders.request_key("short"), ids.Instant(NOW + 1.0)) is None
