--- a/src/tealcove/entry/acceptance.py
+++ b/src/tealcove/entry/acceptance.py
@@ -182,9 +182,9 @@
 def fingerprint(received: Received) -> str:
     """Return a digest of method, target and body, to compare requests by."""
     http = received.http
-    return content.digest_call(http.method, target(http), received.body)
+    return content.digest_call(http.method, raw_target(http), received.body)
 
 
-def target(http: web.Request) -> str:
+def raw_target(http: web.Request) -> str:
     """Return the path and query as the caller encoded them."""
     return http.rel_url.raw_path_qs
--- a/src/tealcove/entry/answer.py
+++ b/src/tealcove/entry/answer.py
@@ -21,7 +21,7 @@
     def __init__(self) -> None:
         self.chunks: list[engine.Chunk] = []
         self.next_index = 0
-        self.early: dict[int, engine.Chunk] = {}
+        self.early_chunks: dict[int, engine.Chunk] = {}
         self.usage: engine.Usage | None = None
         self.finish: str | None = None
         self.ended = False
@@ -40,11 +40,11 @@
             return
         if chunk.index < self.next_index:
             raise GapError
-        self.early[chunk.index] = chunk
-        if len(self.early) > MAX_EARLY_CHUNKS:
+        self.early_chunks[chunk.index] = chunk
+        if len(self.early_chunks) > MAX_EARLY_CHUNKS:
             raise GapError
-        while not self.is_whole and self.next_index in self.early:
-            self.append(self.early.pop(self.next_index))
+        while not self.is_complete and self.next_index in self.early_chunks:
+            self.append(self.early_chunks.pop(self.next_index))
 
     def append(self, chunk: engine.Chunk) -> None:
         """Append the next chunk in order."""
@@ -57,7 +57,7 @@
         self.changed.set()
 
     @property
-    def is_whole(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether the closing event and all tokens before it have arrived."""
         return self.finish is not None
 
--- a/src/tealcove/entry/caller.py
+++ b/src/tealcove/entry/caller.py
@@ -18,7 +18,7 @@
     default_deadline: float
 
 
-def identify(header: str | None, configuration: copy.Configuration) -> Caller:
+def authenticate(header: str | None, configuration: copy.Configuration) -> Caller:
     """Return the caller of an Authorization header; raises ProblemError.
 
     The timing of the lookup reveals nothing about a key: a guess that is partly
--- a/src/tealcove/entry/claiming.py
+++ b/src/tealcove/entry/claiming.py
@@ -98,7 +98,7 @@
     def error_for(self, found: claim.Claim) -> Exception:
         """Return the error for a request whose claim another attempt holds."""
         if found.fingerprint != self.fingerprint:
-            return problem.other_request()
+            return problem.key_reused()
         if found.state is claim.State.COMPLETED:
             if found.answer is None:
                 return problem.answer_not_kept()
@@ -112,7 +112,7 @@
     async def record_end(
         self,
         state: lifecycle.State,
-        whole_answer: Callable[[], claim.StoredAnswer | None],
+        complete_answer: Callable[[], claim.StoredAnswer | None],
     ) -> None:
         """Record in the table how the request ended, after it was answered.
 
@@ -126,7 +126,7 @@
                 await self.claims.release(self.held)
             else:
                 await self.claims.record(
-                    self.held, self.ended_claim(state, whole_answer)
+                    self.held, self.ended_claim(state, complete_answer)
                 )
         except Exception:
             # Nothing awaits this task's result: without the log line, the only sign
@@ -139,14 +139,14 @@
     def ended_claim(
         self,
         state: lifecycle.State,
-        whole_answer: Callable[[], claim.StoredAnswer | None],
+        complete_answer: Callable[[], claim.StoredAnswer | None],
     ) -> claim.Claim:
         """Return the final claim of a request that was dispatched."""
         if state is not lifecycle.State.COMPLETED:
             return msgspec.structs.replace(
                 self.held.claim, server=self.server, state=claim.State.UNKNOWN
             )
-        answer = whole_answer()
+        answer = complete_answer()
         return msgspec.structs.replace(
             self.held.claim,
             server=self.server,
--- a/src/tealcove/entry/exchange.py
+++ b/src/tealcove/entry/exchange.py
@@ -73,7 +73,7 @@
         """Return the tokens that were processed."""
 
     @abc.abstractmethod
-    def whole_answer(self) -> claim.StoredAnswer | None:
+    def complete_answer(self) -> claim.StoredAnswer | None:
         """Return the answer of a completed request; None if it's too long to store."""
 
     def predicted_tokens(self) -> int:
@@ -103,7 +103,7 @@
         finally:
             self.settle_charge()
         if self.claim is not None:
-            await self.claim.record_end(self.state.state, self.whole_answer)
+            await self.claim.record_end(self.state.state, self.complete_answer)
 
     async def check_earlier_claim(self, refusal: problem.ProblemError) -> Exception:
         """Return the error for a request that ends with a problem."""
--- a/src/tealcove/entry/fields.py
+++ b/src/tealcove/entry/fields.py
@@ -27,14 +27,14 @@
 REQUEST_ID = "x-request-id"
 CONTENT_ENCODING = "content-encoding"
 # Codings that aiohttp's server decodes when it reads a request's body.
-UNDONE_CODINGS = frozenset({"br", "deflate", "gzip", "zstd"})
+DECODED_CODINGS = frozenset({"br", "deflate", "gzip", "zstd"})
 
 
 def forwarded_headers(headers: Mapping[str, str]) -> service.Headers:
     """Return the headers of a caller that are forwarded to the service."""
     pairs = tuple((str(name), value) for name, value in headers.items())
     kept = end_to_end(pairs, NOT_FORWARDED)
-    return tuple(pair for pair in kept if not is_undone_coding(*pair))
+    return tuple(pair for pair in kept if not is_decoded_coding(*pair))
 
 
 def returned_headers(head: service.Head, request_id: str) -> service.Headers:
@@ -43,7 +43,7 @@
     return (*kept, ("X-Request-Id", request_id))
 
 
-def length_of(head: service.Head) -> service.Headers:
+def content_length(head: service.Head) -> service.Headers:
     """Return the Content-Length header, if there is one."""
     return tuple(p for p in head.headers if p[0].lower() == CONTENT_LENGTH)
 
@@ -55,6 +55,6 @@
     return tuple(p for p in headers if p[0].lower() not in dropped | named)
 
 
-def is_undone_coding(name: str, value: str) -> bool:
+def is_decoded_coding(name: str, value: str) -> bool:
     """Tell whether a header names a coding that was already decoded."""
-    return name.lower() == CONTENT_ENCODING and value.lower() in UNDONE_CODINGS
+    return name.lower() == CONTENT_ENCODING and value.lower() in DECODED_CODINGS
--- a/src/tealcove/entry/forward.py
+++ b/src/tealcove/entry/forward.py
@@ -63,7 +63,7 @@
         work = self.request.work
         return engine.Usage(work.prompt_tokens, 0, work.output_tokens)
 
-    def whole_answer(self) -> claim.StoredAnswer | None:
+    def complete_answer(self) -> claim.StoredAnswer | None:
         """See Exchange."""
         found = self.answer
         if found.is_long:
@@ -71,5 +71,5 @@
         headers = fields.returned_headers(found.head, self.request.request_id)
         if self.call.method == "HEAD" or found.head.status == NOT_MODIFIED:
             # The length is that of the body that a GET would return.
-            headers += fields.length_of(found.head)
+            headers += fields.content_length(found.head)
         return claim.StoredAnswer(found.head.status, headers, found.body())
--- a/src/tealcove/entry/generation.py
+++ b/src/tealcove/entry/generation.py
@@ -111,10 +111,10 @@
         with contextlib.suppress(engine.BrokenStreamError, answer.GapError):
             await self.collect(pending_ticket, stream)
         for _ in range(RESUME_ATTEMPTS):
-            if self.answer.is_whole:
+            if self.answer.is_complete:
                 return
             await self.resume(pending_ticket, server)
-        if not self.answer.is_whole:
+        if not self.answer.is_complete:
             raise failures.CrashError(server.name)
 
     async def resume(
@@ -124,7 +124,7 @@
 
         This isn't a second dispatch: the engine continues the same run.
         """
-        self.answer.early.clear()
+        self.answer.early_chunks.clear()
         offset = self.answer.next_index
         stream = self.engines.resume(server, self.run_id, offset)
         try:
@@ -203,7 +203,7 @@
         call = self.call
         return openai.Renderer(self.request.request_id, call.model, call.chat)
 
-    def whole_answer(self) -> claim.StoredAnswer:
+    def complete_answer(self) -> claim.StoredAnswer:
         """See Exchange; for a streamed request, the body is its events."""
         found = self.answer
         renderer = self.renderer()
--- a/src/tealcove/entry/http.py
+++ b/src/tealcove/entry/http.py
@@ -90,7 +90,7 @@
         An instance that knows of none yet answers with a problem. Callers would
         cache an empty list for its time to live, and send nothing meanwhile.
         """
-        found = points.find(self.members, self.settings, clock.now())
+        found = points.list_entry_points(self.members, self.settings, clock.now())
         if not found.entry_points:
             reason = messages.RefusalReason.NOT_READY
             error = problem.not_run(reason, 1.0, self.alternatives())
@@ -165,14 +165,14 @@
     async def answer(self, request: web.Request, serve: Handler) -> web.StreamResponse:
         """Answer one request; a problem or a stored answer becomes its final answer."""
         request_id = ids.new_request_id()
-        with self.observer.request(request, request_id) as observed:
+        with self.observer.observe(request, request_id) as observed:
             try:
                 received = await self.receive(request, request_id)
                 return await serve(received, observed)
             except problem.ProblemError as error:
                 return observed.respond_problem(error.problem)
             except claiming.KeptAnswerError as error:
-                return sending.send_whole(error.answer)
+                return sending.build_response(error.answer)
 
     async def receive(
         self, request: web.Request, request_id: ids.RequestId
@@ -180,7 +180,7 @@
         """Return the request with its caller and body; raises ProblemError."""
         self.check_accepting()
         header = request.headers.get("Authorization")
-        sender = caller.identify(header, self.configuration.current)
+        sender = caller.authenticate(header, self.configuration.current)
         body = await self.read_body(request)
         return acceptance.Received(request_id, sender, request, body)
 
@@ -225,7 +225,9 @@
 
     def alternatives(self) -> str:
         """Return a sentence with the addresses that a caller may try instead."""
-        found = points.find(self.members, self.settings, clock.now()).entry_points
+        found = points.list_entry_points(
+            self.members, self.settings, clock.now()
+        ).entry_points
         if not found:
             return "This instance reaches no other; use another address you know."
         return "Use " + " or ".join(point.url for point in found) + "."
@@ -240,7 +242,7 @@
         if running is None or running.state.state is lifecycle.State.NOT_RUN:
             return None
         if running.request.fingerprint != accepted.fingerprint:
-            raise problem.other_request()
+            raise problem.key_reused()
         return running
 
     def new_claim(self, accepted: admitted.Request) -> claiming.RequestClaim | None:
@@ -315,7 +317,7 @@
     return service.Call(
         request_id=received.request_id,
         method=http.method,
-        target=acceptance.target(http),
+        target=acceptance.raw_target(http),
         headers=fields.forwarded_headers(http.headers),
         body=received.body,
     )
--- a/src/tealcove/entry/lifecycle.py
+++ b/src/tealcove/entry/lifecycle.py
@@ -77,7 +77,9 @@
         MACHINE.events["lose"].trigger(self)
 
 
-def step(trigger: str, sources: tuple[State, ...], to: State) -> dict[str, object]:
+def transition(
+    trigger: str, sources: tuple[State, ...], to: State
+) -> dict[str, object]:
     """Return a transition in the format of `transitions.Machine`."""
     return {"trigger": trigger, "source": list(sources), "dest": to}
 
@@ -88,13 +90,13 @@
     initial=State.ACCEPTED,
     auto_transitions=False,
     transitions=[
-        step("wait", UNSENT, State.WAITING),
-        step("claim", (State.WAITING,), State.CLAIMED),
-        step("dispatch", (State.WAITING,), State.DISPATCHED),
-        step("dispatch_claimed", (State.CLAIMED,), State.DISPATCHED),
-        step("complete", (State.DISPATCHED,), State.COMPLETED),
-        step("give_up", UNSENT, State.NOT_RUN),
-        step("interrupt", (State.DISPATCHED,), State.INTERRUPTED),
-        step("lose", (State.DISPATCHED,), State.UNKNOWN),
+        transition("wait", UNSENT, State.WAITING),
+        transition("claim", (State.WAITING,), State.CLAIMED),
+        transition("dispatch", (State.WAITING,), State.DISPATCHED),
+        transition("dispatch_claimed", (State.CLAIMED,), State.DISPATCHED),
+        transition("complete", (State.DISPATCHED,), State.COMPLETED),
+        transition("give_up", UNSENT, State.NOT_RUN),
+        transition("interrupt", (State.DISPATCHED,), State.INTERRUPTED),
+        transition("lose", (State.DISPATCHED,), State.UNKNOWN),
     ],
 )
--- a/src/tealcove/entry/observer.py
+++ b/src/tealcove/entry/observer.py
@@ -25,7 +25,7 @@
     ) -> None:
         self.http = http
         self.request_id = request_id
-        self.began = now
+        self.started_at = now
         self.running: exchange.Exchange | None = None
         self.problem: problem.Problem | None = None
 
@@ -82,7 +82,7 @@
         )
 
     @contextlib.contextmanager
-    def request(
+    def observe(
         self, http: web.Request, request_id: ids.RequestId
     ) -> Iterator[ObservedRequest]:
         """Observe one caller's request inside its span."""
@@ -135,9 +135,11 @@
         first = observed.running.first_token_at
         if first is not None:
             # A caller that joins a request in progress may arrive after the token.
-            self.first_tokens.record(max(0.0, first - observed.began), {"tier": tier})
+            self.first_tokens.record(
+                max(0.0, first - observed.started_at), {"tier": tier}
+            )
         if outcome == COMPLETED:
-            self.durations.record(now - observed.began, {"tier": tier})
+            self.durations.record(now - observed.started_at, {"tier": tier})
 
 
 def describe(
--- a/src/tealcove/entry/points.py
+++ b/src/tealcove/entry/points.py
@@ -27,7 +27,7 @@
     ttl_seconds: float
 
 
-def find(
+def list_entry_points(
     known: members.Members, found: settings.Settings, now: ids.Instant
 ) -> EntryPoints:
     """Return the serving instances, the nearest data centre first.
--- a/src/tealcove/entry/problem.py
+++ b/src/tealcove/entry/problem.py
@@ -124,7 +124,7 @@
     return ProblemError(problem)
 
 
-def other_request() -> ProblemError:
+def key_reused() -> ProblemError:
     """Return the error for a request whose key belongs to another one."""
     return rejected(
         422,
--- a/src/tealcove/entry/sending.py
+++ b/src/tealcove/entry/sending.py
@@ -16,10 +16,10 @@
     if running.call.stream:
         return await stream_generation(request, running)
     await running.answer.wait()
-    return send_whole(running.whole_answer())
+    return build_response(running.complete_answer())
 
 
-def send_whole(answer: claim.StoredAnswer) -> web.Response:
+def build_response(answer: claim.StoredAnswer) -> web.Response:
     """Return the response for a complete answer."""
     headers = multidict.CIMultiDict(answer.headers)
     return web.Response(status=answer.status, headers=headers, body=answer.body)
@@ -76,7 +76,7 @@
     reader = found.add_reader()
     try:
         if await found.wait():
-            return send_whole(running.whole_answer())
+            return build_response(running.complete_answer())
         return await stream_reply(request, running, reader)
     finally:
         found.remove_reader(reader)
