--- a/src/tealcove/entry/exchange.py
+++ b/src/tealcove/entry/exchange.py
@@ -267,7 +267,7 @@
     def mark_dispatched(
         self, pending_ticket: pending.PendingTicket, server: engine.Server
     ) -> None:
-        """Mark the request as dispatched, for good, before its first byte is sent."""
+        """Mark the request irrevocably as dispatched, before its first byte is sent."""
         if self.request.idempotent:
             self.state.dispatch()
         else:
--- a/src/tealcove/entry/forward.py
+++ b/src/tealcove/entry/forward.py
@@ -51,7 +51,7 @@
             raise
 
     async def add_part(self, part: service.Head | bytes) -> None:
-        """Put a part of the response into the answer."""
+        """Add a part of the response to the answer."""
         if isinstance(part, service.Head):
             self.first_token_at = clock.now()
             self.answer.set_head(part)
--- a/src/tealcove/entry/problem.py
+++ b/src/tealcove/entry/problem.py
@@ -26,7 +26,7 @@
     INTERRUPTED = "interrupted"
     # Non-idempotent and dispatched; its outcome is unknown and it never runs again.
     UNKNOWN = "unknown"
-    # The request is invalid or not permitted.
+    # The request can't be served as sent.
     REJECTED = "rejected"
 
 
@@ -106,7 +106,7 @@
 
 
 def rejected(status: int, title: str, detail: str = "") -> ProblemError:
-    """Return the error for a request that is invalid or not permitted."""
+    """Return the error for a request that can't be served as sent."""
     problem = Problem(
         status=status, title=title, outcome=Outcome.REJECTED, detail=detail
     )
