--- a/src/tealcove/entry/acceptance.py
+++ b/src/tealcove/entry/acceptance.py
@@ -1,4 +1,4 @@
-"""What is decided of a request when it's accepted: where it goes, what holds."""
+"""Acceptance of a request: its validation, routing rule, cell, deadline and key."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 DEADLINE_HEADER = "Tealcove-Deadline"
 IDEMPOTENT_HEADER = "Tealcove-Idempotent"
 NO = "no"
-LONGEST_DEADLINE = 3600.0
-LONGEST_KEY = 255
+MAX_DEADLINE_SECONDS = 3600.0
+MAX_KEY_LENGTH = 255
 
 
 class Received(msgspec.Struct, frozen=True):
-    """A request as it came, its body whole, and who sent it."""
+    """An HTTP request with its complete body and its caller."""
 
     request_id: ids.RequestId
     caller: caller.Caller
@@ -37,7 +37,7 @@
     configuration: copy.Configuration,
     spreading: spread.Spread,
 ) -> admitted.Request:
-    """Accept a request for an engine; raises ProblemError (rejected)."""
+    """Return the accepted request for an engine; raises ProblemError (rejected)."""
     rule = find_rule(received, engine_call.model, configuration)
     pool = None if rule is None else configuration.engine_pools.get(rule.spec.pool)
     if pool is None:
@@ -54,16 +54,16 @@
         model=engine_call.model,
         adapter=engine_call.adapter,
     )
-    beginning = work.prefix[0] if work.prefix else received.request_id
-    cell = spreading.choose(pool, str(beginning))
+    first_block = work.prefix[0] if work.prefix else received.request_id
+    cell = spreading.choose(pool, str(first_block))
     return accept(received, rule, cell, work, content.digest_prompt(engine_call.prompt))
 
 
 def check_model(engine_call: call.EngineCall, spec: kinds.EnginePoolSpec) -> None:
-    """Refuse a model or adapter that the pool doesn't declare.
+    """Reject a model or adapter that the pool doesn't declare.
 
-    No engine has it, so the request would wait for one that never comes, and be
-    told to try again later.
+    No engine has it, so the request would wait until its deadline, and its caller
+    would be asked to retry later.
     """
     if spec.models and engine_call.model not in spec.models:
         raise problem.rejected(
@@ -83,7 +83,7 @@
 def accept_call(
     received: Received, configuration: copy.Configuration, spreading: spread.Spread
 ) -> admitted.Request:
-    """Accept a call to a plain service; raises ProblemError (rejected)."""
+    """Return the accepted call to a plain service; raises ProblemError (rejected)."""
     check_path(received.http.path)
     rule = find_rule(received, None, configuration)
     pool = None if rule is None else configuration.service_pools.get(rule.spec.pool)
@@ -104,10 +104,10 @@
     work: admitted.Work,
     content_digest: str,
 ) -> admitted.Request:
-    """Return the accepted request; raises ProblemError for headers out of order."""
+    """Return the accepted request; raises ProblemError for an invalid header."""
     headers = received.http.headers
-    said_no = headers.get(IDEMPOTENT_HEADER, "").lower() == NO
-    idempotent = rule.spec.idempotent and not said_no
+    opted_out = headers.get(IDEMPOTENT_HEADER, "").lower() == NO
+    idempotent = rule.spec.idempotent and not opted_out
     return admitted.Request(
         request_id=received.request_id,
         caller=received.caller,
@@ -125,16 +125,16 @@
 def find_rule(
     received: Received, model: str | None, configuration: copy.Configuration
 ) -> kinds.Resource | None:
-    """Return the routing rule of a request."""
+    """Return the routing rule that matches a request, if there is one."""
     http = received.http
     return configuration.route(http.path, http.method, model, received.caller.account)
 
 
 def check_path(path: str) -> None:
-    """Refuse a path that a service could read as another one.
+    """Reject a path that a service could resolve to another one.
 
-    The rules match the path as it stands. A service that resolves `..` would
-    take a call under a rule that wasn't meant for it, such as an idempotent one.
+    Routing rules match the path unresolved. A service that resolves `..` would
+    handle the call under a rule that isn't meant for it, such as an idempotent one.
     """
     parts = path.split("/")
     if not path.startswith("/") or "." in parts or ".." in parts:
@@ -145,24 +145,24 @@
         )
 
 
-def read_deadline(text: str | None, who: caller.Caller) -> ids.Instant:
-    """Return when the caller stops waiting; the header gives seconds."""
+def read_deadline(text: str | None, sender: caller.Caller) -> ids.Instant:
+    """Return the deadline of a request; the header gives seconds from now."""
     now = clock.now()
     if text is None:
-        return ids.Instant(now + who.default_deadline)
+        return ids.Instant(now + sender.default_deadline)
     with contextlib.suppress(ValueError):
         seconds = float(text)
-        if 0 < seconds <= LONGEST_DEADLINE:
+        if 0 < seconds <= MAX_DEADLINE_SECONDS:
             return ids.Instant(now + seconds)
     raise problem.rejected(
         400,
         f"The header {DEADLINE_HEADER} can't be used",
-        f"Write seconds, above 0 and at most {LONGEST_DEADLINE:g}.",
+        f"Write seconds, above 0 and at most {MAX_DEADLINE_SECONDS:g}.",
     )
 
 
 def read_key(key: str | None, idempotent: bool) -> ids.IdempotencyKey | None:
-    """Return the caller's key; a non-idempotent request can't go without."""
+    """Return the idempotency key, which a non-idempotent request must have."""
     if key is None and not idempotent:
         raise problem.rejected(
             400,
@@ -170,21 +170,21 @@
             "Write a key of your own that no other request has, and send the same "
             "one when you send this request again.",
         )
-    if key is not None and not 0 < len(key) <= LONGEST_KEY:
+    if key is not None and not 0 < len(key) <= MAX_KEY_LENGTH:
         raise problem.rejected(
             400,
             f"The header {KEY_HEADER} can't be used",
-            f"Write 1 to {LONGEST_KEY} characters.",
+            f"Write 1 to {MAX_KEY_LENGTH} characters.",
         )
     return None if key is None else ids.IdempotencyKey(key)
 
 
 def fingerprint(received: Received) -> str:
-    """Return the digest of all that makes two requests the same."""
+    """Return a digest of method, target and body, to compare requests by."""
     http = received.http
-    return content.digest_call(http.method, target(http), received.body)
+    return content.digest_call(http.method, raw_target(http), received.body)
 
 
-def target(http: web.Request) -> str:
-    """Return the path and query as the caller wrote them."""
+def raw_target(http: web.Request) -> str:
+    """Return the path and query as the caller encoded them."""
     return http.rel_url.raw_path_qs
--- a/src/tealcove/entry/claiming.py
+++ b/src/tealcove/entry/claiming.py
@@ -1,4 +1,4 @@
-"""The claim of one non-idempotent request, and what another's claim tells."""
+"""The claim of one non-idempotent request, and answers from an earlier claim."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 log = logbook.Logger("entry")
 
 RETRY_AFTER = 1.0
-# A refusal waits so many seconds at the most for a look at the table.
-LOOK_SECONDS = 0.05
+# Longest wait of a refusal for the lookup of an earlier claim, in seconds.
+LOOKUP_TIMEOUT = 0.05
 EARLIER_UNKNOWN = (
     "This sending was not run; whether an earlier one with the same key was can't "
     "be told now. Keep the key when you send again."
@@ -34,7 +34,7 @@
 
 
 class RequestClaim:
-    """Says whether this request may be dispatched, and keeps how it ended."""
+    """Decides whether a request may be dispatched, and records how it ended."""
 
     def __init__(
         self,
@@ -51,8 +51,8 @@
         self.held: claimer.HeldClaim | None = None
         self.server = ids.BackendServerId("")
 
-    async def take(self, server: ids.BackendServerId, deadline: ids.Instant) -> None:
-        """Take the claim, unless it's held already.
+    async def acquire(self, server: ids.BackendServerId, deadline: ids.Instant) -> None:
+        """Acquire the claim, unless it's held already.
 
         Raises ProblemError or KeptAnswerError when the request may not be run.
         """
@@ -72,33 +72,33 @@
         try:
             self.held = await self.claims.claim(self.key, wanted, deadline)
         except claimer.TakenError as error:
-            raise self.describe(error.found) from error
+            raise self.error_for(error.found) from error
         except claimer.UnavailableError as error:
             raise problem.not_run(
                 messages.RefusalReason.PLATFORM_DOWN, RETRY_AFTER
             ) from error
 
-    async def reconsider(self, refusal: problem.ProblemError) -> Exception:
-        """Return the answer to a request that is about to be refused.
+    async def check_earlier_claim(self, refusal: problem.ProblemError) -> Exception:
+        """Return the error for a request that is about to be refused.
 
-        A caller that is told "not run" of a sending may take it for the whole
-        request, and send it under a new key although the first one ran. So it's
-        looked up whether an earlier sending holds the claim.
+        A caller may read "not run" as referring to all its attempts, and send the
+        request under a new key although an earlier attempt ran. So this looks up
+        whether an earlier attempt holds the claim.
         """
         if self.held is not None:
             return refusal
         try:
-            async with asyncio.timeout(LOOK_SECONDS):
+            async with asyncio.timeout(LOOKUP_TIMEOUT):
                 found = await self.claims.read_claim(self.key)
         except (errors.PlatformError, TimeoutError):
-            told = msgspec.structs.replace(refusal.problem, detail=EARLIER_UNKNOWN)
-            return problem.ProblemError(told)
-        return refusal if found is None else self.describe(found)
+            explained = msgspec.structs.replace(refusal.problem, detail=EARLIER_UNKNOWN)
+            return problem.ProblemError(explained)
+        return refusal if found is None else self.error_for(found)
 
-    def describe(self, found: claim.Claim) -> Exception:
-        """Return how a request ends whose claim another sending holds."""
+    def error_for(self, found: claim.Claim) -> Exception:
+        """Return the error for a request whose claim another attempt holds."""
         if found.fingerprint != self.fingerprint:
-            return problem.other_request()
+            return problem.key_reused()
         if found.state is claim.State.COMPLETED:
             if found.answer is None:
                 return problem.answer_not_kept()
@@ -109,15 +109,15 @@
             return problem.unknown("in_progress", retry_after=RETRY_AFTER)
         return problem.unknown("entry_lost")
 
-    async def settle(
+    async def record_end(
         self,
         state: lifecycle.State,
-        whole_answer: Callable[[], claim.StoredAnswer | None],
+        complete_answer: Callable[[], claim.StoredAnswer | None],
     ) -> None:
-        """Put into the table how the request ended, after its callers were told.
+        """Record in the table how the request ended, after it was answered.
 
-        Until that is done the request counts as in progress: the same key joins
-        it here, and a shutdown waits for it. Waits while the platform is down.
+        Until this returns, the request counts as in progress: requests with the same
+        key join it, and a shutdown waits for it. Waits while the platform is down.
         """
         if self.held is None:
             return
@@ -125,23 +125,28 @@
             if state is lifecycle.State.NOT_RUN:
                 await self.claims.release(self.held)
             else:
-                await self.claims.record(self.held, self.ended(state, whole_answer))
+                await self.claims.record(
+                    self.held, self.ended_claim(state, complete_answer)
+                )
         except Exception:
-            # Nobody waits for this task: without a line in the log one would only
-            # notice that a key stays "in progress" for ever.
-            log.exception("claim not settled", extra={"key": self.key})
+            # Nothing awaits this task's result: without the log line, the only sign
+            # would be a key that stays "in progress" indefinitely.
+            log.exception(
+                "cannot record the end of a request in its claim",
+                extra={"key": self.key},
+            )
 
-    def ended(
+    def ended_claim(
         self,
         state: lifecycle.State,
-        whole_answer: Callable[[], claim.StoredAnswer | None],
+        complete_answer: Callable[[], claim.StoredAnswer | None],
     ) -> claim.Claim:
-        """Return the claim of a request that was dispatched."""
+        """Return the final claim of a request that was dispatched."""
         if state is not lifecycle.State.COMPLETED:
             return msgspec.structs.replace(
                 self.held.claim, server=self.server, state=claim.State.UNKNOWN
             )
-        answer = whole_answer()
+        answer = complete_answer()
         return msgspec.structs.replace(
             self.held.claim,
             server=self.server,
--- a/src/tealcove/entry/forward.py
+++ b/src/tealcove/entry/forward.py
@@ -1,4 +1,4 @@
-"""A call to a plain service, forwarded once and answered whole."""
+"""A call to a plain service, forwarded once."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from tealcove.entry import admitted, claiming, exchange, failures, fields, reply
 
 NOT_MODIFIED = 304
-# aiohttp takes a limit of 0 for none.
-LEAST_SECONDS = 0.001
+# aiohttp treats a timeout of 0 as none.
+MIN_TIMEOUT_SECONDS = 0.001
 
 
 class ServiceExchange(exchange.Exchange):
-    """Forwards one call; a response that breaks off is never taken for whole."""
+    """Forwards one call; a truncated response is never passed off as complete."""
 
     def __init__(
         self,
@@ -31,30 +31,30 @@
         self.services = services
         self.answer = reply.Reply()
 
-    async def carry_out(
-        self, hold: pending.PendingTicket, server: engine.Server
+    async def execute(
+        self, pending_ticket: pending.PendingTicket, server: engine.Server
     ) -> None:
         """See Exchange."""
 
         def dispatched() -> None:
-            self.note_dispatch(hold, server)
+            self.mark_dispatched(pending_ticket, server)
 
-        remaining = max(LEAST_SECONDS, self.request.deadline - clock.now())
+        remaining = max(MIN_TIMEOUT_SECONDS, self.request.deadline - clock.now())
         stream = self.services.call(server, self.call, remaining, dispatched)
         try:
             async with contextlib.aclosing(stream) as parts:
                 async for part in parts:
-                    await self.take(part)
+                    await self.add_part(part)
         except engine.BrokenStreamError as error:
             if await reach.refuses(server):
                 raise failures.CrashError(server.name) from error
             raise
 
-    async def take(self, part: service.Head | bytes) -> None:
-        """Put a part of the response into the answer."""
+    async def add_part(self, part: service.Head | bytes) -> None:
+        """Add a part of the response to the answer."""
         if isinstance(part, service.Head):
             self.first_token_at = clock.now()
-            self.answer.begin(part)
+            self.answer.set_head(part)
         else:
             await self.answer.add(part)
 
@@ -63,13 +63,13 @@
         work = self.request.work
         return engine.Usage(work.prompt_tokens, 0, work.output_tokens)
 
-    def whole_answer(self) -> claim.StoredAnswer | None:
+    def complete_answer(self) -> claim.StoredAnswer | None:
         """See Exchange."""
         found = self.answer
         if found.is_long:
             return None
         headers = fields.returned_headers(found.head, self.request.request_id)
         if self.call.method == "HEAD" or found.head.status == NOT_MODIFIED:
-            # The length is that of the body which a GET would have got.
-            headers += fields.length_of(found.head)
+            # The length is that of the body that a GET would return.
+            headers += fields.content_length(found.head)
         return claim.StoredAnswer(found.head.status, headers, found.body())
--- a/src/tealcove/entry/generation.py
+++ b/src/tealcove/entry/generation.py
@@ -17,13 +17,13 @@
     claiming,
     exchange,
     failures,
-    hops,
     openai,
+    spans,
     witnessing,
 )
 from tealcove.witness import messages as witness_messages
 
-# A broken stream is taken up again so often, and with this pause in seconds.
+# Attempts to resume a broken stream, and the pause after a failed one in seconds.
 RESUME_ATTEMPTS = 20
 RESUME_PAUSE = 0.1
 EVENT_STREAM = "text/event-stream"
@@ -31,7 +31,7 @@
 
 
 class EngineExchange(exchange.Exchange):
-    """Generates once, and takes a broken stream up again where it broke."""
+    """Dispatches to an engine once, and resumes a broken stream where it broke."""
 
     def __init__(
         self,
@@ -46,12 +46,12 @@
         self.call = engine_call
         self.engines = engines
         self.answer = answer.Answer()
-        # None: no other entry can learn where the request runs.
+        # None: no other entry can find out where the request runs.
         self.witness = witness
-        # By this the engine knows the run; a lost entry's has the id it gave it.
+        # The engine's id of the run; a lost entry's run keeps that entry's request id.
         self.run_id = request.request_id
-        # The stream of a lost entry's run that this request goes on with.
-        self.taken: AsyncIterator[engine.Chunk] | None = None
+        # The stream of a lost entry's run that this request took over.
+        self.takeover_stream: AsyncIterator[engine.Chunk] | None = None
 
     async def run(self) -> None:
         """See Exchange."""
@@ -59,19 +59,19 @@
             await super().run()
         finally:
             if self.witness is not None:
-                self.witness.drop()
+                self.witness.delete()
 
-    async def find_server(self) -> None:
-        """Go on with the run that a lost entry has left, or ask for a slot."""
-        found = None if self.witness is None else await self.witness.find()
+    async def run_with_slot(self) -> None:
+        """Take over the run of a lost entry if there is one, or obtain a slot."""
+        found = None if self.witness is None else await self.witness.find_lost()
         if found is None or not await self.take_over(found):
-            await super().find_server()
+            await super().run_with_slot()
 
     async def take_over(self, found: witness_messages.Record) -> bool:
-        """Go on with a run from its first token; False: the engine has it no more.
+        """Resume a run from its first token; False if the engine has it no longer.
 
-        Until the first event is here nothing is noted anywhere, so that the
-        request can still be dispatched like any other one.
+        Nothing is recorded before the first event arrives, so that the request can
+        still be dispatched normally.
         """
         server = engine.Server(found.server, found.host, found.port)
         stream = self.engines.resume(server, found.request_id, 0)
@@ -80,18 +80,18 @@
         except (errors.BackendError, StopAsyncIteration):
             return False
         self.run_id = found.request_id
-        self.taken = stream
+        self.takeover_stream = stream
         self.state.wait()
-        hold = self.new_hold()
-        witnessing.take_ticket(hold, found, self.tickets)
-        self.note_dispatch(hold, server)
-        witnessing.announce(hold, self.tickets)
-        self.take_chunk(hold, first)
-        await self.use(hold, server)
+        pending_ticket = self.new_pending_ticket()
+        witnessing.adopt_ticket(pending_ticket, found, self.tickets)
+        self.mark_dispatched(pending_ticket, server)
+        witnessing.announce_takeover(pending_ticket, self.tickets)
+        self.add_chunk(pending_ticket, first)
+        await self.run_granted(pending_ticket, server)
         return True
 
-    async def carry_out(
-        self, hold: pending.PendingTicket, server: engine.Server
+    async def execute(
+        self, pending_ticket: pending.PendingTicket, server: engine.Server
     ) -> None:
         """See Exchange."""
         completion = engine.Completion(
@@ -103,108 +103,116 @@
         )
 
         def dispatched() -> None:
-            self.note_dispatch(hold, server)
+            self.mark_dispatched(pending_ticket, server)
 
-        stream = self.taken
+        stream = self.takeover_stream
         if stream is None:
             stream = self.engines.generate(server, completion, dispatched)
         with contextlib.suppress(engine.BrokenStreamError, answer.GapError):
-            await self.collect(hold, stream)
+            await self.collect(pending_ticket, stream)
         for _ in range(RESUME_ATTEMPTS):
-            if self.answer.is_whole:
+            if self.answer.is_complete:
                 return
-            await self.resume(hold, server)
-        if not self.answer.is_whole:
+            await self.resume(pending_ticket, server)
+        if not self.answer.is_complete:
             raise failures.CrashError(server.name)
 
-    async def resume(self, hold: pending.PendingTicket, server: engine.Server) -> None:
-        """Take the stream up from the first token that is missing.
+    async def resume(
+        self, pending_ticket: pending.PendingTicket, server: engine.Server
+    ) -> None:
+        """Resume the stream from the first missing token.
 
-        This is no second dispatch: the engine goes on with the same run.
+        This isn't a second dispatch: the engine continues the same run.
         """
-        self.answer.early.clear()
+        self.answer.early_chunks.clear()
         offset = self.answer.next_index
         stream = self.engines.resume(server, self.run_id, offset)
         try:
-            await self.collect(hold, stream)
+            await self.collect(pending_ticket, stream)
         except engine.NotDispatchedError:
-            # Told at once: until the attempts are over, the caller may send the
-            # same request to another entry, and kill another server with it.
-            self.note_lost(hold, server)
+            # Reported at once: before the attempts are over, the caller may send
+            # the same request to another entry and crash another server with it.
+            self.report_server_lost(pending_ticket, server)
             await asyncio.sleep(RESUME_PAUSE)
         except (engine.BrokenStreamError, answer.GapError):
             await asyncio.sleep(RESUME_PAUSE)
         except engine.RefusedCallError as error:
-            if self.taken is not None:
-                # The entry that seemed lost was frozen only. It woke, and its
-                # caller was gone: it cancelled the run.
+            if self.takeover_stream is not None:
+                # The entry that seemed lost was only paused. It continued, found
+                # its caller gone, and cancelled the run.
                 raise
-            # The server knows nothing of a request that it ran: it has crashed
-            # and was restarted before anybody could see that it was gone.
+            # The server doesn't know a request that it ran: it has crashed and was
+            # restarted before its absence was detected.
             raise failures.CrashError(server.name) from error
 
-    async def collect(self, hold: pending.PendingTicket, stream: object) -> None:
-        """Put the chunks of a stream into the answer."""
+    async def collect(
+        self, pending_ticket: pending.PendingTicket, stream: object
+    ) -> None:
+        """Add the chunks of a stream to the answer."""
         async with contextlib.aclosing(stream) as chunks:
             async for chunk in chunks:
-                self.take_chunk(hold, chunk)
+                self.add_chunk(pending_ticket, chunk)
 
-    def take_chunk(self, hold: pending.PendingTicket, chunk: engine.Chunk) -> None:
-        """Put a chunk into the answer; raises GapError."""
+    def add_chunk(
+        self, pending_ticket: pending.PendingTicket, chunk: engine.Chunk
+    ) -> None:
+        """Add a chunk to the answer; raises GapError."""
         self.answer.add(chunk)
         if self.first_token_at is None:
-            self.note_first_token(hold)
+            self.report_first_token(pending_ticket)
 
-    def note_dispatch(self, hold: pending.PendingTicket, server: engine.Server) -> None:
-        """See Exchange; the witness learns of it first."""
+    def mark_dispatched(
+        self, pending_ticket: pending.PendingTicket, server: engine.Server
+    ) -> None:
+        """See Exchange; the witness's record is stored first."""
         if self.witness is not None:
-            self.witness.leave(hold.ticket, server)
-        super().note_dispatch(hold, server)
+            self.witness.store(pending_ticket.ticket, server)
+        super().mark_dispatched(pending_ticket, server)
 
-    def note_first_token(self, hold: pending.PendingTicket) -> None:
-        """Tell the dispatcher that the prefill is over."""
+    def report_first_token(self, pending_ticket: pending.PendingTicket) -> None:
+        """Notify the dispatcher that the prefill is over."""
         self.first_token_at = clock.now()
-        self.hops.event(hops.FIRST_TOKEN)
+        self.spans.add_event(spans.FIRST_TOKEN)
         progress = messages.Progress(
-            ticket_id=hold.ticket.ticket_id,
-            cell=hold.ticket.cell,
+            ticket_id=pending_ticket.ticket.ticket_id,
+            cell=pending_ticket.ticket.cell,
             first_token_seconds=self.first_token_at - self.dispatched_at,
         )
-        self.tickets.send(hold, progress)
+        self.tickets.send(pending_ticket, progress)
 
     def usage(self) -> engine.Usage:
         """See Exchange."""
-        told = self.answer.usage
-        prompt = told.prompt_tokens if told else self.request.work.prompt_tokens
-        cached = told.cached_tokens if told else 0
+        reported = self.answer.usage
+        prompt = reported.prompt_tokens if reported else self.request.work.prompt_tokens
+        cached = reported.cached_tokens if reported else 0
         return engine.Usage(prompt, cached, self.answer.next_index)
 
-    def describe_end(
+    def done_message(
         self,
-        hold: pending.PendingTicket,
+        pending_ticket: pending.PendingTicket,
         server: engine.Server,
         outcome: messages.Outcome,
     ) -> messages.Done:
-        """See Exchange; of a run taken over, the times are too short to learn from."""
-        if self.taken is not None and outcome is messages.Outcome.COMPLETED:
+        """See Exchange; the times of a run taken over are too short to learn from."""
+        if self.takeover_stream is not None and outcome is messages.Outcome.COMPLETED:
             outcome = messages.Outcome.CANCELLED
-        return super().describe_end(hold, server, outcome)
+        return super().done_message(pending_ticket, server, outcome)
 
-    def form(self) -> openai.Form:
-        """Return what renders the answer."""
+    def renderer(self) -> openai.Renderer:
+        """Return the renderer of the answer."""
         call = self.call
-        return openai.Form(self.request.request_id, call.model, call.chat)
+        return openai.Renderer(self.request.request_id, call.model, call.chat)
 
-    def whole_answer(self) -> claim.StoredAnswer:
-        """See Exchange; of a streamed answer it is the events in one piece."""
+    def complete_answer(self) -> claim.StoredAnswer:
+        """See Exchange; for a streamed request, the body is its events."""
         found = self.answer
-        form = self.form()
+        renderer = self.renderer()
         if self.call.stream:
-            closing = form.closing_event(found.finish, found.usage)
-            body = form.event(found.text()) + closing + openai.DONE_EVENT
+            closing = renderer.closing_event(found.finish, found.usage)
+            body = renderer.chunk_event(found.text()) + closing + openai.DONE_EVENT
             content_type = EVENT_STREAM
         else:
-            body = form.whole(found.text(), found.finish, found.usage)
+            body = renderer.full_body(found.text(), found.finish, found.usage)
             content_type = JSON
         headers = (
             ("Content-Type", content_type),
@@ -216,7 +224,7 @@
         """See Exchange."""
         return self.request.work.prompt_tokens + self.request.work.output_tokens
 
-    async def stop_leftover(self, server: engine.Server) -> None:
+    async def cancel_leftover(self, server: engine.Server) -> None:
         """See Exchange."""
         with contextlib.suppress(errors.BackendError):
             await asyncio.shield(self.engines.cancel(server, self.run_id))
--- a/src/tealcove/entry/openai.py
+++ b/src/tealcove/entry/openai.py
@@ -1,4 +1,4 @@
-"""Answers in the form that OpenAI's client libraries read."""
+"""Answers in the format of the OpenAI API."""
 
 from __future__ import annotations
 
@@ -42,11 +42,12 @@
     model: str
     choices: list[Choice]
     usage: Usage | None = None
-    # Tokens in all, in the closing event only: a stream without it isn't whole.
+    # Total of output tokens, in the closing event only: without it a stream is
+    # incomplete.
     count: int | None = None
 
 
-class Form:
+class Renderer:
     """Renders the answer of one request."""
 
     def __init__(self, request_id: str, model: str, chat: bool) -> None:
@@ -54,7 +55,7 @@
         self.model = model
         self.chat = chat
 
-    def whole(self, text: str, finish: str, usage: engine.Usage) -> bytes:
+    def full_body(self, text: str, finish: str, usage: engine.Usage) -> bytes:
         """Return the body of a buffered answer."""
         choice = Choice(index=0, finish_reason=finish)
         if self.chat:
@@ -64,19 +65,19 @@
         name = "chat.completion" if self.chat else "text_completion"
         return msgspec.json.encode(self.body(name, choice, usage))
 
-    def event(self, text: str) -> bytes:
+    def chunk_event(self, text: str) -> bytes:
         """Return the streamed event for one chunk."""
-        return render(self.body(self.stream_object, self.choice(text, None)))
+        return encode_event(self.body(self.stream_object, self.choice(text, None)))
 
     def closing_event(self, finish: str, usage: engine.Usage) -> bytes:
-        """Return the event that ends a stream, with its count of tokens."""
+        """Return the closing event of a stream, with its token count."""
         body = self.body(self.stream_object, self.choice("", finish), usage)
         body.count = usage.completion_tokens
-        return render(body)
+        return encode_event(body)
 
     @property
     def stream_object(self) -> str:
-        """The name of streamed objects."""
+        """The object type of streamed events."""
         return "chat.completion.chunk" if self.chat else "text_completion"
 
     def choice(self, text: str, finish: str | None) -> Choice:
@@ -88,7 +89,7 @@
     def body(
         self, name: str, choice: Choice, usage: engine.Usage | None = None
     ) -> Body:
-        """Return a body with the fields that all have."""
+        """Return a body with the fields common to all bodies."""
         body = Body(id=self.request_id, object=name, model=self.model, choices=[choice])
         if usage is not None:
             total = usage.prompt_tokens + usage.completion_tokens
@@ -96,6 +97,6 @@
         return body
 
 
-def render(body: Body) -> bytes:
+def encode_event(body: Body) -> bytes:
     """Return a server-sent event."""
     return b"data: " + msgspec.json.encode(body) + b"\n\n"
--- a/src/tealcove/witness/messages.py
+++ b/src/tealcove/witness/messages.py
@@ -1,4 +1,4 @@
-"""Messages between entries and the instances that keep their records."""
+"""Messages between entries and the instances that hold their records."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 from tealcove.peers import message
 
 
-class Place(msgspec.Struct, frozen=True, array_like=True):
-    """What a caller names a request by, the same however often it sends it."""
+class RequestKey(msgspec.Struct, frozen=True, array_like=True):
+    """The account and idempotency key of a request, the same for every attempt."""
 
     account: ids.AccountId
     key: ids.IdempotencyKey
 
 
 class Record(msgspec.Struct, frozen=True, array_like=True):
-    """Where a request runs and for whom; nothing of its prompt or answer."""
+    """The server and the entry of a running request; neither prompt nor answer."""
 
-    # Of method, path and body: a key may come back with another request.
+    # Digest of method, path and body: the key may be reused for another request.
     fingerprint: str
-    # The id under which the engine knows the run.
+    # The engine's id of the run.
     request_id: ids.RequestId
     # The ticket that holds the run's slot, and the cell of its dispatcher.
     ticket_id: ids.TicketId
@@ -32,31 +32,31 @@
     incarnation: ids.Incarnation
 
 
-class Left(message.Message):
-    """Keep a record for so many seconds, or until the request has ended."""
+class StoreRecord(message.Message, tag="Left"):
+    """Asks to store a record for some seconds, or until the request has ended."""
 
-    place: Place
+    request_key: RequestKey
     record: Record
     seconds: float
 
 
-class Dropped(message.Message):
-    """The request has ended at its entry."""
+class DeleteRecord(message.Message, tag="Dropped"):
+    """Asks to delete a record, because its request has ended."""
 
-    place: Place
+    request_key: RequestKey
     request_id: ids.RequestId
 
 
-class Asked(message.Message):
-    """Is there a record? Also asked of a record's entry, to see if it lives."""
+class RecordQuery(message.Message, tag="Asked"):
+    """Asks for a record; also sent to a record's entry, to check that it's alive."""
 
-    question: int
-    place: Place
+    query_number: int
+    request_key: RequestKey
 
 
-class Told(message.Message):
-    """The answer, and which process gave it."""
+class RecordReply(message.Message, tag="Told"):
+    """The reply to a query, with the process that sent it."""
 
-    question: int
+    query_number: int
     incarnation: ids.Incarnation
     record: Record | None
