--- a/src/tealcove/front/instance.py
+++ b/src/tealcove/front/instance.py
@@ -180,7 +180,9 @@
             exchange.Services(
                 link=self.link,
                 tickets=self.tickets,
-                budget=budget.Budget(parts.allowance_of(found), self.count_instances),
+                budget=budget.RetryBudget(
+                    parts.allowance_of(found), self.count_instances
+                ),
                 entry=tickets.Entry(self.name, ids.DataCentreId(found.data_centre)),
             ),
             self.configuration,
--- a/src/tealcove/ingress/budget.py
+++ b/src/tealcove/ingress/budget.py
@@ -11,7 +11,7 @@
 
 # Part of the allowance that is used: instances come and go, and each counts its
 # part by the number of instances that it knows.
-USED_PART = 0.8
+USED_SHARE = 0.8
 
 
 class Allowance(msgspec.Struct, frozen=True):
@@ -24,7 +24,7 @@
     window: float
 
 
-class Budget:
+class RetryBudget:
     """This instance's part of the repeats to each service.
 
     Repeats multiply the load of a service that fails already. Each instance uses
@@ -37,28 +37,28 @@
         # How many instances share the slack at present.
         self.instances = instances
         self.requests: dict[ids.PoolId, collections.deque[ids.Instant]] = {}
-        self.repeats: dict[ids.PoolId, collections.deque[ids.Instant]] = {}
+        self.retries: dict[ids.PoolId, collections.deque[ids.Instant]] = {}
 
-    def note_request(self, service: ids.PoolId, now: ids.Instant) -> None:
+    def record_request(self, service: ids.PoolId, now: ids.Instant) -> None:
         """Count a request that is sent for the first time."""
-        self.count(self.requests, service, now).append(now)
+        self.in_window(self.requests, service, now).append(now)
 
-    def take(self, service: ids.PoolId, now: ids.Instant) -> bool:
+    def take_retry(self, service: ids.PoolId, now: ids.Instant) -> bool:
         """Tell whether a request may be sent once more, and count it if so."""
-        if not self.has_room(service, now):
+        if not self.can_retry(service, now):
             return False
-        self.count(self.repeats, service, now).append(now)
+        self.in_window(self.retries, service, now).append(now)
         return True
 
-    def has_room(self, service: ids.PoolId, now: ids.Instant) -> bool:
+    def can_retry(self, service: ids.PoolId, now: ids.Instant) -> bool:
         """Tell whether a request may be sent once more, and count nothing."""
-        requests = len(self.count(self.requests, service, now))
-        repeats = self.count(self.repeats, service, now)
+        requests = len(self.in_window(self.requests, service, now))
+        retries = self.in_window(self.retries, service, now)
         slack = self.allowance.slack / max(1, self.instances())
-        most = USED_PART * (self.allowance.ratio * requests + slack)
-        return len(repeats) + 1 <= most
+        most = USED_SHARE * (self.allowance.ratio * requests + slack)
+        return len(retries) + 1 <= most
 
-    def count(
+    def in_window(
         self,
         counted: dict[ids.PoolId, collections.deque[ids.Instant]],
         service: ids.PoolId,
--- a/src/tealcove/ingress/exchange.py
+++ b/src/tealcove/ingress/exchange.py
@@ -55,7 +55,7 @@
 
     link: link.BackendLink
     tickets: requester.Requester
-    budget: budget.Budget
+    budget: budget.RetryBudget
     entry: tickets.Entry
 
 
@@ -242,7 +242,7 @@
 
         def dispatched() -> None:
             if not self.sent:
-                self.services.budget.note_request(terms.service, clock.now())
+                self.services.budget.record_request(terms.service, clock.now())
             self.sent += 1
             self.runs += 1
             report.dispatched(clock.now())
@@ -270,7 +270,7 @@
         """Return after how many silent seconds another server is tried, if any."""
         if not grant.first_seconds or not self.may_run_again(now, self.runs + 1):
             return None
-        if not self.services.budget.has_room(self.terms.service, now):
+        if not self.services.budget.can_retry(self.terms.service, now):
             return None
         return max(LEAST_SILENCE, SILENCE_FACTOR * grant.first_seconds)
 
@@ -314,9 +314,9 @@
             self.runs -= 1
             self.turned_away += 1
             may_go_on = self.turned_away < MOST_TURNED_AWAY
-            may_go_on = may_go_on and self.has_budget(now)
+            may_go_on = may_go_on and self.take_retry(now)
         else:
-            may_go_on = self.may_run_again(now, self.runs) and self.has_budget(now)
+            may_go_on = self.may_run_again(now, self.runs) and self.take_retry(now)
         self.say("{} at {}: {}", "again" if may_go_on else "no more", server, error)
         if may_go_on and self.terms.deadline - now > LEAST_SECONDS:
             return
@@ -332,9 +332,9 @@
         has_time = self.terms.deadline - now > LEAST_SECONDS
         return has_time and not is_once and runs < route.attempts
 
-    def has_budget(self, now: ids.Instant) -> bool:
+    def take_retry(self, now: ids.Instant) -> bool:
         """Tell whether a repeat is within the bounds of all requests together."""
-        return self.services.budget.take(self.terms.service, now)
+        return self.services.budget.take_retry(self.terms.service, now)
 
     def lost(self, reason: str) -> problem.ProblemError:
         """Return the end of a request that was sent and has no whole answer."""
--- a/src/tealcove/ingress/tests/test_budget.py
+++ b/src/tealcove/ingress/tests/test_budget.py
@@ -14,18 +14,18 @@
 
 
 def test_the_slack_is_shared_and_the_window_slides():
-    found = budget.Budget(ALLOWED, lambda: 10)
-    taken = [found.take(builders.SERVICE, instant(1.0)) for _ in range(10)]
-    assert sum(taken) == int(budget.USED_PART * 5)
-    assert not found.take(builders.SERVICE, instant(10.9))
-    assert found.take(builders.SERVICE, instant(11.1))
-    assert found.take(ids.PoolId("another"), instant(1.0))
+    found = budget.RetryBudget(ALLOWED, lambda: 10)
+    taken = [found.take_retry(builders.SERVICE, instant(1.0)) for _ in range(10)]
+    assert sum(taken) == int(budget.USED_SHARE * 5)
+    assert not found.take_retry(builders.SERVICE, instant(10.9))
+    assert found.take_retry(builders.SERVICE, instant(11.1))
+    assert found.take_retry(ids.PoolId("another"), instant(1.0))
 
 
 def test_requests_earn_repeats():
-    found = budget.Budget(ALLOWED, lambda: 1000)
-    assert not found.take(builders.SERVICE, instant(0.0))
+    found = budget.RetryBudget(ALLOWED, lambda: 1000)
+    assert not found.take_retry(builders.SERVICE, instant(0.0))
     for _ in range(100):
-        found.note_request(builders.SERVICE, instant(0.0))
-    taken = [found.take(builders.SERVICE, instant(0.0)) for _ in range(50)]
+        found.record_request(builders.SERVICE, instant(0.0))
+    taken = [found.take_retry(builders.SERVICE, instant(0.0)) for _ in range(50)]
     assert sum(taken) == 16
