--- a/src/tealcove/front/instance.py
+++ b/src/tealcove/front/instance.py
@@ -183,7 +183,9 @@
                 budget=budget.RetryBudget(
                     parts.allowance_of(found), self.count_instances
                 ),
-                entry=tickets.Entry(self.name, ids.DataCentreId(found.data_centre)),
+                entry=tickets.EntryInstance(
+                    self.name, ids.DataCentreId(found.data_centre)
+                ),
             ),
             self.configuration,
             self.spread,
--- a/src/tealcove/ingress/acceptance.py
+++ b/src/tealcove/ingress/acceptance.py
@@ -25,7 +25,7 @@
 
 def accept(
     received: call.Call, current: lookup.Lookup | None, arrived: ids.Instant
-) -> tickets.Terms:
+) -> tickets.AcceptedRequest:
     """Return what holds for a request; raises ProblemError."""
     if current is None:
         # Not 404 or 401: this instance doesn't know yet what is there.
@@ -49,9 +49,9 @@
     service = choose_service(route, received.request_id)
     declared_service = current.services.get(service)
     seconds = route.timeout - ANSWER_MARGIN
-    if received.patience is not None:
-        seconds = min(seconds, received.patience - ANSWER_MARGIN)
-    return tickets.Terms(
+    if received.caller_timeout is not None:
+        seconds = min(seconds, received.caller_timeout - ANSWER_MARGIN)
+    return tickets.AcceptedRequest(
         call=received,
         route=route,
         service=service,
@@ -78,12 +78,12 @@
     return chosen[0].service
 
 
-def cost(terms: tickets.Terms) -> int:
+def cost(accepted: tickets.AcceptedRequest) -> int:
     """Return what a request is charged against its account's limit."""
-    work = terms.call.work
-    if terms.account is None:
+    work = accepted.call.work
+    if accepted.account is None:
         return 0
-    return terms.account.cost(work.prompt_tokens + work.output_tokens)
+    return accepted.account.cost(work.prompt_tokens + work.output_tokens)
 
 
 def digest(received: call.Call, account: declared.Account | None) -> str:
--- a/src/tealcove/ingress/answers.py
+++ b/src/tealcove/ingress/answers.py
@@ -23,19 +23,19 @@
         """Return the answer that stands for a problem."""
 
 
-def whole(head: link.Head, body: bytes) -> web.Response:
+def buffered_response(head: link.Head, body: bytes) -> web.Response:
     """Return the answer that passes on a backend server's."""
     headers = multidict.CIMultiDict(head.headers)
     return web.Response(status=head.status, headers=headers, body=body)
 
 
-def stream(head: link.Head) -> web.StreamResponse:
+def stream_response(head: link.Head) -> web.StreamResponse:
     """Return the beginning of an answer that passes on a stream."""
     headers = multidict.CIMultiDict(head.headers)
     return web.StreamResponse(status=head.status, headers=headers)
 
 
-def break_off(request: web.Request) -> None:
+def abort_connection(request: web.Request) -> None:
     """Break the connection of an answer that can't be sent to its end.
 
     Its body stays without an end, so that no caller takes the part for the whole.
--- a/src/tealcove/ingress/call.py
+++ b/src/tealcove/ingress/call.py
@@ -34,7 +34,7 @@
     # The caller's key; it must never be passed on, logged or traced.
     key: str | None
     # Seconds that the caller waits; absent: it hasn't said.
-    patience: float | None
+    caller_timeout: float | None
     work: Work
     # The last event that the caller has, when it resumes a stream.
     last_event: int | None = None
--- a/src/tealcove/ingress/events.py
+++ b/src/tealcove/ingress/events.py
@@ -22,11 +22,11 @@
     """Takes bytes in pieces of any size, gives whole events."""
 
     def __init__(self) -> None:
-        self.rest = b""
+        self.remainder = b""
 
     def feed(self, part: bytes) -> list[Event]:
         """Return the events that are whole by now."""
-        content = self.rest + part
+        content = self.remainder + part
         found = []
         start = 0
         for end in END.finditer(content):
@@ -34,11 +34,11 @@
             start = end.end()
             number = NUMBER.search(event)
             found.append(Event(event, None if number is None else int(number[1])))
-        self.rest = content[start:]
+        self.remainder = content[start:]
         return found
 
 
-class Order:
+class OrderChecker:
     """Checks that events are passed on once each and without a gap.
 
     A server that resumes a stream from a wrong place would otherwise give its
@@ -49,7 +49,7 @@
         # The number of the last event that the caller has; absent: none has come.
         self.last = last
 
-    def follows(self, event: Event) -> bool:
+    def accept(self, event: Event) -> bool:
         """Tell whether an event is the next one, and count it if so."""
         if event.number is None or self.last is None:
             self.last = event.number if event.number is not None else self.last
--- a/src/tealcove/ingress/exchange.py
+++ b/src/tealcove/ingress/exchange.py
@@ -30,24 +30,24 @@
 
 # Servers that may turn out unreachable, or turn a request away, before it's given
 # up; both cost a few milliseconds each.
-MOST_UNREACHED = 4
-MOST_TURNED_AWAY = 3
+MAX_UNREACHABLE = 4
+MAX_NOT_RUN = 3
 # Seconds that must be left for one more sending to make sense.
-LEAST_SECONDS = 0.05
+MIN_REMAINING = 0.05
 # Seconds after which a caller whose request no server took may try again.
 RETRY_AFTER = 0.5
 # A server that shows nothing for so many times what was predicted, and for so many
 # seconds, has probably lost the answer: at three lost answers in ten, callers would
 # wait until they leave, 2 s and more. Few answers take four times as long as predicted.
 SILENCE_FACTOR = 4.0
-LEAST_SILENCE = 0.4
+MIN_SILENCE = 0.4
 # Largest answer that is gathered before it goes out, in bytes.
-MOST_GATHERED = 8 * 2**20
+MAX_BODY_BYTES = 8 * 2**20
 HTTP_SERVER_ERROR = 500
 
 
 # The rest of an answer, after its head.
-Parts = AsyncGenerator[link.Head | bytes, None]
+ResponseParts = AsyncGenerator[link.Head | bytes, None]
 
 
 class Services(msgspec.Struct, frozen=True):
@@ -56,10 +56,10 @@
     link: link.BackendLink
     tickets: requester.Requester
     budget: budget.RetryBudget
-    entry: tickets.Entry
+    entry: tickets.EntryInstance
 
 
-class Gathered(msgspec.Struct, frozen=True):
+class BufferedResponse(msgspec.Struct, frozen=True):
     """A whole answer of a backend server."""
 
     head: link.Head
@@ -76,35 +76,35 @@
     def __init__(
         self,
         services: Services,
-        terms: tickets.Terms,
+        accepted: tickets.AcceptedRequest,
         cell: ids.CellId,
         http: web.Request,
     ) -> None:
         self.http = http
         self.services = services
-        self.terms = terms
+        self.accepted = accepted
         self.cell = cell
         self.excluded: tuple[ids.BackendServerId, ...] = ()
         self.sent = 0
         # Sendings after which the request may have run.
         self.runs = 0
-        self.unreached = 0
-        self.turned_away = 0
+        self.unreachable = 0
+        self.not_run_responses = 0
         # The last whole answer of a server that failed.
-        self.failure: Gathered | None = None
-        self.stream = stream.CallerStream(http, terms.call.last_event)
+        self.failure: BufferedResponse | None = None
+        self.stream = stream.CallerStream(http, accepted.call.last_event)
         # Events of the present sending.
         self.events = 0
-        self.ended = problem.Outcome.COMPLETED.value
+        self.outcome = problem.Outcome.COMPLETED.value
 
-    def say(self, message: str, *arguments: object) -> None:
+    def log_decision(self, message: str, *arguments: object) -> None:
         """Log a decision about this request."""
-        extra = {"request": self.terms.call.request_id}
+        extra = {"request": self.accepted.call.request_id}
         log.info(message, *arguments, extra=extra)
 
-    def say_end(self, message: str, *arguments: object) -> None:
+    def log_failure(self, message: str, *arguments: object) -> None:
         """Log why this request isn't served, however much else is logged."""
-        extra = {"request": self.terms.call.request_id, "final": True}
+        extra = {"request": self.accepted.call.request_id, "final": True}
         log.info(message, *arguments, extra=extra)
 
     async def run(self) -> web.StreamResponse:
@@ -113,54 +113,54 @@
         An answer that has begun and can't be ended breaks the connection.
         """
         try:
-            async with asyncio.timeout(self.terms.deadline - clock.now()):
+            async with asyncio.timeout(self.accepted.deadline - clock.now()):
                 return await self.serve()
         except TimeoutError:
-            return self.give_up(self.late())
+            return self.end_with_problem(self.deadline_exceeded())
         except problem.ProblemError as error:
-            return self.give_up(error)
+            return self.end_with_problem(error)
         except ConnectionResetError:
             if self.stream.response is None:
                 raise
             # The caller left while a part of its answer was written.
-            self.ended = problem.CALLER_GONE
-            answers.break_off(self.http)
+            self.outcome = problem.CALLER_GONE
+            answers.abort_connection(self.http)
             return self.stream.response
 
     async def serve(self) -> web.StreamResponse:
         """Send the request until a server has answered it; raises ProblemError."""
         while True:
-            hold, grant = await self.obtain()
+            pending_ticket, grant = await self.acquire_slot()
             try:
-                return await self.attempt(hold, grant)
+                return await self.attempt(pending_ticket, grant)
             except errors.BackendError as error:
-                self.consider(grant.server, error, clock.now())
+                self.check_retry(grant.server, error, clock.now())
 
-    def give_up(self, error: problem.ProblemError) -> web.StreamResponse:
+    def end_with_problem(self, error: problem.ProblemError) -> web.StreamResponse:
         """End a request that has no whole answer; raises ProblemError."""
         found = error.problem
-        self.ended = found.outcome.value
-        self.say_end(
+        self.outcome = found.outcome.value
+        self.log_failure(
             "ends {}: {} {}, {} sent, {} may have run, after {:.3f} s",
             found.outcome.value,
             found.status,
             found.reason,
             self.sent,
             self.runs,
-            clock.now() - self.terms.arrived,
+            clock.now() - self.accepted.arrived,
         )
         if self.stream.response is not None:
-            answers.break_off(self.http)
+            answers.abort_connection(self.http)
             return self.stream.response
         if self.failure is not None:
-            return answers.whole(self.failure.head, self.failure.body)
+            return answers.buffered_response(self.failure.head, self.failure.body)
         raise error
 
-    async def obtain(self) -> tuple[pending.PendingTicket, messages.Grant]:
+    async def acquire_slot(self) -> tuple[pending.PendingTicket, messages.Grant]:
         """Return a slot; raises ProblemError when there is none in time."""
         now = clock.now()
-        hold = tickets.new(
-            self.terms,
+        pending_ticket = tickets.new_ticket(
+            self.accepted,
             self.cell,
             self.services.entry,
             self.excluded,
@@ -168,24 +168,24 @@
             now,
         )
         try:
-            found = await self.services.tickets.obtain(hold)
+            found = await self.services.tickets.obtain(pending_ticket)
         except asyncio.CancelledError:
-            self.services.tickets.abandon(hold)
+            self.services.tickets.abandon(pending_ticket)
             raise
         if isinstance(found, messages.Refusal):
             if self.runs:
-                raise self.lost(found.reason.value)
+                raise self.lost_response(found.reason.value)
             raise problem.not_run(found.reason, found.retry_after)
-        return hold, found
+        return pending_ticket, found
 
     async def attempt(
-        self, hold: pending.PendingTicket, grant: messages.Grant
+        self, pending_ticket: pending.PendingTicket, grant: messages.Grant
     ) -> web.StreamResponse:
         """Send the request to the granted server and pass its answer on.
 
         Raises BackendError when there is none to pass on.
         """
-        report = reporting.Report(self.services.tickets, hold, grant)
+        report = reporting.AttemptReport(self.services.tickets, pending_ticket, grant)
         server = engine.Server(grant.server, grant.host, grant.port)
         outcome = messages.Outcome.CANCELLED
         self.events = 0
@@ -209,14 +209,17 @@
             outcome = messages.Outcome.FAILED
             raise
         finally:
-            self.note_end(report, outcome, clock.now())
+            self.report_end(report, outcome, clock.now())
 
-    def note_end(
-        self, report: reporting.Report, outcome: messages.Outcome, now: ids.Instant
+    def report_end(
+        self,
+        report: reporting.AttemptReport,
+        outcome: messages.Outcome,
+        now: ids.Instant,
     ) -> None:
         """Tell the dispatcher, and the log, how one sending has ended."""
-        done = report.end(outcome, self.events * self.terms.event_tokens, now)
-        self.say(
+        done = report.end(outcome, self.events * self.accepted.event_tokens, now)
+        self.log_decision(
             "{} at {}: first event {:.3f} s, total {:.3f} s, {} events, prompt {}",
             outcome.value,
             done.server,
@@ -227,65 +230,67 @@
         )
 
     async def send(
-        self, report: reporting.Report, server: engine.Server
+        self, report: reporting.AttemptReport, server: engine.Server
     ) -> web.StreamResponse:
         """Send the request once; raises BackendError."""
-        terms = self.terms
+        accepted = self.accepted
         now = clock.now()
-        sending = link.Sending(
-            call=terms.call,
+        outbound = link.OutboundRequest(
+            call=accepted.call,
             server=server,
-            account=None if terms.account is None else terms.account.name,
-            remaining=max(LEAST_SECONDS, terms.deadline - now),
+            account=None if accepted.account is None else accepted.account.name,
+            remaining=max(MIN_REMAINING, accepted.deadline - now),
             last_event=self.stream.order.last,
         )
 
         def dispatched() -> None:
             if not self.sent:
-                self.services.budget.record_request(terms.service, clock.now())
+                self.services.budget.record_request(accepted.service, clock.now())
             self.sent += 1
             self.runs += 1
             report.dispatched(clock.now())
-            self.say(
+            self.log_decision(
                 "sent to {} ({} of {}), first event expected in {:.3f} s",
                 server.name,
                 self.runs,
-                terms.route.name,
+                accepted.route.name,
                 report.grant.first_seconds,
             )
 
-        answer = self.services.link.send(sending, dispatched)
-        silence = asyncio.timeout(self.silence_seconds(report.grant, now))
+        answer = self.services.link.send(outbound, dispatched)
+        silence = asyncio.timeout(self.silence_timeout(report.grant, now))
         try:
             async with contextlib.aclosing(answer) as parts, silence:
                 head = await anext(parts)
-                if terms.route.is_stream and head.is_success:
-                    return await self.relay(head, parts, report, silence)
-                body = await gather(server, parts)
+                if accepted.route.is_stream and head.is_success:
+                    return await self.relay_stream(head, parts, report, silence)
+                body = await read_body(server, parts)
         except TimeoutError:
             raise failures.silent(server) from None
-        return self.pass_on(Gathered(head, body), server)
+        return self.finish_response(BufferedResponse(head, body), server)
 
-    def silence_seconds(self, grant: messages.Grant, now: ids.Instant) -> float | None:
+    def silence_timeout(self, grant: messages.Grant, now: ids.Instant) -> float | None:
         """Return after how many silent seconds another server is tried, if any."""
-        if not grant.first_seconds or not self.may_run_again(now, self.runs + 1):
+        if not grant.first_seconds or not self.may_retry(now, self.runs + 1):
             return None
-        if not self.services.budget.can_retry(self.terms.service, now):
+        if not self.services.budget.can_retry(self.accepted.service, now):
             return None
-        return max(LEAST_SILENCE, SILENCE_FACTOR * grant.first_seconds)
+        return max(MIN_SILENCE, SILENCE_FACTOR * grant.first_seconds)
 
-    def pass_on(self, found: Gathered, server: engine.Server) -> web.StreamResponse:
+    def finish_response(
+        self, found: BufferedResponse, server: engine.Server
+    ) -> web.StreamResponse:
         """Return a whole answer; raises BackendError for one worth another run."""
         if found.head.status >= HTTP_SERVER_ERROR:
             self.failure = found
             raise failures.failed(server, found.head.status)
-        return answers.whole(found.head, found.body)
+        return answers.buffered_response(found.head, found.body)
 
-    async def relay(
+    async def relay_stream(
         self,
         head: link.Head,
-        parts: Parts,
-        report: reporting.Report,
+        parts: ResponseParts,
+        report: reporting.AttemptReport,
         silence: asyncio.Timeout,
     ) -> web.StreamResponse:
         """Pass a stream on, event by event; raises BackendError when it breaks."""
@@ -299,61 +304,65 @@
                 silence.reschedule(None)
                 report.first_event(clock.now())
             self.events += len(whole)
-            await self.stream.pass_on(head, whole)
-        return await self.stream.end(head, splitter.rest)
+            await self.stream.forward(head, whole)
+        return await self.stream.end(head, splitter.remainder)
 
-    def consider(
+    def check_retry(
         self, server: ids.BackendServerId, error: errors.BackendError, now: ids.Instant
     ) -> None:
         """Decide on one more sending; raises ProblemError when there is none."""
         self.excluded = (*self.excluded, server)
         if isinstance(error, engine.NotDispatchedError):
-            self.unreached += 1
-            may_go_on = self.unreached < MOST_UNREACHED
+            self.unreachable += 1
+            has_retry = self.unreachable < MAX_UNREACHABLE
         elif isinstance(error, link.NotRunError):
             self.runs -= 1
-            self.turned_away += 1
-            may_go_on = self.turned_away < MOST_TURNED_AWAY
-            may_go_on = may_go_on and self.take_retry(now)
+            self.not_run_responses += 1
+            has_retry = self.not_run_responses < MAX_NOT_RUN
+            has_retry = has_retry and self.take_retry(now)
         else:
-            may_go_on = self.may_run_again(now, self.runs) and self.take_retry(now)
-        self.say("{} at {}: {}", "again" if may_go_on else "no more", server, error)
-        if may_go_on and self.terms.deadline - now > LEAST_SECONDS:
+            has_retry = self.may_retry(now, self.runs) and self.take_retry(now)
+        self.log_decision(
+            "{} at {}: {}", "again" if has_retry else "no more", server, error
+        )
+        if has_retry and self.accepted.deadline - now > MIN_REMAINING:
             return
         if self.runs:
-            raise self.lost("backend_server")
+            raise self.lost_response("backend_server")
         reason = messages.RefusalReason.NO_BACKEND_SERVER
         raise problem.not_run(reason, RETRY_AFTER)
 
-    def may_run_again(self, now: ids.Instant, runs: int) -> bool:
+    def may_retry(self, now: ids.Instant, runs: int) -> bool:
         """Tell whether a request may run once more after so many runs."""
-        route = self.terms.route
+        route = self.accepted.route
         is_once = route.repeat is declared.Repeat.ONCE
-        has_time = self.terms.deadline - now > LEAST_SECONDS
+        has_time = self.accepted.deadline - now > MIN_REMAINING
         return has_time and not is_once and runs < route.attempts
 
     def take_retry(self, now: ids.Instant) -> bool:
         """Tell whether a repeat is within the bounds of all requests together."""
-        return self.services.budget.take_retry(self.terms.service, now)
+        return self.services.budget.take_retry(self.accepted.service, now)
 
-    def lost(self, reason: str) -> problem.ProblemError:
+    def lost_response(self, reason: str) -> problem.ProblemError:
         """Return the end of a request that was sent and has no whole answer."""
-        if self.terms.is_repeatable:
+        if self.accepted.is_repeatable:
             return problem.interrupted(reason)
         return problem.unknown(reason)
 
-    def late(self) -> problem.ProblemError:
+    def deadline_exceeded(self) -> problem.ProblemError:
         """Return the end of a request whose time is over."""
         if self.runs:
-            return self.lost(messages.RefusalReason.DEADLINE.value)
+            return self.lost_response(messages.RefusalReason.DEADLINE.value)
         return problem.not_run(messages.RefusalReason.DEADLINE, RETRY_AFTER)
 
 
-async def gather(server: engine.Server, parts: Parts) -> bytes:
+async def read_body(server: engine.Server, parts: ResponseParts) -> bytes:
     """Return a whole body; raises BackendError."""
     found = bytearray()
     async for part in parts:
         found += part
-        if len(found) > MOST_GATHERED:
-            raise failures.broken(f"{server.name} sent more than {MOST_GATHERED} bytes")
+        if len(found) > MAX_BODY_BYTES:
+            raise failures.broken(
+                f"{server.name} sent more than {MAX_BODY_BYTES} bytes"
+            )
     return bytes(found)
--- a/src/tealcove/ingress/http.py
+++ b/src/tealcove/ingress/http.py
@@ -65,58 +65,61 @@
         task = asyncio.current_task()
         self.in_progress.add(task)
         arrived = clock.now()
-        seen = self.observer.begin(arrived)
+        observation = self.observer.begin(arrived)
         try:
-            response = await self.serve(request, arrived, seen)
+            response = await self.serve(request, arrived, observation)
         except problem.ProblemError as error:
-            seen.outcome = error.problem.outcome.value
+            observation.outcome = error.problem.outcome.value
             response = self.codec.respond(error.problem)
             if not request.content.is_eof():
                 # Nothing can follow a body that didn't come to its end.
                 response.force_close()
         except asyncio.CancelledError:
-            seen.outcome = problem.CALLER_GONE
+            observation.outcome = problem.CALLER_GONE
             raise
         finally:
             self.in_progress.discard(task)
-            self.observer.end(seen, clock.now())
+            self.observer.end(observation, clock.now())
         if self.is_leaving and not response.prepared:
             response.force_close()
         return response
 
     async def serve(
-        self, request: web.Request, arrived: ids.Instant, seen: observer.Seen
+        self,
+        request: web.Request,
+        arrived: ids.Instant,
+        observation: observer.Observation,
     ) -> web.StreamResponse:
         """Return the answer of one request; raises ProblemError."""
         received = await self.receive(request)
         if self.is_closed:
             raise refused(received, messages.RefusalReason.LEAVING, LEAVING_RETRY)
-        terms = acceptance.accept(received, self.configuration.current, arrived)
-        seen.route = terms.route.name
-        if self.quarantine.is_quarantined(terms.digest):
-            remaining = self.quarantine.remaining(terms.digest, clock.now())
+        accepted = acceptance.accept(received, self.configuration.current, arrived)
+        observation.route = accepted.route.name
+        if self.quarantine.is_quarantined(accepted.digest):
+            remaining = self.quarantine.remaining(accepted.digest, clock.now())
             reason = messages.RefusalReason.QUARANTINED
             raise refused(received, reason, remaining)
         log.info(
             "accepted: route {} to {}, account {}, tier {} urgency {}, {:.3f} s, "
             "revision {}",
-            terms.route.name,
-            terms.service,
-            terms.account_name,
-            terms.tier_rank,
-            terms.route.rank,
-            terms.deadline - terms.arrived,
+            accepted.route.name,
+            accepted.service,
+            accepted.account_name,
+            accepted.tier_rank,
+            accepted.route.rank,
+            accepted.deadline - accepted.arrived,
             self.configuration.revision,
             extra={"request": received.request_id},
         )
-        charge = await self.charge(terms)
-        cell = self.find_cell(terms)
-        running = exchange.Exchange(self.services, terms, cell, request)
+        charge = await self.charge(accepted)
+        cell = self.find_cell(accepted)
+        running = exchange.Exchange(self.services, accepted, cell, request)
         try:
             return await running.run()
         finally:
-            seen.first_event_at = running.stream.first_event_at
-            seen.outcome = running.ended
+            observation.first_event_at = running.stream.first_event_at
+            observation.outcome = running.outcome
             if not running.runs:
                 charge.settle(0.0)
 
@@ -148,24 +151,24 @@
                 HTTP_TIMEOUT, "The body came too slowly", f"Send it in {seconds:g} s."
             ) from error
 
-    async def charge(self, terms: tickets.Terms) -> admission.Charge:
+    async def charge(self, accepted: tickets.AcceptedRequest) -> admission.Charge:
         """Charge the account; raises ProblemError beyond its limit."""
-        cost = acceptance.cost(terms)
+        cost = acceptance.cost(accepted)
         try:
             return await self.limits.admit(
-                terms.account_name, cost, terms.call.request_id
+                accepted.account_name, cost, accepted.call.request_id
             )
         except admission.OverLimitError as error:
             reason = messages.RefusalReason.ACCOUNT_LIMIT
-            raise refused(terms.call, reason, error.retry_after) from error
+            raise refused(accepted.call, reason, error.retry_after) from error
 
-    def find_cell(self, terms: tickets.Terms) -> ids.CellId:
+    def find_cell(self, accepted: tickets.AcceptedRequest) -> ids.CellId:
         """Return the cell whose dispatcher a request asks; raises ProblemError."""
-        pool = self.spread.copy.current.pool(terms.service)
+        pool = self.spread.copy.current.pool(accepted.service)
         if pool is None:
             reason = messages.RefusalReason.NO_BACKEND_SERVER
-            raise refused(terms.call, reason, exchange.RETRY_AFTER)
-        return self.spread.choose(pool, terms.call.request_id).cell_id
+            raise refused(accepted.call, reason, exchange.RETRY_AFTER)
+        return self.spread.choose(pool, accepted.call.request_id).cell_id
 
 
 def refused(
--- a/src/tealcove/ingress/link.py
+++ b/src/tealcove/ingress/link.py
@@ -22,7 +22,7 @@
         self.status = status
 
 
-class Sending(msgspec.Struct, frozen=True):
+class OutboundRequest(msgspec.Struct, frozen=True):
     """One sending of a call to one server."""
 
     call: call.Call
@@ -53,7 +53,7 @@
 
     @abc.abstractmethod
     def send(
-        self, sending: Sending, dispatched: Callable[[], None]
+        self, outbound: OutboundRequest, dispatched: Callable[[], None]
     ) -> AsyncGenerator[Head | bytes, None]:
         """Send a call once; yield the head of its answer, then its body in parts.
 
--- a/src/tealcove/ingress/observer.py
+++ b/src/tealcove/ingress/observer.py
@@ -8,10 +8,10 @@
 from tealcove.entry import problem
 
 
-class Seen(msgspec.Struct):
+class Observation(msgspec.Struct):
     """One request, from its arrival to the end of its answer."""
 
-    began: ids.Instant
+    arrived: ids.Instant
     route: str = ""
     outcome: str = problem.Outcome.COMPLETED.value
     first_event_at: ids.Instant | None = None
@@ -35,15 +35,15 @@
             "From a request's arrival to the end of its answer.",
         )
 
-    def begin(self, now: ids.Instant) -> Seen:
+    def begin(self, now: ids.Instant) -> Observation:
         """Begin to watch a request."""
-        return Seen(now)
+        return Observation(now)
 
-    def end(self, seen: Seen, now: ids.Instant) -> None:
+    def end(self, observation: Observation, now: ids.Instant) -> None:
         """Add a request that has ended to the metrics."""
-        labels = {"route": seen.route, "outcome": seen.outcome}
+        labels = {"route": observation.route, "outcome": observation.outcome}
         self.requests.add(1, labels)
-        self.durations.record(now - seen.began, labels)
-        if seen.first_event_at is not None:
-            first = seen.first_event_at - seen.began
-            self.first_events.record(first, {"route": seen.route})
+        self.durations.record(now - observation.arrived, labels)
+        if observation.first_event_at is not None:
+            first = observation.first_event_at - observation.arrived
+            self.first_events.record(first, {"route": observation.route})
--- a/src/tealcove/ingress/report.py
+++ b/src/tealcove/ingress/report.py
@@ -6,21 +6,21 @@
 from tealcove.dispatch import messages, pending, requester
 
 
-class Report:
+class AttemptReport:
     """What the dispatcher is told of one sending."""
 
     def __init__(
         self,
         tickets: requester.Requester,
-        hold: pending.PendingTicket,
+        pending_ticket: pending.PendingTicket,
         grant: messages.Grant,
     ) -> None:
         self.tickets = tickets
-        self.hold = hold
+        self.pending_ticket = pending_ticket
         self.grant = grant
         self.sent_at: ids.Instant | None = None
         self.first_at: ids.Instant | None = None
-        tickets.mark_running(hold, grant.server, grant.start)
+        tickets.mark_running(pending_ticket, grant.server, grant.start)
 
     def dispatched(self, now: ids.Instant) -> None:
         """Note that the request is about to be written."""
@@ -30,17 +30,17 @@
         """Tell that the first event has come."""
         self.first_at = now
         progress = messages.Progress(
-            ticket_id=self.hold.ticket.ticket_id,
-            cell=self.hold.ticket.cell,
+            ticket_id=self.pending_ticket.ticket.ticket_id,
+            cell=self.pending_ticket.ticket.cell,
             first_token_seconds=now - self.sent_at,
         )
-        self.tickets.send(self.hold, progress)
+        self.tickets.send(self.pending_ticket, progress)
 
     def end(
         self, outcome: messages.Outcome, tokens: int, now: ids.Instant
     ) -> messages.Done:
         """Tell how it ended, which frees the slot; return what was told."""
-        ticket = self.hold.ticket
+        ticket = self.pending_ticket.ticket
         sent_at = now if self.sent_at is None else self.sent_at
         first_at = now if self.first_at is None else self.first_at
         done = messages.Done(
@@ -55,5 +55,5 @@
             total_seconds=now - sent_at,
             start=self.grant.start,
         )
-        self.tickets.finish(self.hold, done)
+        self.tickets.finish(self.pending_ticket, done)
         return done
--- a/src/tealcove/ingress/stream.py
+++ b/src/tealcove/ingress/stream.py
@@ -13,17 +13,17 @@
 
     def __init__(self, http: web.Request, last_event: int | None) -> None:
         self.http = http
-        self.order = events.Order(last_event)
+        self.order = events.OrderChecker(last_event)
         # Begun with the first event, with the head of the server that sent it.
         self.response: web.StreamResponse | None = None
         self.first_event_at: ids.Instant | None = None
 
     def check(self, whole: list[events.Event]) -> None:
         """Raise BackendError unless these are the events that come next."""
-        if not all(self.order.follows(event) for event in whole):
+        if not all(self.order.accept(event) for event in whole):
             raise failures.broken("an event out of order came")
 
-    async def pass_on(self, head: link.Head, whole: list[events.Event]) -> None:
+    async def forward(self, head: link.Head, whole: list[events.Event]) -> None:
         """Write checked events to the caller."""
         await self.write(head, b"".join(event.content for event in whole))
 
@@ -40,7 +40,7 @@
         """Begin the answer if it isn't begun, and write a part of it."""
         if self.response is None:
             self.first_event_at = clock.now()
-            self.response = answers.stream(head)
+            self.response = answers.stream_response(head)
             await self.response.prepare(self.http)
         if content:
             await self.response.write(content)
--- a/src/tealcove/ingress/tests/builders.py
+++ b/src/tealcove/ingress/tests/builders.py
@@ -58,13 +58,13 @@
         "headers": (),
         "body": b"recipe",
         "key": KEY,
-        "patience": 4.0,
+        "caller_timeout": 4.0,
         "work": call.Work(1000, 100, 50),
     }
     return call.Call(**{**found, **changes})
 
 
-def terms(**changes: object) -> tickets.Terms:
+def accepted(**changes: object) -> tickets.AcceptedRequest:
     found = {
         "call": received(),
         "route": route(),
@@ -76,4 +76,4 @@
         "has_tiers": True,
         "digest": "d",
     }
-    return tickets.Terms(**{**found, **changes})
+    return tickets.AcceptedRequest(**{**found, **changes})
--- a/src/tealcove/ingress/tests/test_events.py
+++ b/src/tealcove/ingress/tests/test_events.py
@@ -37,7 +37,7 @@
     found = []
     for start, end in itertools.pairwise(bounds):
         found.extend(splitter.feed(content[start:end]))
-    assert splitter.rest == b""
+    assert splitter.remainder == b""
     # Two ends may look like one when a cut lies between \r and \n.
     assert b"".join(event.content for event in found) == content
     numbers = [event.number for event in found if event.number is not None]
@@ -51,14 +51,14 @@
     found = b""
     for start, end in itertools.pairwise(bounds):
         found += b"".join(e.content for e in splitter.feed(content[start:end]))
-    assert found + splitter.rest == content
+    assert found + splitter.remainder == content
 
 
 def test_order_refuses_gaps_and_repeats() -> None:
-    order = events.Order(None)
-    assert order.follows(events.Event(b"", 4))
-    assert order.follows(events.Event(b"", 5))
-    assert not order.follows(events.Event(b"", 5))
-    assert not order.follows(events.Event(b"", 7))
+    order = events.OrderChecker(None)
+    assert order.accept(events.Event(b"", 4))
+    assert order.accept(events.Event(b"", 5))
+    assert not order.accept(events.Event(b"", 5))
+    assert not order.accept(events.Event(b"", 7))
     assert order.last == 5
-    assert order.follows(events.Event(b"", 6))
+    assert order.accept(events.Event(b"", 6))
--- a/src/tealcove/ingress/tests/test_exchange.py
+++ b/src/tealcove/ingress/tests/test_exchange.py
@@ -17,9 +17,9 @@
 @pytest.fixture
 def running() -> exchange.Exchange:
     """Return an exchange whose answer has begun."""
-    terms = builders.terms(deadline=ids.Instant(clock.now() + 100.0))
+    accepted = builders.accepted(deadline=ids.Instant(clock.now() + 100.0))
     http = unittest.mock.Mock()
-    found = exchange.Exchange(None, terms, ids.CellId("engines/0"), http)
+    found = exchange.Exchange(None, accepted, ids.CellId("engines/0"), http)
     found.stream.response = web.StreamResponse()
     return found
 
@@ -34,5 +34,5 @@
 
     monkeypatch.setattr(running, "serve", serve)
     assert await running.run() is running.stream.response
-    assert running.ended == problem.CALLER_GONE
+    assert running.outcome == problem.CALLER_GONE
     running.http.transport.abort.assert_called_once()
--- a/src/tealcove/ingress/tests/test_tickets.py
+++ b/src/tealcove/ingress/tests/test_tickets.py
@@ -9,17 +9,19 @@
 from tealcove.ingress import tickets
 from tealcove.ingress.tests import builders
 
-ENTRY = tickets.Entry(ids.InstanceId("i"), ids.DataCentreId("dc-1"))
+ENTRY = tickets.EntryInstance(ids.InstanceId("i"), ids.DataCentreId("dc-1"))
 
 
 def rank(account_rank: int | None, route_rank: int) -> tuple[int, int]:
     """Return tier and urgency, of which the tier goes first."""
-    terms = builders.terms(
+    accepted = builders.accepted(
         account=builders.account(rank=account_rank),
         route=builders.route(rank=route_rank),
     )
-    now = terms.arrived
-    found = tickets.new(terms, ids.CellId("c/0"), ENTRY, (), False, now).ticket
+    now = accepted.arrived
+    found = tickets.new_ticket(
+        accepted, ids.CellId("c/0"), ENTRY, (), False, now
+    ).ticket
     return found.tier_rank, found.urgency
 
 
@@ -50,29 +52,33 @@
     """
     found = []
     for route_rank in (0, 2):
-        terms = builders.terms(
+        accepted = builders.accepted(
             account=builders.account(rank=None),
             route=builders.route(rank=route_rank),
             has_tiers=False,
         )
-        found.append((terms.tier_rank, terms.route.rank))
+        found.append((accepted.tier_rank, accepted.route.rank))
     assert found == [(0, 0), (0, 2)]
 
 
 async def test_a_ticket_says_when_its_caller_gives_up():
     route = builders.route(is_stream=True, timeout=1.0)
-    received = builders.received(patience=4.0)
-    terms = builders.terms(route=route, call=received)
-    now = ids.Instant(terms.arrived + 0.5)
+    received = builders.received(caller_timeout=4.0)
+    accepted = builders.accepted(route=route, call=received)
+    now = ids.Instant(accepted.arrived + 0.5)
     cell = ids.CellId("c/0")
-    first = tickets.new(terms, cell, ENTRY, (), False, now).ticket
+    first = tickets.new_ticket(accepted, cell, ENTRY, (), False, now).ticket
     # By its own word, although the route's time is over before.
     assert first.caller_remaining == pytest.approx(3.5)
     # A stream that goes on has no first try to be known by.
-    assert tickets.new(terms, cell, ENTRY, (), True, now).ticket.caller_remaining == 0.0
-    silent = builders.terms(call=builders.received(patience=None))
     assert (
-        tickets.new(silent, cell, ENTRY, (), False, now).ticket.caller_remaining == 0.0
+        tickets.new_ticket(accepted, cell, ENTRY, (), True, now).ticket.caller_remaining
+        == 0.0
+    )
+    silent = builders.accepted(call=builders.received(caller_timeout=None))
+    assert (
+        tickets.new_ticket(silent, cell, ENTRY, (), False, now).ticket.caller_remaining
+        == 0.0
     )
 
 
@@ -80,11 +86,13 @@
     route = builders.route(
         repeat=declared.Repeat.RESUMABLE, is_stream=True, goal=0.6, gap=0.25
     )
-    terms = builders.terms(route=route)
-    now = ids.Instant(terms.arrived + 1.0)
+    accepted = builders.accepted(route=route)
+    now = ids.Instant(accepted.arrived + 1.0)
 
     def ticket(has_events: bool) -> tickets.messages.Ticket:
-        found = tickets.new(terms, ids.CellId("c/0"), ENTRY, (), has_events, now)
+        found = tickets.new_ticket(
+            accepted, ids.CellId("c/0"), ENTRY, (), has_events, now
+        )
         return found.ticket
 
     # Missed by now, which isn't the same as having none.
--- a/src/tealcove/ingress/tickets.py
+++ b/src/tealcove/ingress/tickets.py
@@ -13,19 +13,19 @@
 
 # Callers leave a stream that shows nothing for so long: the longest of two
 # seconds, some times their goal and some times the pause that they put up with.
-LEAST_PATIENCE = 2.0
-GOALS_OF_PATIENCE = 4.0
-GAPS_OF_PATIENCE = 8.0
+MIN_PATIENCE = 2.0
+PATIENCE_GOAL_FACTOR = 4.0
+PATIENCE_GAP_FACTOR = 8.0
 
 
-class Entry(msgspec.Struct, frozen=True):
+class EntryInstance(msgspec.Struct, frozen=True):
     """The instance that has a caller's request, and where it is."""
 
     name: ids.InstanceId
     data_centre: ids.DataCentreId
 
 
-class Terms(msgspec.Struct, frozen=True, kw_only=True):
+class AcceptedRequest(msgspec.Struct, frozen=True, kw_only=True):
     """What holds for one request, decided when it was accepted."""
 
     call: call.Call
@@ -64,10 +64,10 @@
         return self.route.repeat is not declared.Repeat.ONCE
 
 
-def new(
-    terms: Terms,
+def new_ticket(
+    accepted: AcceptedRequest,
     cell: ids.CellId,
-    entry: Entry,
+    entry: EntryInstance,
     excluded: tuple[ids.BackendServerId, ...],
     has_events: bool,
     now: ids.Instant,
@@ -77,46 +77,46 @@
     `has_events` says that the caller has a part of its stream already, so that
     the goal no longer counts but the next pause does.
     """
-    work = terms.call.work
-    route = terms.route
-    waited = now - terms.arrived
+    work = accepted.call.work
+    route = accepted.route
+    waited = now - accepted.arrived
     patience = 0.0
     if route.is_stream:
-        patience = patience_of(route) - (0.0 if has_events else waited)
+        patience = stream_patience(route) - (0.0 if has_events else waited)
     ticket = messages.Ticket(
         ticket_id=ids.new_ticket_id(),
-        request_id=terms.call.request_id,
+        request_id=accepted.call.request_id,
         cell=cell,
         entry=entry.name,
         data_centre=entry.data_centre,
         route=route.name,
-        tier_rank=terms.tier_rank,
-        account=terms.account_name,
-        idempotent=terms.is_repeatable,
+        tier_rank=accepted.tier_rank,
+        account=accepted.account_name,
+        idempotent=accepted.is_repeatable,
         prompt_tokens=work.prompt_tokens,
         output_tokens=work.output_tokens,
         prefix=(),
-        remaining=terms.deadline - now,
-        digest=terms.digest,
+        remaining=accepted.deadline - now,
+        digest=accepted.digest,
         excluded=excluded,
-        goal=goal_of(route, waited, has_events),
+        goal=remaining_goal(route, waited, has_events),
         patience=max(0.0, patience),
         urgency=route.rank,
         expected_tokens=work.expected_tokens,
         # A stream that goes on counts from its last event, not from a first try.
-        caller_remaining=0.0 if has_events else caller_remaining(terms, now),
+        caller_remaining=0.0 if has_events else caller_remaining(accepted, now),
     )
-    return pending.PendingTicket(ticket, terms.deadline, None)
+    return pending.PendingTicket(ticket, accepted.deadline, None)
 
 
-def caller_remaining(terms: Terms, now: ids.Instant) -> float:
+def caller_remaining(accepted: AcceptedRequest, now: ids.Instant) -> float:
     """Return the seconds until the caller gives up by its own word; 0: unknown."""
-    if terms.call.patience is None:
+    if accepted.call.caller_timeout is None:
         return 0.0
-    return max(0.0, terms.arrived + terms.call.patience - now)
+    return max(0.0, accepted.arrived + accepted.call.caller_timeout - now)
 
 
-def goal_of(route: declared.Route, waited: float, has_events: bool) -> float:
+def remaining_goal(route: declared.Route, waited: float, has_events: bool) -> float:
     """Return the seconds left to the goal; 0: there is none, tiny: it's missed."""
     if has_events and route.gap > 0.0:
         return route.gap
@@ -125,10 +125,10 @@
     return max(math.ulp(1.0), route.goal - waited)
 
 
-def patience_of(route: declared.Route) -> float:
+def stream_patience(route: declared.Route) -> float:
     """Return the seconds of silence after which a stream's caller leaves."""
     return max(
-        LEAST_PATIENCE,
-        GOALS_OF_PATIENCE * route.goal,
-        GAPS_OF_PATIENCE * route.gap,
+        MIN_PATIENCE,
+        PATIENCE_GOAL_FACTOR * route.goal,
+        PATIENCE_GAP_FACTOR * route.gap,
     )
--- a/src/tealcove/platform/callers.py
+++ b/src/tealcove/platform/callers.py
@@ -52,7 +52,7 @@
             headers=forwarded(request.headers),
             body=body,
             key=headers.get(names.API_KEY),
-            patience=None if deadline is None else deadline / MILLISECONDS,
+            caller_timeout=None if deadline is None else deadline / MILLISECONDS,
             work=read_work(request),
             last_event=None if last is None else int(last),
         )
--- a/src/tealcove/platform/engines.py
+++ b/src/tealcove/platform/engines.py
@@ -86,26 +86,26 @@
         await self.session.close()
 
     async def send(
-        self, sending: link.Sending, dispatched: Callable[[], None]
+        self, outbound: link.OutboundRequest, dispatched: Callable[[], None]
     ) -> AsyncGenerator[link.Head | bytes, None]:
         """See BackendLink."""
         attempt = attempts.Attempt(dispatched)
-        server = sending.server
+        server = outbound.server
         request = self.session.request(
-            sending.call.method,
-            yarl.URL(f"{server.url}{sending.call.target}", encoded=True),
-            headers=headers_of(sending),
-            data=sending.call.body or None,
-            # Following a redirect would be a second sending.
+            outbound.call.method,
+            yarl.URL(f"{server.url}{outbound.call.target}", encoded=True),
+            headers=headers_of(outbound),
+            data=outbound.call.body or None,
+            # Following a redirect would be a second dispatch.
             allow_redirects=False,
             timeout=aiohttp.ClientTimeout(
-                total=sending.remaining + LATE_MARGIN, sock_connect=CONNECT_TIMEOUT
+                total=outbound.remaining + LATE_MARGIN, sock_connect=CONNECT_TIMEOUT
             ),
             trace_request_ctx=attempt,
         )
         try:
             async with request as response:
-                yield read_head(sending, response)
+                yield read_head(outbound, response)
                 async for part in response.content.iter_any():
                     yield part
         except (
@@ -117,28 +117,30 @@
             raise attempts.describe(server, attempt, error) from error
 
 
-def headers_of(sending: link.Sending) -> multidict.CIMultiDict[str]:
+def headers_of(outbound: link.OutboundRequest) -> multidict.CIMultiDict[str]:
     """Return the headers of a call with those that the system sets."""
-    headers = multidict.CIMultiDict(sending.call.headers)
-    headers[names.EXPECTED_INCARNATION] = sending.server.name
+    headers = multidict.CIMultiDict(outbound.call.headers)
+    headers[names.EXPECTED_INCARNATION] = outbound.server.name
     # Milliseconds that are left, and not the caller's own number: the server works
     # on until then, for nobody if it's too long.
-    left = max(1, int(sending.remaining * MILLISECONDS))
+    left = max(1, int(outbound.remaining * MILLISECONDS))
     headers[names.DEADLINE_MS] = str(left)
-    if sending.account is not None:
-        headers[names.ACCOUNT] = sending.account
-    if sending.last_event is not None:
-        headers[names.LAST_EVENT_ID] = str(sending.last_event)
+    if outbound.account is not None:
+        headers[names.ACCOUNT] = outbound.account
+    if outbound.last_event is not None:
+        headers[names.LAST_EVENT_ID] = str(outbound.last_event)
     return headers
 
 
-def read_head(sending: link.Sending, response: aiohttp.ClientResponse) -> link.Head:
+def read_head(
+    outbound: link.OutboundRequest, response: aiohttp.ClientResponse
+) -> link.Head:
     """Return the head of an answer to this very request.
 
     Raises NotRunError if the server says that it hasn't run the request, and
     WrongAnswerError for anything that may belong to another one.
     """
-    server = sending.server
+    server = outbound.server
     headers = response.headers
     if names.NOT_RUN in headers:
         raise link.NotRunError(server.name, response.status)
@@ -147,7 +149,7 @@
         raise link.NotRunError(server.name, response.status)
     echoed = headers.get(names.REQUEST_ID)
     is_signed = names.SIGNATURE in headers
-    if echoed != sending.call.request_id or not is_signed:
+    if echoed != outbound.call.request_id or not is_signed:
         raise engine.WrongAnswerError(
             f"{server.name} gave an answer that isn't this request's: "
             f"id {echoed!r}, {'signed' if is_signed else 'not signed'}",
--- a/src/tealcove/platform/tests/test_callers.py
+++ b/src/tealcove/platform/tests/test_callers.py
@@ -55,7 +55,7 @@
     work = found.work
     assert 0 <= work.expected_tokens <= work.output_tokens
     assert work.prompt_tokens >= 0
-    assert found.patience is None or 0.0 <= found.patience < float("inf")
+    assert found.caller_timeout is None or 0.0 <= found.caller_timeout < float("inf")
     assert found.last_event is None or found.last_event >= 0
 
 
--- a/tests/test_platformed.py
+++ b/tests/test_platformed.py
@@ -115,7 +115,7 @@
 ):
     # However slow this process is, both servers are reached and may take their time.
     monkeypatch.setattr(engines, "CONNECT_TIMEOUT", platformed.PATIENCE)
-    monkeypatch.setattr(exchange, "LEAST_SILENCE", platformed.PATIENCE)
+    monkeypatch.setattr(exchange, "MIN_SILENCE", platformed.PATIENCE)
     async with platformed.site() as running:
         fail_next(running, Fault.FAILED)
         answer = await running.send("/safe/1")
@@ -134,7 +134,7 @@
     still for 0.3 s while it connects is enough. Cause: none; it's allowed, since the
     request may repeat and ran twice at the most.
     """
-    monkeypatch.setattr(exchange, "LEAST_SILENCE", platformed.PATIENCE)
+    monkeypatch.setattr(exchange, "MIN_SILENCE", platformed.PATIENCE)
     async with platformed.site() as running:
         for _ in range(2):
             fail_next(running, Fault.FAILED, 1)
