--- a/src/tealcove/backends/attempt.py
+++ b/src/tealcove/backends/attempt.py
@@ -11,7 +11,7 @@
 from tealcove.backends import engine
 
 # Headers that aiohttp would add to those of the caller.
-NO_HEADERS_OF_OUR_OWN = ("Accept", "Accept-Encoding", "Content-Type", "User-Agent")
+SKIPPED_AUTO_HEADERS = ("Accept", "Accept-Encoding", "Content-Type", "User-Agent")
 
 
 class SecondWriteError(errors.BackendError):
@@ -31,7 +31,7 @@
         self.dispatched()
 
 
-def describe(
+def translate_error(
     server: engine.Server, attempt: Attempt, error: Exception
 ) -> errors.BackendError:
     """Return what the failure of a call means.
@@ -50,7 +50,7 @@
     )
 
 
-async def tell_dispatched(
+async def notify_dispatched(
     session: aiohttp.ClientSession,
     context: types.SimpleNamespace,
     params: aiohttp.TraceConnectionCreateEndParams,
--- a/src/tealcove/backends/events.py
+++ b/src/tealcove/backends/events.py
@@ -6,7 +6,7 @@
 
 DATA_PREFIX = b"data:"
 # Bytes of a line at the most; a stream without line ends would fill the memory.
-LARGEST_LINE = 1 << 20
+MAX_LINE_BYTES = 1 << 20
 
 
 class Events:
@@ -14,18 +14,18 @@
 
     def __init__(self) -> None:
         # The start of a line whose end hasn't come yet.
-        self.rest = b""
+        self.remainder = b""
 
-    def take(self, part: bytes) -> list[bytes]:
+    def feed(self, part: bytes) -> list[bytes]:
         """Return the data of the events that a part completes.
 
         Raises BrokenStreamError when a line is too long.
         """
-        lines = (self.rest + part).split(b"\n")
-        self.rest = lines.pop()
-        if len(self.rest) > LARGEST_LINE:
+        lines = (self.remainder + part).split(b"\n")
+        self.remainder = lines.pop()
+        if len(self.remainder) > MAX_LINE_BYTES:
             raise engine.BrokenStreamError(
-                f"An engine sent a line of more than {LARGEST_LINE} bytes",
+                f"An engine sent a line of more than {MAX_LINE_BYTES} bytes",
                 "Compare the engine with docs/BACKENDS.md.",
             )
         prefix = len(DATA_PREFIX)
--- a/src/tealcove/backends/http_engine.py
+++ b/src/tealcove/backends/http_engine.py
@@ -21,10 +21,10 @@
 CONTROL_TIMEOUT = 2.0
 # Errors by which a connection never stood; a time-out to connect is not a
 # ClientConnectorError, and was once taken for a stream that broke off.
-NOT_CONNECTED = (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError)
+CONNECT_ERRORS = (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError)
 # A connection for readings that isn't used for so long is closed.
-KEPT_SECONDS = 15.0
-END = b"[DONE]"
+KEEPALIVE_SECONDS = 15.0
+DONE_MARKER = b"[DONE]"
 
 T = TypeVar("T")
 
@@ -34,7 +34,7 @@
 
     def __init__(self) -> None:
         self.session: aiohttp.ClientSession | None = None
-        self.readings: aiohttp.ClientSession | None = None
+        self.polling: aiohttp.ClientSession | None = None
         self.event_decoder = msgspec.json.Decoder(wire.Event)
 
     async def start(self) -> None:
@@ -48,25 +48,27 @@
             total=None, sock_connect=CONNECT_TIMEOUT, sock_read=SILENCE_TIMEOUT
         )
         tracing = aiohttp.TraceConfig()
-        tracing.on_connection_create_end.append(tell_dispatched)
+        tracing.on_connection_create_end.append(notify_dispatched)
         self.session = aiohttp.ClientSession(
             connector=connector,
             timeout=timeout,
-            read_bufsize=events.LARGEST_LINE,
+            read_bufsize=events.MAX_LINE_BYTES,
             trace_configs=[tracing],
         )
         # Load, health and cache events are read several times a second. They are
         # small, safe to repeat and belong to nobody, so their connections are kept:
         # a new one for each took three quarters of a reading's processor time.
-        self.readings = aiohttp.ClientSession(
-            connector=aiohttp.TCPConnector(limit=0, keepalive_timeout=KEPT_SECONDS),
+        self.polling = aiohttp.ClientSession(
+            connector=aiohttp.TCPConnector(
+                limit=0, keepalive_timeout=KEEPALIVE_SECONDS
+            ),
             timeout=aiohttp.ClientTimeout(total=CONTROL_TIMEOUT),
         )
 
     async def stop(self) -> None:
         """Close the sessions."""
         await self.session.close()
-        await self.readings.close()
+        await self.polling.close()
 
     def generate(
         self,
@@ -119,11 +121,11 @@
                 # Whatever has come is taken at once. To wait for line after line
                 # took as long as all the rest of what an event costs.
                 async for part in response.content.iter_any():
-                    for data in found.take(part):
-                        if data == END:
+                    for data in found.feed(part):
+                        if data == DONE_MARKER:
                             return
                         yield self.decode(server, request_id, data)
-        except NOT_CONNECTED as error:
+        except CONNECT_ERRORS as error:
             raise engine.NotDispatchedError(
                 f"{server.name} can't be reached: {error}",
                 "Nothing was sent to it; see whether the process runs.",
@@ -133,7 +135,7 @@
                 f"The answer of {server.name} broke off: {error!r}",
                 "Resume it from the next token on.",
             ) from error
-        if END not in found.take(b"\n"):
+        if DONE_MARKER not in found.feed(b"\n"):
             raise engine.BrokenStreamError(
                 f"The answer of {server.name} ended without its closing event",
                 "Resume it from the next token on.",
@@ -228,7 +230,7 @@
         content: bytes | None = None,
     ) -> bytes:
         """Make a short call that is safe to repeat."""
-        session = self.readings if method == "GET" else self.session
+        session = self.polling if method == "GET" else self.session
         try:
             async with asyncio.timeout(CONTROL_TIMEOUT):
                 async with session.request(
@@ -248,7 +250,7 @@
             ) from error
 
 
-async def tell_dispatched(
+async def notify_dispatched(
     session: aiohttp.ClientSession,
     context: types.SimpleNamespace,
     params: aiohttp.TraceConnectionCreateEndParams,
--- a/src/tealcove/backends/http_service.py
+++ b/src/tealcove/backends/http_service.py
@@ -14,7 +14,7 @@
 
 REQUEST_ID_HEADER = "X-Request-Id"
 CONNECT_TIMEOUT = 2.0
-PART_BYTES = 64 * 1024
+CHUNK_BYTES = 64 * 1024
 WITHOUT_BODY = (204, 304)
 
 
@@ -27,7 +27,7 @@
     async def start(self) -> None:
         """Open the session."""
         tracing = aiohttp.TraceConfig()
-        tracing.on_connection_create_end.append(attempts.tell_dispatched)
+        tracing.on_connection_create_end.append(attempts.notify_dispatched)
         self.session = aiohttp.ClientSession(
             connector=aiohttp.TCPConnector(force_close=True, limit=0),
             # A jar would send the cookie that one caller was given with the next
@@ -35,7 +35,7 @@
             cookie_jar=aiohttp.DummyCookieJar(),
             # The body is passed on with the coding that its header names.
             auto_decompress=False,
-            skip_auto_headers=attempts.NO_HEADERS_OF_OUR_OWN,
+            skip_auto_headers=attempts.SKIPPED_AUTO_HEADERS,
             middlewares=(attempts.forbid_second_write,),
             trace_configs=[tracing],
         )
@@ -66,9 +66,9 @@
         )
         try:
             async with request as response:
-                check_end_is_told(server, call.method, response)
+                check_body_is_delimited(server, call.method, response)
                 yield read_head(server, call.request_id, response)
-                async for part in response.content.iter_chunked(PART_BYTES):
+                async for part in response.content.iter_chunked(CHUNK_BYTES):
                     yield part
         except (
             aiohttp.ClientError,
@@ -76,7 +76,7 @@
             OSError,
             attempts.SecondWriteError,
         ) as error:
-            raise attempts.describe(server, attempt, error) from error
+            raise attempts.translate_error(server, attempt, error) from error
 
 
 def request_headers(call: service.Call) -> multidict.CIMultiDict[str]:
@@ -87,7 +87,7 @@
     return headers
 
 
-def check_end_is_told(
+def check_body_is_delimited(
     server: engine.Server, method: str, response: aiohttp.ClientResponse
 ) -> None:
     """Refuse a body that ends where the connection does.
@@ -96,8 +96,8 @@
     the fragment would pass for the whole; raises BrokenStreamError.
     """
     headers = response.headers
-    is_told = "Content-Length" in headers or "Transfer-Encoding" in headers
-    if is_told or method == "HEAD" or response.status in WITHOUT_BODY:
+    is_delimited = "Content-Length" in headers or "Transfer-Encoding" in headers
+    if is_delimited or method == "HEAD" or response.status in WITHOUT_BODY:
         return
     raise engine.BrokenStreamError(
         f"The response of {server.name} doesn't say where it ends",
--- a/src/tealcove/backends/prefixes.py
+++ b/src/tealcove/backends/prefixes.py
@@ -10,7 +10,7 @@
 BLOCK_BYTES = BLOCK_TOKENS * TOKEN_BYTES
 HASH_BYTES = 8
 # Blocks of a prompt that are hashed at the most; the rest counts as uncached.
-MOST_BLOCKS = 256
+MAX_BLOCKS = 256
 
 
 def count_tokens(text: str) -> int:
@@ -21,7 +21,7 @@
 def chain(prompt: str) -> tuple[int, ...]:
     """Return a hash per whole block; each covers the blocks before it too."""
     content = prompt.encode()
-    blocks = min(len(content) // BLOCK_BYTES, MOST_BLOCKS)
+    blocks = min(len(content) // BLOCK_BYTES, MAX_BLOCKS)
     hashes = []
     previous = b""
     for number in range(blocks):
--- a/src/tealcove/backends/reach.py
+++ b/src/tealcove/backends/reach.py
@@ -9,10 +9,10 @@
 CONNECT_TIMEOUT = 0.5
 # A process that dies may break its connections a moment before its port closes.
 ATTEMPTS = 2
-PAUSE = 0.05
+RETRY_PAUSE = 0.05
 
 
-async def refuses(server: engine.Server) -> bool:
+async def refuses_connections(server: engine.Server) -> bool:
     """Tell whether connections are refused: no process listens there any more.
 
     A server that can't be reached in any other way may be alive beyond a cut of
@@ -20,7 +20,7 @@
     """
     for attempt in range(ATTEMPTS):
         if attempt > 0:
-            await asyncio.sleep(PAUSE)
+            await asyncio.sleep(RETRY_PAUSE)
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT):
                 _, writer = await asyncio.open_connection(server.host, server.port)
--- a/src/tealcove/entry/forward.py
+++ b/src/tealcove/entry/forward.py
@@ -46,7 +46,7 @@
                 async for part in parts:
                     await self.take(part)
         except engine.BrokenStreamError as error:
-            if await reach.refuses(server):
+            if await reach.refuses_connections(server):
                 raise failures.CrashError(server.name) from error
             raise
 
--- a/src/tealcove/entry/tests/test_crash.py
+++ b/src/tealcove/entry/tests/test_crash.py
@@ -17,8 +17,8 @@
 
 async def test_only_a_closed_port_counts_as_gone() -> None:
     async with builders.listening([]) as port:
-        assert not await reach.refuses(local(port))
-    assert await reach.refuses(local(port))
+        assert not await reach.refuses_connections(local(port))
+    assert await reach.refuses_connections(local(port))
 
 
 @pytest.mark.parametrize(
--- a/src/tealcove/front/instance.py
+++ b/src/tealcove/front/instance.py
@@ -174,7 +174,7 @@
     async def start_ingress(self) -> None:
         """Listen for callers."""
         found = self.settings
-        self.link = engines.EngineLink()
+        self.link = engines.HttpBackendLink()
         await self.link.start()
         self.ingress = http.Ingress(
             exchange.Services(
--- a/src/tealcove/front/places.py
+++ b/src/tealcove/front/places.py
@@ -12,19 +12,19 @@
 MOST_ADDRESSES = 64
 
 
-class MemberPlaces(directory.Places):
+class MemberPlaces(directory.AddressSource):
     """Answers from the heartbeats."""
 
     def __init__(self, known: members.Members) -> None:
         self.members = known
 
     def addresses(self, data_centre: ids.DataCentreId) -> list[str]:
-        """See Places."""
+        """See AddressSource."""
         serving = self.members.serving(clock.now())
         near = [h for h in serving if h.data_centre == data_centre]
         chosen = near if len(near) >= ENOUGH_NEAR else serving
         return [f"{h.host}:{h.http_port}" for h in chosen[:MOST_ADDRESSES]]
 
     def is_ready(self) -> bool:
-        """See Places."""
+        """See AddressSource."""
         return self.members.own.lifecycle is messages.Lifecycle.SERVING
--- a/src/tealcove/ingress/exchange.py
+++ b/src/tealcove/ingress/exchange.py
@@ -202,7 +202,7 @@
             raise
         except engine.BrokenStreamError:
             outcome = messages.Outcome.FAILED
-            if await reach.refuses(server):
+            if await reach.refuses_connections(server):
                 outcome = messages.Outcome.CRASHED
             raise
         except errors.BackendError:
--- a/src/tealcove/platform/callers.py
+++ b/src/tealcove/platform/callers.py
@@ -16,17 +16,17 @@
 MILLISECONDS = 1000.0
 # Headers of one connection; they don't go on to the backend server. The length
 # is written anew, and the caller's coding of the body is undone when it's read.
-ONE_CONNECTION = fields.HOP_BY_HOP | {fields.CONTENT_LENGTH, "expect"}
+CONNECTION_HEADERS = fields.HOP_BY_HOP | {fields.CONTENT_LENGTH, "expect"}
 # What this system sets or states anew for each sending.
-STATED_ANEW = frozenset((names.DEADLINE_MS.lower(), names.LAST_EVENT_ID.lower()))
+REPLACED_HEADERS = frozenset((names.DEADLINE_MS.lower(), names.LAST_EVENT_ID.lower()))
 # Decimal places of Retry-After, in seconds: callers take fractions.
 RETRY_DECIMALS = 3
 HTTP_UNAVAILABLE = 503
 HTTP_BAD_GATEWAY = 502
 HTTP_GATEWAY_TIMEOUT = 504
 HTTP_TOO_MANY_REQUESTS = 429
-LATE = "deadline"
-OVER_LIMIT = "account_limit"
+DEADLINE_REASON = "deadline"
+ACCOUNT_LIMIT_REASON = "account_limit"
 
 
 class CallerCodec(answers.Codec):
@@ -49,7 +49,7 @@
             target=target,
             host=headers.get("Host", ""),
             path=target.partition("?")[0],
-            headers=forwarded(request.headers),
+            headers=forwarded_headers(request.headers),
             body=body,
             key=headers.get(names.API_KEY),
             caller_timeout=None if deadline is None else deadline / MILLISECONDS,
@@ -82,15 +82,17 @@
     if found.outcome is problem.Outcome.REJECTED:
         return found.status
     if found.outcome is problem.Outcome.NOT_RUN:
-        is_over = found.reason == OVER_LIMIT
-        return HTTP_TOO_MANY_REQUESTS if is_over else HTTP_UNAVAILABLE
-    return HTTP_GATEWAY_TIMEOUT if found.reason == LATE else HTTP_BAD_GATEWAY
+        is_over_limit = found.reason == ACCOUNT_LIMIT_REASON
+        return HTTP_TOO_MANY_REQUESTS if is_over_limit else HTTP_UNAVAILABLE
+    return HTTP_GATEWAY_TIMEOUT if found.reason == DEADLINE_REASON else HTTP_BAD_GATEWAY
 
 
-def forwarded(headers: Mapping[str, str]) -> call.Headers:
+def forwarded_headers(headers: Mapping[str, str]) -> call.Headers:
     """Return the headers that go on to the backend server."""
     pairs = tuple((str(name), value) for name, value in headers.items())
-    return fields.end_to_end(pairs, ONE_CONNECTION | STATED_ANEW | names.OURS)
+    return fields.end_to_end(
+        pairs, CONNECTION_HEADERS | REPLACED_HEADERS | names.RESERVED_HEADERS
+    )
 
 
 def read_work(request: web.BaseRequest) -> call.Work:
--- a/src/tealcove/platform/directory.py
+++ b/src/tealcove/platform/directory.py
@@ -14,7 +14,7 @@
 HTTP_UNAVAILABLE = 503
 
 
-class Places(abc.ABC):
+class AddressSource(abc.ABC):
     """What the directory asks the instance."""
 
     @abc.abstractmethod
@@ -36,8 +36,8 @@
 class Directory:
     """The handlers of both."""
 
-    def __init__(self, places: Places, ttl_seconds: float) -> None:
-        self.places = places
+    def __init__(self, source: AddressSource, ttl_seconds: float) -> None:
+        self.source = source
         self.ttl_seconds = ttl_seconds
 
     def routes(self) -> list[web.RouteDef]:
@@ -51,7 +51,7 @@
     async def resolve(self, request: web.Request) -> web.Response:
         """Answer addresses; 503 while none is known, so that callers ask elsewhere."""
         data_centre = ids.DataCentreId(request.query.get("zone", ""))
-        found = self.places.addresses(data_centre)
+        found = self.source.addresses(data_centre)
         if not found:
             return web.Response(status=HTTP_UNAVAILABLE)
         body = msgspec.json.encode(Resolved(found, self.ttl_seconds))
@@ -59,5 +59,5 @@
 
     async def ready(self, request: web.Request) -> web.Response:
         """Say whether this instance takes requests."""
-        ready = self.places.is_ready()
+        ready = self.source.is_ready()
         return web.Response(status=HTTP_OK if ready else HTTP_UNAVAILABLE)
--- a/src/tealcove/platform/documents.py
+++ b/src/tealcove/platform/documents.py
@@ -20,7 +20,7 @@
 DEFAULT_RANK = 9
 DEFAULT_TIMEOUT_MS = 30_000.0
 # The largest port number of TCP.
-MOST_PORT = 65_535
+MAX_PORT = 65_535
 
 
 class WireShare(msgspec.Struct):
@@ -196,7 +196,7 @@
     found = decode(content, WireServer)
     host, _, number = found.addr.rpartition(":")
     port = count.read(number)
-    if port is None or not 0 < port <= MOST_PORT or not is_ip(host):
+    if port is None or not 0 < port <= MAX_PORT or not is_ip(host):
         raise unreadable(f"{found.addr!r} is no address")
     state = declared.ServerState.READY
     if found.state is WireServerState.DRAINING:
--- a/src/tealcove/platform/engines.py
+++ b/src/tealcove/platform/engines.py
@@ -21,11 +21,11 @@
 CONNECT_TIMEOUT = 0.25
 # Seconds beyond the time of a call before this client ends it. Whoever called ends it
 # in time, and would otherwise take this client's end for the server's.
-LATE_MARGIN = 1.0
+TIMEOUT_MARGIN = 1.0
 MILLISECONDS = 1000
 HTTP_MISDIRECTED = 421
 # Headers of an answer that concern one connection, or that are written anew.
-NOT_RETURNED = callers.ONE_CONNECTION | {
+DROPPED_HEADERS = callers.CONNECTION_HEADERS | {
     names.LOAD.lower(),
     names.INCARNATION.lower(),
     "date",
@@ -33,7 +33,7 @@
 }
 
 
-class WatchedHandler(client_proto.ResponseHandler):
+class StrictResponseHandler(client_proto.ResponseHandler):
     """A connection that takes no reset for the end of an answer.
 
     An answer without a length ends when its connection is closed. aiohttp takes
@@ -49,7 +49,7 @@
         super().connection_lost(exc)
 
 
-class WatchedConnector(aiohttp.TCPConnector):
+class StrictConnector(aiohttp.TCPConnector):
     """Makes a watched connection for each call, and uses none again.
 
     A faulty server may send a second answer, late, where the next one is expected.
@@ -58,10 +58,10 @@
     def __init__(self) -> None:
         super().__init__(force_close=True, limit=0)
         loop = asyncio.get_running_loop()
-        self._factory = functools.partial(WatchedHandler, loop=loop)
+        self._factory = functools.partial(StrictResponseHandler, loop=loop)
 
 
-class EngineLink(link.BackendLink):
+class HttpBackendLink(link.BackendLink):
     """One session to all backend servers."""
 
     def __init__(self) -> None:
@@ -70,13 +70,13 @@
     async def start(self) -> None:
         """Open the session."""
         tracing = aiohttp.TraceConfig()
-        tracing.on_connection_create_end.append(attempts.tell_dispatched)
+        tracing.on_connection_create_end.append(attempts.notify_dispatched)
         self.session = aiohttp.ClientSession(
-            connector=WatchedConnector(),
+            connector=StrictConnector(),
             # A jar would send one caller's cookie with the next caller's call.
             cookie_jar=aiohttp.DummyCookieJar(),
             auto_decompress=False,
-            skip_auto_headers=attempts.NO_HEADERS_OF_OUR_OWN,
+            skip_auto_headers=attempts.SKIPPED_AUTO_HEADERS,
             middlewares=(attempts.forbid_second_write,),
             trace_configs=[tracing],
         )
@@ -99,7 +99,7 @@
             # Following a redirect would be a second dispatch.
             allow_redirects=False,
             timeout=aiohttp.ClientTimeout(
-                total=outbound.remaining + LATE_MARGIN, sock_connect=CONNECT_TIMEOUT
+                total=outbound.remaining + TIMEOUT_MARGIN, sock_connect=CONNECT_TIMEOUT
             ),
             trace_request_ctx=attempt,
         )
@@ -114,7 +114,7 @@
             OSError,
             attempts.SecondWriteError,
         ) as error:
-            raise attempts.describe(server, attempt, error) from error
+            raise attempts.translate_error(server, attempt, error) from error
 
 
 def headers_of(outbound: link.OutboundRequest) -> multidict.CIMultiDict[str]:
@@ -158,6 +158,6 @@
     returned = tuple(
         (str(name), value)
         for name, value in headers.items()
-        if name.lower() not in NOT_RETURNED
+        if name.lower() not in DROPPED_HEADERS
     )
     return link.Head(response.status, returned)
--- a/src/tealcove/platform/names.py
+++ b/src/tealcove/platform/names.py
@@ -28,7 +28,7 @@
 # Headers that only this system may set. A caller that sent them could have its
 # request charged to another account, pinned in an engine's memory, or joined to
 # another request's memory.
-OURS = frozenset(
+RESERVED_HEADERS = frozenset(
     name.lower()
     for name in (
         API_KEY,
--- a/src/tealcove/platform/rollouts.py
+++ b/src/tealcove/platform/rollouts.py
@@ -9,7 +9,7 @@
 from tealcove.rollout import order
 from tealcove.storage import table
 
-SERVED_STATE = {state.value: state for state in order.State}
+STATE_BY_VALUE = {state.value: state for state in order.State}
 
 
 class WireOrder(msgspec.Struct):
@@ -39,13 +39,13 @@
     async def read(self, service: ids.PoolId) -> order.Snapshot:
         """See OrderStore."""
         key = names.ROLLOUT_KEY + service
-        ordered = await self.rows.read_at(names.OPERATOR_TABLE, key)
-        if ordered.row is None:
-            return order.Snapshot(None, None, None, ordered.seconds)
-        told = await self.rows.read_at(names.STATUS_TABLE, key)
-        status = None if told.row is None else status_of(told.row)
-        found = order_of(service, ordered.row)
-        return order.Snapshot(found, status, told.row, ordered.seconds)
+        reading = await self.rows.read_at(names.OPERATOR_TABLE, key)
+        if reading.row is None:
+            return order.Snapshot(None, None, None, reading.seconds)
+        stored = await self.rows.read_at(names.STATUS_TABLE, key)
+        status = None if stored.row is None else status_of(stored.row)
+        found = order_of(service, reading.row)
+        return order.Snapshot(found, status, stored.row, reading.seconds)
 
     async def write_status(
         self, service: ids.PoolId, status: order.Status, snapshot: order.Snapshot
@@ -83,7 +83,7 @@
         found = msgspec.json.decode(row.value, type=WireStatus)
     except msgspec.MsgspecError:
         return None
-    state = SERVED_STATE.get(found.state)
+    state = STATE_BY_VALUE.get(found.state)
     if state is None:
         return None
     return order.Status(
--- a/src/tealcove/platform/services.py
+++ b/src/tealcove/platform/services.py
@@ -83,7 +83,7 @@
     drops = [one for one in transaction.writes if isinstance(one, table.Delete)]
     return store.WireTransaction(
         expect_rev=tuple(
-            store.WireCondition(one.table, one.key, wanted_version(one))
+            store.WireCondition(one.table, one.key, expected_version(one))
             for one in transaction.conditions
         ),
         puts=tuple(
@@ -96,7 +96,7 @@
     )
 
 
-def wanted_version(condition: table.Absent | table.VersionIs) -> int:
+def expected_version(condition: table.Absent | table.VersionIs) -> int:
     """Return the version that a condition names; 0: the row must be absent."""
     return condition.version if isinstance(condition, table.VersionIs) else 0
 
@@ -115,9 +115,9 @@
     for index, condition in enumerate(transaction.conditions):
         row = present.get((condition.table, condition.key))
         version = 0 if row is None else row.row_version
-        if version != wanted_version(condition):
-            stands = None if row is None else row_of(row)
-            found.append(table.Conflict(index, stands))
+        if version != expected_version(condition):
+            current = None if row is None else row_of(row)
+            found.append(table.Conflict(index, current))
     return table.ConditionFailedError(tuple(found))
 
 
--- a/src/tealcove/platform/store.py
+++ b/src/tealcove/platform/store.py
@@ -25,17 +25,17 @@
 HTTP_SERVER_ERROR = 500
 HTTP_UNAVAILABLE = 503
 # By these statuses the store says that it did nothing with the call.
-REFUSALS = (HTTP_TOO_MANY_REQUESTS, HTTP_UNAVAILABLE)
+REFUSED_STATUSES = (HTTP_TOO_MANY_REQUESTS, HTTP_UNAVAILABLE)
 # What a read may be answered by; anything else means that it failed.
-READABLE = (HTTP_OK, HTTP_NOT_FOUND, HTTP_GONE)
+READ_STATUSES = (HTTP_OK, HTTP_NOT_FOUND, HTTP_GONE)
 # What a call without a whole reply raises, besides the failures to connect.
-LOST = (aiohttp.ClientError, TimeoutError, OSError, attempts.SecondWriteError)
+CALL_ERRORS = (aiohttp.ClientError, TimeoutError, OSError, attempts.SecondWriteError)
 JSON_TYPE = "application/json"
 # Rows in one answer of a read, the most that the store gives.
 PAGE_ROWS = 500
 # Seconds that the answer to a read may take beyond its longest silence: 9 MB on a link
 # of 5 Mbit/s.
-LONGEST_READ = 15.0
+READ_TIME_MARGIN = 15.0
 # Seconds beyond a feed's own wait before it counts as unanswered. The store's
 # answers take 4 ms, and 60 times as long when it's slow.
 FEED_MARGIN = 2.0
@@ -234,15 +234,15 @@
         and may be repeated.
         """
         limits = aiohttp.ClientTimeout(
-            total=silence + LONGEST_READ,
+            total=silence + READ_TIME_MARGIN,
             connect=self.timeouts.connect,
             sock_read=silence,
         )
         try:
             reply = await self.call("GET", path, params, None, limits, None, arriving)
-        except LOST as error:
-            raise unavailable(f"a read failed: {describe(error)}") from error
-        if reply.status not in READABLE:
+        except CALL_ERRORS as error:
+            raise unavailable(f"a read failed: {error_text(error)}") from error
+        if reply.status not in READ_STATUSES:
             raise unavailable(f"a read was answered by status {reply.status}")
         return reply
 
@@ -263,12 +263,12 @@
             aiohttp.ClientConnectorError,
             aiohttp.ConnectionTimeoutError,
         ) as error:
-            raise unavailable(f"no connection: {describe(error)}") from error
-        except LOST as error:
-            raise unknown(f"the reply is missing: {describe(error)}") from error
+            raise unavailable(f"no connection: {error_text(error)}") from error
+        except CALL_ERRORS as error:
+            raise unknown(f"the reply is missing: {error_text(error)}") from error
         if reply.status in (HTTP_OK, HTTP_PRECONDITION_FAILED):
             return reply
-        reject(reply)
+        raise_for_status(reply)
 
     async def call(
         self,
@@ -296,7 +296,7 @@
                 if arriving is not None and response.status == HTTP_OK:
                     arriving()
                 reply = Reply(response.status, await response.read())
-            is_usable = reply.status not in REFUSALS
+            is_usable = reply.status not in REFUSED_STATUSES
             is_usable = is_usable and reply.status < HTTP_SERVER_ERROR
             return reply
         finally:
@@ -319,10 +319,10 @@
         raise unknown(f"a reply can't be understood: {error}") from error
 
 
-def reject(reply: Reply) -> NoReturn:
+def raise_for_status(reply: Reply) -> NoReturn:
     """Raise the error that the status of a write's reply stands for."""
     problem = f"a write was answered by status {reply.status}"
-    if reply.status in REFUSALS:
+    if reply.status in REFUSED_STATUSES:
         raise unavailable(problem)
     if reply.status >= HTTP_SERVER_ERROR:
         # A server that failed half way, or something between, may answer so
@@ -350,6 +350,6 @@
     )
 
 
-def describe(error: BaseException) -> str:
+def error_text(error: BaseException) -> str:
     """Return an error's text, or its type where it has none (a timeout)."""
     return str(error) or type(error).__name__
