--- a/src/tealcove/entry/tests/test_crash.py
+++ b/src/tealcove/entry/tests/test_crash.py
@@ -38,7 +38,7 @@
     async def refuses(server: engine.Server) -> bool:
         return gone
 
-    monkeypatch.setattr(reach, "refuses", refuses)
+    monkeypatch.setattr(reach, "refuses_connections", refuses)
 
     async def handler(request: web.Request) -> web.Response:
         request.transport.abort()
