--- a/src/tealcove/storage/tests/test_services.py
+++ b/src/tealcove/storage/tests/test_services.py
@@ -159,5 +159,5 @@
 )
 def test_status_of_a_refused_write(status, error):
     with pytest.raises(error) as raised:
-        store_client.reject(store_client.Reply(status, b""))
+        store_client.raise_for_status(store_client.Reply(status, b""))
     assert type(raised.value) is error
