--- a/src/tealcove/ingress/__init__.py
+++ b/src/tealcove/ingress/__init__.py
@@ -1,1 +1,1 @@
-"""Serves callers' requests by the declared routes, and answers each once."""
+"""Serves callers' requests by the declared routes; each gets one response."""
--- a/src/tealcove/ingress/acceptance.py
+++ b/src/tealcove/ingress/acceptance.py
@@ -1,4 +1,4 @@
-"""What is decided of a request when it arrives, before it waits for a slot."""
+"""Decisions on a request when it arrives, before it waits for a slot."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 DIGEST_BYTES = 16
 SEPARATOR = b"\0"
-# Seconds before the end of a request's time at which it gets its final answer, so
-# that the answer is there when the time is over: ways to the caller take 3 ms, and
-# a loop under load is some tens of milliseconds late.
+# Seconds before a request's deadline at which it gets its final response, so that the
+# response arrives in time: the network path to the caller takes 3 ms, and an event
+# loop under load lags by some tens of milliseconds.
 ANSWER_MARGIN = 0.06
-# Seconds after which a caller may try an instance that isn't ready.
+# Seconds after which a caller may retry an instance that isn't ready.
 NOT_READY_RETRY = 0.5
 HTTP_UNAUTHORIZED = 401
 HTTP_NOT_FOUND = 404
@@ -26,9 +26,9 @@
 def accept(
     received: call.Call, current: lookup.Lookup | None, arrived: ids.Instant
 ) -> tickets.AcceptedRequest:
-    """Return what holds for a request; raises ProblemError."""
+    """Return a request with its route, service and deadline; raises ProblemError."""
     if current is None:
-        # Not 404 or 401: this instance doesn't know yet what is there.
+        # Not 404 or 401: this instance hasn't read the configuration yet.
         raise problem.not_run(messages.RefusalReason.NOT_READY, NOT_READY_RETRY)
     route = current.find_route(received.host, received.path)
     if route is None:
@@ -67,7 +67,7 @@
 def choose_service(route: declared.Route, request_id: ids.RequestId) -> ids.PoolId:
     """Return the service for a request, by the weights of the route's shares.
 
-    The request's id decides, so that it would be the same on every instance.
+    The request's id is the random seed, so that every instance chooses the same.
     """
     if len(route.shares) == 1:
         return route.shares[0].service
@@ -79,7 +79,7 @@
 
 
 def cost(accepted: tickets.AcceptedRequest) -> int:
-    """Return what a request is charged against its account's limit."""
+    """Return the amount to charge against the account's limit."""
     work = accepted.call.work
     if accepted.account is None:
         return 0
@@ -87,7 +87,7 @@
 
 
 def digest(received: call.Call, account: declared.Account | None) -> str:
-    """Return the digest by which a request that comes again is known."""
+    """Return a digest that is equal for repeats of the same request."""
     parts = (
         received.method.encode(),
         received.target.encode(),
--- a/src/tealcove/ingress/answers.py
+++ b/src/tealcove/ingress/answers.py
@@ -1,4 +1,4 @@
-"""Answers on their way to callers."""
+"""Responses to callers, and the interface that encodes them."""
 
 from __future__ import annotations
 
@@ -12,33 +12,33 @@
 
 
 class Codec(abc.ABC):
-    """How callers' requests and the answers to them are written."""
+    """Decodes callers' requests and encodes problems as responses."""
 
     @abc.abstractmethod
     def read(self, request: web.BaseRequest, body: bytes) -> call.Call:
-        """Return a request as it was sent; raises call.UnreadableError."""
+        """Decode a caller's request; raises call.UnreadableError."""
 
     @abc.abstractmethod
     def respond(self, found: problem.Problem) -> web.Response:
-        """Return the answer that stands for a problem."""
+        """Return the response for a problem."""
 
 
 def buffered_response(head: link.Head, body: bytes) -> web.Response:
-    """Return the answer that passes on a backend server's."""
+    """Return a response with a backend server's status, headers and body."""
     headers = multidict.CIMultiDict(head.headers)
     return web.Response(status=head.status, headers=headers, body=body)
 
 
 def stream_response(head: link.Head) -> web.StreamResponse:
-    """Return the beginning of an answer that passes on a stream."""
+    """Return an unstarted streaming response with a backend server's head."""
     headers = multidict.CIMultiDict(head.headers)
     return web.StreamResponse(status=head.status, headers=headers)
 
 
 def abort_connection(request: web.Request) -> None:
-    """Break the connection of an answer that can't be sent to its end.
+    """Abort the connection of a response that can't be completed.
 
-    Its body stays without an end, so that no caller takes the part for the whole.
+    The body is left unterminated, so that no caller takes it for complete.
     """
     if request.transport is not None:
         request.transport.abort()
--- a/src/tealcove/ingress/budget.py
+++ b/src/tealcove/ingress/budget.py
@@ -1,4 +1,4 @@
-"""How often requests may be sent once more, over a sliding window."""
+"""Limits retries per service over a sliding window."""
 
 from __future__ import annotations
 
@@ -9,49 +9,50 @@
 
 from tealcove import ids
 
-# Part of the allowance that is used: instances come and go, and each counts its
-# part by the number of instances that it knows.
+# Share of the allowance that is used: instances join and leave, and each computes its
+# share from the number of instances that it knows of.
 USED_SHARE = 0.8
 
 
 class Allowance(msgspec.Struct, frozen=True):
-    """What the operator allows all instances together for each service."""
+    """The operator's retry limits per service, for all instances together."""
 
-    # Repeats for each request of the window.
+    # Retries per request in the window.
     ratio: float
-    # Repeats besides.
+    # Retries beyond that, whatever the number of requests.
     slack: float
+    # Seconds.
     window: float
 
 
 class RetryBudget:
-    """This instance's part of the repeats to each service.
+    """This instance's share of the retries to each service.
 
-    Repeats multiply the load of a service that fails already. Each instance uses
-    no more than its part of the allowance by what it has seen itself, so that the
-    sum holds without a word between instances, also when they are cut off.
+    Retries multiply the load of a service that is already failing. Each instance
+    uses at most its share of the allowance, computed from its own requests, so that
+    the total holds without communication, also during a network partition.
     """
 
     def __init__(self, allowance: Allowance, instances: Callable[[], int]) -> None:
         self.allowance = allowance
-        # How many instances share the slack at present.
+        # Returns the number of instances that share the slack now.
         self.instances = instances
         self.requests: dict[ids.PoolId, collections.deque[ids.Instant]] = {}
         self.retries: dict[ids.PoolId, collections.deque[ids.Instant]] = {}
 
     def record_request(self, service: ids.PoolId, now: ids.Instant) -> None:
-        """Count a request that is sent for the first time."""
+        """Record the first attempt of a request."""
         self.in_window(self.requests, service, now).append(now)
 
     def take_retry(self, service: ids.PoolId, now: ids.Instant) -> bool:
-        """Tell whether a request may be sent once more, and count it if so."""
+        """Return whether a request may be retried, and record the retry if so."""
         if not self.can_retry(service, now):
             return False
         self.in_window(self.retries, service, now).append(now)
         return True
 
     def can_retry(self, service: ids.PoolId, now: ids.Instant) -> bool:
-        """Tell whether a request may be sent once more, and count nothing."""
+        """Return whether a request may be retried, without recording anything."""
         requests = len(self.in_window(self.requests, service, now))
         retries = self.in_window(self.retries, service, now)
         slack = self.allowance.slack / max(1, self.instances())
@@ -64,7 +65,7 @@
         service: ids.PoolId,
         now: ids.Instant,
     ) -> collections.deque[ids.Instant]:
-        """Return the instants of a service that still lie in the window."""
+        """Drop a service's instants that left the window and return the rest."""
         found = counted.setdefault(service, collections.deque())
         while found and found[0] <= now - self.allowance.window:
             found.popleft()
--- a/src/tealcove/ingress/call.py
+++ b/src/tealcove/ingress/call.py
@@ -1,4 +1,4 @@
-"""A caller's request, as it was read."""
+"""A caller's decoded request."""
 
 from __future__ import annotations
 
@@ -10,35 +10,35 @@
 
 
 class Work(msgspec.Struct, frozen=True):
-    """What a request asks of a model engine; zeros for any other request."""
+    """Token counts of a request to a model engine; 0 for any other request."""
 
     prompt_tokens: int = 0
-    # The most that it may generate, and what its caller expects.
+    # Upper bound on generated tokens, and the number that the caller expects.
     output_tokens: int = 0
     expected_tokens: int = 0
 
 
 class Call(msgspec.Struct, frozen=True, kw_only=True):
-    """One request, its body whole."""
+    """One request with its complete body."""
 
-    # The caller's own, which the backend server echoes.
+    # Set by the caller and echoed by the backend server.
     request_id: ids.RequestId
     method: str
-    # Path and query exactly as they came.
+    # Path and query, unmodified.
     target: str
     host: str
     path: str
-    # Those that go on to the backend server.
+    # Headers that are forwarded to the backend server.
     headers: Headers
     body: bytes
-    # The caller's key; it must never be passed on, logged or traced.
+    # The caller's API key; it must never be forwarded, logged or traced.
     key: str | None
-    # Seconds that the caller waits; absent: it hasn't said.
+    # Seconds that the caller waits; None if it sent no deadline.
     caller_timeout: float | None
     work: Work
-    # The last event that the caller has, when it resumes a stream.
+    # Number of the last event that the caller received, when it resumes a stream.
     last_event: int | None = None
 
 
 class UnreadableError(Exception):
-    """A request whose headers can't be used; the text says what to write."""
+    """A request has unusable headers; the text says what to send instead."""
--- a/src/tealcove/ingress/events.py
+++ b/src/tealcove/ingress/events.py
@@ -1,4 +1,4 @@
-"""The events of a stream, cut out of the bytes in which they arrive."""
+"""Splits a byte stream into server-sent events and checks their order."""
 
 from __future__ import annotations
 
@@ -6,26 +6,26 @@
 
 import msgspec
 
-# An event ends with an empty line.
+# An empty line terminates an event.
 END = re.compile(rb"\r?\n\r?\n")
 NUMBER = re.compile(rb"^id: ?(\d+)\r?$", re.MULTILINE)
 
 
 class Event(msgspec.Struct, frozen=True):
-    """One whole event: its bytes, and its number if it has one."""
+    """A complete event: its bytes, and its number if it has one."""
 
     content: bytes
     number: int | None
 
 
 class Splitter:
-    """Takes bytes in pieces of any size, gives whole events."""
+    """Splits byte chunks of any size into complete events."""
 
     def __init__(self) -> None:
         self.remainder = b""
 
     def feed(self, part: bytes) -> list[Event]:
-        """Return the events that are whole by now."""
+        """Append a chunk and return the events that it completes."""
         content = self.remainder + part
         found = []
         start = 0
@@ -39,18 +39,18 @@
 
 
 class OrderChecker:
-    """Checks that events are passed on once each and without a gap.
+    """Checks that events are forwarded exactly once and without a gap.
 
-    A server that resumes a stream from a wrong place would otherwise give its
-    caller a part twice, or leave one out, in an answer that looks whole.
+    Otherwise a server that resumes a stream at a wrong position would duplicate or
+    omit events in a response that looks complete.
     """
 
     def __init__(self, last: int | None) -> None:
-        # The number of the last event that the caller has; absent: none has come.
+        # Number of the last event that the caller received; None if there is none.
         self.last = last
 
     def accept(self, event: Event) -> bool:
-        """Tell whether an event is the next one, and count it if so."""
+        """Return whether an event is the next one, and record it if so."""
         if event.number is None or self.last is None:
             self.last = event.number if event.number is not None else self.last
             return True
--- a/src/tealcove/ingress/exchange.py
+++ b/src/tealcove/ingress/exchange.py
@@ -1,4 +1,4 @@
-"""One request from its acceptance to the end of its answer."""
+"""Runs one accepted request until its response ends, with retries."""
 
 from __future__ import annotations
 
@@ -28,30 +28,31 @@
 
 log = logbook.Logger("ingress")
 
-# Servers that may turn out unreachable, or turn a request away, before it's given
-# up; both cost a few milliseconds each.
+# Servers that may be unreachable, or respond that they haven't run the request, before
+# it fails; each such attempt costs a few milliseconds.
 MAX_UNREACHABLE = 4
 MAX_NOT_RUN = 3
-# Seconds that must be left for one more sending to make sense.
+# Seconds to the deadline below which another attempt is pointless.
 MIN_REMAINING = 0.05
-# Seconds after which a caller whose request no server took may try again.
+# Seconds after which a caller may retry a request that no server accepted.
 RETRY_AFTER = 0.5
-# A server that shows nothing for so many times what was predicted, and for so many
-# seconds, has probably lost the answer: at three lost answers in ten, callers would
-# wait until they leave, 2 s and more. Few answers take four times as long as predicted.
+# A server that is silent for this multiple of the predicted time, and for at least this
+# many seconds, has probably lost the response: with three in ten responses lost,
+# callers would wait until they disconnect, 2 s and more. Few responses take four times
+# as long as predicted.
 SILENCE_FACTOR = 4.0
 MIN_SILENCE = 0.4
-# Largest answer that is gathered before it goes out, in bytes.
+# Size limit in bytes of a response that is buffered before it is forwarded.
 MAX_BODY_BYTES = 8 * 2**20
 HTTP_SERVER_ERROR = 500
 
 
-# The rest of an answer, after its head.
+# The parts of a response that follow its head.
 ResponseParts = AsyncGenerator[link.Head | bytes, None]
 
 
 class Services(msgspec.Struct, frozen=True):
-    """What exchanges use."""
+    """The services that an exchange uses."""
 
     link: link.BackendLink
     tickets: requester.Requester
@@ -60,17 +61,17 @@
 
 
 class BufferedResponse(msgspec.Struct, frozen=True):
-    """A whole answer of a backend server."""
+    """A complete response of a backend server."""
 
     head: link.Head
     body: bytes
 
 
 class Exchange:
-    """Finds a server, sends the request, and passes the answer on.
+    """Acquires a slot, sends the request, and forwards the response.
 
-    The caller's own task runs it: when the caller leaves, the task is cancelled,
-    which closes the connection to the server and gives the slot back.
+    Runs in the task of the caller's connection: when the caller disconnects, the task
+    is cancelled, which closes the connection to the server and releases the slot.
     """
 
     def __init__(
@@ -86,14 +87,14 @@
         self.cell = cell
         self.excluded: tuple[ids.BackendServerId, ...] = ()
         self.sent = 0
-        # Sendings after which the request may have run.
+        # Attempts in which the request may have run.
         self.runs = 0
         self.unreachable = 0
         self.not_run_responses = 0
-        # The last whole answer of a server that failed.
+        # The last complete response with a server error.
         self.failure: BufferedResponse | None = None
         self.stream = stream.CallerStream(http, accepted.call.last_event)
-        # Events of the present sending.
+        # Events forwarded in the current attempt.
         self.events = 0
         self.outcome = problem.Outcome.COMPLETED.value
 
@@ -103,14 +104,14 @@
         log.info(message, *arguments, extra=extra)
 
     def log_failure(self, message: str, *arguments: object) -> None:
-        """Log why this request isn't served, however much else is logged."""
+        """Log why this request failed, at every log level."""
         extra = {"request": self.accepted.call.request_id, "final": True}
         log.info(message, *arguments, extra=extra)
 
     async def run(self) -> web.StreamResponse:
-        """Return the answer; raises ProblemError while none has begun.
+        """Return the response; raises ProblemError if none has started.
 
-        An answer that has begun and can't be ended breaks the connection.
+        A response that has started and can't be completed aborts the connection.
         """
         try:
             async with asyncio.timeout(self.accepted.deadline - clock.now()):
@@ -122,13 +123,13 @@
         except ConnectionResetError:
             if self.stream.response is None:
                 raise
-            # The caller left while a part of its answer was written.
+            # The caller disconnected during a write of the response.
             self.outcome = problem.CALLER_GONE
             answers.abort_connection(self.http)
             return self.stream.response
 
     async def serve(self) -> web.StreamResponse:
-        """Send the request until a server has answered it; raises ProblemError."""
+        """Send the request until a server responds; raises ProblemError."""
         while True:
             pending_ticket, grant = await self.acquire_slot()
             try:
@@ -137,11 +138,11 @@
                 self.check_retry(grant.server, error, clock.now())
 
     def end_with_problem(self, error: problem.ProblemError) -> web.StreamResponse:
-        """End a request that has no whole answer; raises ProblemError."""
+        """End a request without a complete response; raises ProblemError."""
         found = error.problem
         self.outcome = found.outcome.value
         self.log_failure(
-            "ends {}: {} {}, {} sent, {} may have run, after {:.3f} s",
+            "failed: {}, status {}, reason {}, {} sent, {} may have run, {:.3f} s",
             found.outcome.value,
             found.status,
             found.reason,
@@ -157,7 +158,7 @@
         raise error
 
     async def acquire_slot(self) -> tuple[pending.PendingTicket, messages.Grant]:
-        """Return a slot; raises ProblemError when there is none in time."""
+        """Return a ticket and its grant; raises ProblemError if refused."""
         now = clock.now()
         pending_ticket = tickets.new_ticket(
             self.accepted,
@@ -181,9 +182,9 @@
     async def attempt(
         self, pending_ticket: pending.PendingTicket, grant: messages.Grant
     ) -> web.StreamResponse:
-        """Send the request to the granted server and pass its answer on.
+        """Send the request to the granted server and forward its response.
 
-        Raises BackendError when there is none to pass on.
+        Raises BackendError if there is no response to forward.
         """
         report = reporting.AttemptReport(self.services.tickets, pending_ticket, grant)
         server = engine.Server(grant.server, grant.host, grant.port)
@@ -197,7 +198,7 @@
             outcome = messages.Outcome.NOT_SENT
             raise
         except link.NotRunError:
-            # The server is well; it only has no room, or isn't who it was.
+            # The server is healthy; it has no capacity, or has been replaced.
             outcome = messages.Outcome.CANCELLED
             raise
         except engine.BrokenStreamError:
@@ -217,7 +218,7 @@
         outcome: messages.Outcome,
         now: ids.Instant,
     ) -> None:
-        """Tell the dispatcher, and the log, how one sending has ended."""
+        """Report the end of an attempt to the dispatcher and the log."""
         done = report.end(outcome, self.events * self.accepted.event_tokens, now)
         self.log_decision(
             "{} at {}: first event {:.3f} s, total {:.3f} s, {} events, prompt {}",
@@ -250,7 +251,7 @@
             self.runs += 1
             report.dispatched(clock.now())
             self.log_decision(
-                "sent to {} ({} of {}), first event expected in {:.3f} s",
+                "dispatched to {} (run {}, route {}), first event expected in {:.3f} s",
                 server.name,
                 self.runs,
                 accepted.route.name,
@@ -270,7 +271,7 @@
         return self.finish_response(BufferedResponse(head, body), server)
 
     def silence_timeout(self, grant: messages.Grant, now: ids.Instant) -> float | None:
-        """Return after how many silent seconds another server is tried, if any."""
+        """Return the seconds of silence before a retry; None if no retry is left."""
         if not grant.first_seconds or not self.may_retry(now, self.runs + 1):
             return None
         if not self.services.budget.can_retry(self.accepted.service, now):
@@ -280,7 +281,7 @@
     def finish_response(
         self, found: BufferedResponse, server: engine.Server
     ) -> web.StreamResponse:
-        """Return a whole answer; raises BackendError for one worth another run."""
+        """Return the response; raises BackendError for a server error."""
         if found.head.status >= HTTP_SERVER_ERROR:
             self.failure = found
             raise failures.failed(server, found.head.status)
@@ -293,7 +294,7 @@
         report: reporting.AttemptReport,
         silence: asyncio.Timeout,
     ) -> web.StreamResponse:
-        """Pass a stream on, event by event; raises BackendError when it breaks."""
+        """Forward a stream event by event; raises BackendError when it breaks."""
         splitter = events.Splitter()
         async for part in parts:
             whole = splitter.feed(part)
@@ -310,7 +311,7 @@
     def check_retry(
         self, server: ids.BackendServerId, error: errors.BackendError, now: ids.Instant
     ) -> None:
-        """Decide on one more sending; raises ProblemError when there is none."""
+        """Return if the request may be sent again; raises ProblemError otherwise."""
         self.excluded = (*self.excluded, server)
         if isinstance(error, engine.NotDispatchedError):
             self.unreachable += 1
@@ -323,7 +324,7 @@
         else:
             has_retry = self.may_retry(now, self.runs) and self.take_retry(now)
         self.log_decision(
-            "{} at {}: {}", "again" if has_retry else "no more", server, error
+            "{} after {}: {}", "retry" if has_retry else "no retry", server, error
         )
         if has_retry and self.accepted.deadline - now > MIN_REMAINING:
             return
@@ -333,31 +334,31 @@
         raise problem.not_run(reason, RETRY_AFTER)
 
     def may_retry(self, now: ids.Instant, runs: int) -> bool:
-        """Tell whether a request may run once more after so many runs."""
+        """Return whether a request may run again after this many runs."""
         route = self.accepted.route
         is_once = route.repeat is declared.Repeat.ONCE
         has_time = self.accepted.deadline - now > MIN_REMAINING
         return has_time and not is_once and runs < route.attempts
 
     def take_retry(self, now: ids.Instant) -> bool:
-        """Tell whether a repeat is within the bounds of all requests together."""
+        """Return whether the retry budget allows a retry, and record it if so."""
         return self.services.budget.take_retry(self.accepted.service, now)
 
     def lost_response(self, reason: str) -> problem.ProblemError:
-        """Return the end of a request that was sent and has no whole answer."""
+        """Return the problem for a dispatched request without a complete response."""
         if self.accepted.is_repeatable:
             return problem.interrupted(reason)
         return problem.unknown(reason)
 
     def deadline_exceeded(self) -> problem.ProblemError:
-        """Return the end of a request whose time is over."""
+        """Return the problem for a request whose deadline has passed."""
         if self.runs:
             return self.lost_response(messages.RefusalReason.DEADLINE.value)
         return problem.not_run(messages.RefusalReason.DEADLINE, RETRY_AFTER)
 
 
 async def read_body(server: engine.Server, parts: ResponseParts) -> bytes:
-    """Return a whole body; raises BackendError."""
+    """Return a complete body; raises BackendError."""
     found = bytearray()
     async for part in parts:
         found += part
--- a/src/tealcove/ingress/failures.py
+++ b/src/tealcove/ingress/failures.py
@@ -1,4 +1,4 @@
-"""Why an answer of a backend server can't be passed on."""
+"""Errors for backend servers' responses that can't be forwarded."""
 
 from __future__ import annotations
 
@@ -7,26 +7,27 @@
 
 
 class FailedAnswerError(errors.BackendError):
-    """A backend server ran the request and it has failed there."""
+    """The request failed at a backend server that may have run it."""
 
 
 def failed(server: engine.Server, status: int) -> FailedAnswerError:
-    """Return the error for an answer that says that the request has failed."""
+    """Return the error for a response with a server error status."""
     return FailedAnswerError(
-        f"{server.name} answered {status}", "Ask its operator for the cause."
+        f"{server.name} responded with status {status}",
+        "Ask its operator for the cause.",
     )
 
 
 def silent(server: engine.Server) -> FailedAnswerError:
-    """Return the error for a server that showed nothing for far too long."""
+    """Return the error for a server that exceeded the silence timeout."""
     return FailedAnswerError(
-        f"{server.name} has shown nothing for far longer than predicted",
-        "Look whether it hangs, or loses answers.",
+        f"{server.name} sent nothing for far longer than predicted",
+        "Check whether it hangs or loses responses.",
     )
 
 
 def broken(problem: str) -> engine.BrokenStreamError:
-    """Return the error for an answer that isn't whole."""
+    """Return the error for an incomplete response."""
     return engine.BrokenStreamError(
-        f"the answer can't be passed on: {problem}", "Look at the server's log."
+        f"the response can't be forwarded: {problem}", "See the server's log."
     )
--- a/src/tealcove/ingress/http.py
+++ b/src/tealcove/ingress/http.py
@@ -1,4 +1,4 @@
-"""The HTTP handlers that callers of declared routes reach."""
+"""HTTP handler for callers of declared routes."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class Ingress:
-    """Accepts requests and answers each exactly once."""
+    """Accepts requests and responds to each exactly once."""
 
     def __init__(
         self,
@@ -51,17 +51,17 @@
         self.codec = codec
         self.observer = observer.Observer(source)
         self.in_progress: set[asyncio.Task[None]] = set()
-        # Set when this instance leaves: callers are asked to go elsewhere.
+        # Set when this instance is leaving: callers' connections are closed after use.
         self.is_leaving = False
-        # Set when it takes nothing new any more.
+        # Set when it refuses all new requests.
         self.is_closed = False
 
     def routes(self) -> list[web.RouteDef]:
-        """Return the handler to mount."""
+        """Return the route of the handler."""
         return [web.route("*", "/{path:.*}", self.handle)]
 
     async def handle(self, request: web.Request) -> web.StreamResponse:
-        """Answer one request."""
+        """Respond to one request."""
         task = asyncio.current_task()
         self.in_progress.add(task)
         arrived = clock.now()
@@ -72,7 +72,7 @@
             observation.outcome = error.problem.outcome.value
             response = self.codec.respond(error.problem)
             if not request.content.is_eof():
-                # Nothing can follow a body that didn't come to its end.
+                # A connection with an unread request body can't be reused.
                 response.force_close()
         except asyncio.CancelledError:
             observation.outcome = problem.CALLER_GONE
@@ -90,7 +90,7 @@
         arrived: ids.Instant,
         observation: observer.Observation,
     ) -> web.StreamResponse:
-        """Return the answer of one request; raises ProblemError."""
+        """Return the response to one request; raises ProblemError."""
         received = await self.receive(request)
         if self.is_closed:
             raise refused(received, messages.RefusalReason.LEAVING, LEAVING_RETRY)
@@ -101,8 +101,8 @@
             reason = messages.RefusalReason.QUARANTINED
             raise refused(received, reason, remaining)
         log.info(
-            "accepted: route {} to {}, account {}, tier {} urgency {}, {:.3f} s, "
-            "revision {}",
+            "accepted: route {}, service {}, account {}, tier {}, urgency {}, "
+            "deadline in {:.3f} s, configuration revision {}",
             accepted.route.name,
             accepted.service,
             accepted.account_name,
@@ -124,7 +124,7 @@
                 charge.settle(0.0)
 
     async def receive(self, request: web.Request) -> call.Call:
-        """Return the request with its whole body; raises ProblemError."""
+        """Return the request with its complete body; raises ProblemError."""
         current = self.configuration.current
         bounds = declared.Bounds() if current is None else current.catalog.bounds
         seconds = bounds.idle_seconds
@@ -163,7 +163,7 @@
             raise refused(accepted.call, reason, error.retry_after) from error
 
     def find_cell(self, accepted: tickets.AcceptedRequest) -> ids.CellId:
-        """Return the cell whose dispatcher a request asks; raises ProblemError."""
+        """Return the cell whose dispatcher handles a request; raises ProblemError."""
         pool = self.spread.copy.current.pool(accepted.service)
         if pool is None:
             reason = messages.RefusalReason.NO_BACKEND_SERVER
@@ -174,9 +174,9 @@
 def refused(
     received: call.Call, reason: messages.RefusalReason, retry_after: float
 ) -> problem.ProblemError:
-    """Return the end of a request that isn't taken in, and log it."""
+    """Log a request that is refused on arrival, and return its problem."""
     log.info(
-        "refused at once: {}, again in {:.3f} s",
+        "refused on arrival: {}, retry after {:.3f} s",
         reason.value,
         retry_after,
         extra={"request": received.request_id, "final": True},
--- a/src/tealcove/ingress/link.py
+++ b/src/tealcove/ingress/link.py
@@ -1,4 +1,4 @@
-"""The way to backend servers, as an abstract base class."""
+"""Abstract base class for sending calls to backend servers."""
 
 from __future__ import annotations
 
@@ -13,38 +13,39 @@
 
 
 class NotRunError(errors.BackendError):
-    """The backend server said that it hasn't run the request, and won't."""
+    """The backend server responded that it hasn't run the request, and won't."""
 
     def __init__(self, server: ids.BackendServerId, status: int) -> None:
         super().__init__(
-            f"{server} answered {status}: not run", "Send it to another server."
+            f"{server} responded with status {status}: not run",
+            "Send it to another server.",
         )
         self.status = status
 
 
 class OutboundRequest(msgspec.Struct, frozen=True):
-    """One sending of a call to one server."""
+    """One attempt to send a call to one server."""
 
     call: call.Call
     server: engine.Server
-    # Absent for callers of public routes.
+    # None for callers of public routes.
     account: ids.AccountId | None
-    # Seconds that the server may take.
+    # Seconds until the deadline.
     remaining: float
-    # The last event that the caller has; absent: the stream begins.
+    # Number of the last event that the caller received; None for a new stream.
     last_event: int | None
 
 
 class Head(msgspec.Struct, frozen=True):
-    """Status and headers of a backend server's answer."""
+    """Status and headers of a backend server's response."""
 
     status: int
-    # Those that go back to the caller.
+    # Headers that are returned to the caller.
     headers: call.Headers
 
     @property
     def is_success(self) -> bool:
-        """Whether the request was carried out."""
+        """Return whether the status is a success."""
         return 200 <= self.status < 300
 
 
@@ -55,10 +56,10 @@
     def send(
         self, outbound: OutboundRequest, dispatched: Callable[[], None]
     ) -> AsyncGenerator[Head | bytes, None]:
-        """Send a call once; yield the head of its answer, then its body in parts.
+        """Send a call once; yield the head of the response, then its body in parts.
 
         Calls `dispatched` right before the first byte is written. Raises
         engine.NotDispatchedError if it wasn't called, NotRunError,
-        engine.WrongAnswerError for an answer that isn't this request's, or
-        engine.BrokenStreamError when no answer or no whole one came.
+        engine.WrongAnswerError for a response that isn't this request's, or
+        engine.BrokenStreamError if the response is missing or incomplete.
         """
--- a/src/tealcove/ingress/observer.py
+++ b/src/tealcove/ingress/observer.py
@@ -1,4 +1,4 @@
-"""What is counted and measured of callers' requests."""
+"""Metrics of callers' requests."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Observation(msgspec.Struct):
-    """One request, from its arrival to the end of its answer."""
+    """What the metrics need of one request."""
 
     arrived: ids.Instant
     route: str = ""
@@ -18,7 +18,7 @@
 
 
 class Observer:
-    """The metrics of an ingress: few, since each costs time at every request."""
+    """The metrics of an ingress: few, since each adds cost to every request."""
 
     def __init__(self, source: measuring.Source | None = None) -> None:
         source = source or measuring.Nothing()
@@ -36,11 +36,11 @@
         )
 
     def begin(self, now: ids.Instant) -> Observation:
-        """Begin to watch a request."""
+        """Start the observation of a request."""
         return Observation(now)
 
     def end(self, observation: Observation, now: ids.Instant) -> None:
-        """Add a request that has ended to the metrics."""
+        """Record a finished request in the metrics."""
         labels = {"route": observation.route, "outcome": observation.outcome}
         self.requests.add(1, labels)
         self.durations.record(now - observation.arrived, labels)
--- a/src/tealcove/ingress/report.py
+++ b/src/tealcove/ingress/report.py
@@ -1,4 +1,4 @@
-"""What the dispatcher is told of one sending of a request."""
+"""Reports one attempt of a request to the dispatcher."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class AttemptReport:
-    """What the dispatcher is told of one sending."""
+    """Sends the progress and the end of one attempt to the dispatcher."""
 
     def __init__(
         self,
@@ -23,11 +23,11 @@
         tickets.mark_running(pending_ticket, grant.server, grant.start)
 
     def dispatched(self, now: ids.Instant) -> None:
-        """Note that the request is about to be written."""
+        """Record that the request is about to be written."""
         self.sent_at = now
 
     def first_event(self, now: ids.Instant) -> None:
-        """Tell that the first event has come."""
+        """Report the arrival of the first event."""
         self.first_at = now
         progress = messages.Progress(
             ticket_id=self.pending_ticket.ticket.ticket_id,
@@ -39,7 +39,7 @@
     def end(
         self, outcome: messages.Outcome, tokens: int, now: ids.Instant
     ) -> messages.Done:
-        """Tell how it ended, which frees the slot; return what was told."""
+        """Report the outcome, which releases the slot; return the message."""
         ticket = self.pending_ticket.ticket
         sent_at = now if self.sent_at is None else self.sent_at
         first_at = now if self.first_at is None else self.first_at
--- a/src/tealcove/ingress/tests/__init__.py
+++ b/src/tealcove/ingress/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the ingress slice."""
+"""Tests of the ingress."""
--- a/src/tealcove/ingress/tests/builders.py
+++ b/src/tealcove/ingress/tests/builders.py
@@ -1,4 +1,4 @@
-"""Test data of the ingress slice."""
+"""Test data for the ingress."""
 
 from __future__ import annotations
 
--- a/src/tealcove/ingress/tests/test_budget.py
+++ b/src/tealcove/ingress/tests/test_budget.py
@@ -1,4 +1,4 @@
-"""Repeats stay within this instance's part of what all may send."""
+"""Tests that retries stay within this instance's share of the allowance."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
     return ids.Instant(seconds)
 
 
-def test_the_slack_is_shared_and_the_window_slides():
+def test_slack_is_shared_and_window_slides():
     found = budget.RetryBudget(ALLOWED, lambda: 10)
     taken = [found.take_retry(builders.SERVICE, instant(1.0)) for _ in range(10)]
     assert sum(taken) == int(budget.USED_SHARE * 5)
@@ -22,7 +22,7 @@
     assert found.take_retry(ids.PoolId("another"), instant(1.0))
 
 
-def test_requests_earn_repeats():
+def test_allowed_retries_grow_with_requests():
     found = budget.RetryBudget(ALLOWED, lambda: 1000)
     assert not found.take_retry(builders.SERVICE, instant(0.0))
     for _ in range(100):
--- a/src/tealcove/ingress/tests/test_events.py
+++ b/src/tealcove/ingress/tests/test_events.py
@@ -1,4 +1,4 @@
-"""Events are the same however their bytes are split."""
+"""Tests that events don't depend on how their bytes are split."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 @given(streams(), st.data())
-def test_any_split_gives_the_same_events(
+def test_split_position_does_not_change_events(
     stream: tuple[bytes, list[bytes]], data: st.DataObject
 ) -> None:
     content, expected = stream
@@ -38,14 +38,14 @@
     for start, end in itertools.pairwise(bounds):
         found.extend(splitter.feed(content[start:end]))
     assert splitter.remainder == b""
-    # Two ends may look like one when a cut lies between \r and \n.
+    # Two terminators may be taken for one when a split lies between \r and \n.
     assert b"".join(event.content for event in found) == content
     numbers = [event.number for event in found if event.number is not None]
     assert numbers == list(range(1, len(expected) + 1))
 
 
 @given(st.binary(max_size=200), st.lists(st.integers(0, 200), max_size=5))
-def test_no_byte_is_lost_or_doubled(content: bytes, cuts: list[int]) -> None:
+def test_no_byte_is_lost_or_duplicated(content: bytes, cuts: list[int]) -> None:
     splitter = events.Splitter()
     bounds = [0, *sorted(min(cut, len(content)) for cut in cuts), len(content)]
     found = b""
@@ -54,7 +54,7 @@
     assert found + splitter.remainder == content
 
 
-def test_order_refuses_gaps_and_repeats() -> None:
+def test_order_checker_rejects_gaps_and_duplicates() -> None:
     order = events.OrderChecker(None)
     assert order.accept(events.Event(b"", 4))
     assert order.accept(events.Event(b"", 5))
--- a/src/tealcove/ingress/tests/test_exchange.py
+++ b/src/tealcove/ingress/tests/test_exchange.py
@@ -1,4 +1,4 @@
-"""One request from its acceptance to its end."""
+"""Tests of exchanges."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @pytest.fixture
 def running() -> exchange.Exchange:
-    """Return an exchange whose answer has begun."""
+    """Return an exchange whose response has started."""
     accepted = builders.accepted(deadline=ids.Instant(clock.now() + 100.0))
     http = unittest.mock.Mock()
     found = exchange.Exchange(None, accepted, ids.CellId("engines/0"), http)
@@ -24,10 +24,10 @@
     return found
 
 
-async def test_a_caller_that_leaves_during_a_write_is_no_error(
+async def test_disconnect_during_write_is_no_error(
     running: exchange.Exchange, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Each such caller is logged as an error, and counted as served."""
+    """Guards against logging such callers as errors and counting them as served."""
 
     async def serve() -> web.StreamResponse:
         raise aiohttp.ClientConnectionResetError("Cannot write to closing transport")
--- a/src/tealcove/ingress/tests/test_tickets.py
+++ b/src/tealcove/ingress/tests/test_tickets.py
@@ -1,4 +1,4 @@
-"""What routes and callers say becomes the ticket's rank, goal and patience."""
+"""Tests of the ticket's rank, goal and patience from route and caller."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def rank(account_rank: int | None, route_rank: int) -> tuple[int, int]:
-    """Return tier and urgency, of which the tier goes first."""
+    """Return tier and urgency, compared in this order."""
     accepted = builders.accepted(
         account=builders.account(rank=account_rank),
         route=builders.route(rank=route_rank),
@@ -25,30 +25,28 @@
     return found.tier_rank, found.urgency
 
 
-async def test_routes_of_accounts_with_one_rank_go_by_their_own():
-    """Urgent requests are refused while others that could wait are served.
+async def test_route_rank_orders_requests_of_equal_account_rank():
+    """Guards against refusing urgent requests while less urgent ones are served.
 
-    Symptom: at twice the load, a quarter of the most urgent kind of request is
-    refused, as of any other. Sequence: all accounts have rank 1; an urgent and
-    another route's requests wait for one slot. Cause: the account's rank takes the
-    place of the route's, so that all of them wait in one line.
+    All accounts have rank 1, and requests of an urgent and another route wait for
+    one slot. If the account's rank replaces the route's, all of them wait in one
+    queue: at twice the load, a quarter of each kind is refused.
     """
     assert rank(1, 0) < rank(1, 1) < rank(1, 2)
 
 
-async def test_the_accounts_rank_goes_before_the_routes():
+async def test_account_rank_overrides_route_rank():
     assert rank(0, 2) < rank(1, 0)
     assert rank(0, 5000) < rank(1, 0)
-    # Without one of its own, the route's says the tier.
+    # An account without a rank gets the route's as its tier.
     assert rank(None, 0) < rank(1, 0) < rank(None, 2)
 
 
-async def test_without_ranks_of_accounts_all_are_of_one_tier():
-    """The least urgent kind gets nothing under overload.
+async def test_without_account_ranks_all_requests_share_one_tier():
+    """Guards against starving the least urgent route under overload.
 
-    Symptom: a kind of request is refused always while the load lasts. Sequence: no
-    account has a rank, and routes have three. Cause: the routes' ranks stand for
-    tiers, which go strictly one before the other.
+    No account has a rank, and routes have three. If the routes' ranks are used as
+    tiers, which have strict priority, the last one's requests are always refused.
     """
     found = []
     for route_rank in (0, 2):
@@ -61,16 +59,16 @@
     assert found == [(0, 0), (0, 2)]
 
 
-async def test_a_ticket_says_when_its_caller_gives_up():
+async def test_ticket_has_the_callers_own_deadline():
     route = builders.route(is_stream=True, timeout=1.0)
     received = builders.received(caller_timeout=4.0)
     accepted = builders.accepted(route=route, call=received)
     now = ids.Instant(accepted.arrived + 0.5)
     cell = ids.CellId("c/0")
     first = tickets.new_ticket(accepted, cell, ENTRY, (), False, now).ticket
-    # By its own word, although the route's time is over before.
+    # The caller's deadline counts, although the route's timeout is shorter.
     assert first.caller_remaining == pytest.approx(3.5)
-    # A stream that goes on has no first try to be known by.
+    # A resumed stream isn't measured from a first attempt.
     assert (
         tickets.new_ticket(accepted, cell, ENTRY, (), True, now).ticket.caller_remaining
         == 0.0
@@ -82,7 +80,7 @@
     )
 
 
-async def test_a_stream_that_has_begun_has_its_next_pause_for_a_goal():
+async def test_goal_of_a_started_stream_is_its_gap_target():
     route = builders.route(
         repeat=declared.Repeat.RESUMABLE, is_stream=True, goal=0.6, gap=0.25
     )
@@ -95,7 +93,7 @@
         )
         return found.ticket
 
-    # Missed by now, which isn't the same as having none.
+    # A missed goal differs from no goal.
     assert 0.0 < ticket(False).goal < 1e-9
     assert ticket(False).patience == pytest.approx(2.4 - 1.0)
     assert ticket(True).goal == 0.25
--- a/src/tealcove/ingress/tickets.py
+++ b/src/tealcove/ingress/tickets.py
@@ -1,4 +1,4 @@
-"""The tickets of requests, from what the routes and callers say."""
+"""Accepted requests, and tickets built from their routes and callers' headers."""
 
 from __future__ import annotations
 
@@ -11,22 +11,22 @@
 from tealcove.dispatch import messages, pending
 from tealcove.ingress import call
 
-# Callers leave a stream that shows nothing for so long: the longest of two
-# seconds, some times their goal and some times the pause that they put up with.
+# Callers abandon a stream after this much silence: the longest of two seconds, a
+# multiple of the goal for the first event, and a multiple of the goal for gaps.
 MIN_PATIENCE = 2.0
 PATIENCE_GOAL_FACTOR = 4.0
 PATIENCE_GAP_FACTOR = 8.0
 
 
 class EntryInstance(msgspec.Struct, frozen=True):
-    """The instance that has a caller's request, and where it is."""
+    """The instance that received a request, and its data centre."""
 
     name: ids.InstanceId
     data_centre: ids.DataCentreId
 
 
 class AcceptedRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """What holds for one request, decided when it was accepted."""
+    """A request with everything that was decided at its acceptance."""
 
     call: call.Call
     route: declared.Route
@@ -34,18 +34,18 @@
     event_tokens: int
     account: declared.Account | None
     arrived: ids.Instant
-    # When the caller must have its final answer.
+    # When the final response must be sent.
     deadline: ids.Instant
     digest: str
-    # Whether accounts are of different tiers at all.
+    # Whether any account has a rank.
     has_tiers: bool
 
     @property
     def tier_rank(self) -> int:
-        """The tier's rank: the account's own, or the route's where it has none.
+        """Return the account's rank, or the route's if the account has none.
 
-        Where no account has one, all requests are of one tier. Were the routes' ranks
-        tiers then, the least urgent kind would get nothing under overload.
+        If no account has a rank, all requests are in one tier. If the routes' ranks
+        were tiers then, the least urgent route would be starved under overload.
         """
         if not self.has_tiers:
             return 0
@@ -55,12 +55,12 @@
 
     @property
     def account_name(self) -> ids.AccountId:
-        """The account's name; empty for callers of public routes."""
+        """Return the account's name; empty for callers of public routes."""
         return ids.AccountId("") if self.account is None else self.account.name
 
     @property
     def is_repeatable(self) -> bool:
-        """Whether it may run once more after an answer was lost."""
+        """Return whether it may run again after a lost response."""
         return self.route.repeat is not declared.Repeat.ONCE
 
 
@@ -72,10 +72,10 @@
     has_events: bool,
     now: ids.Instant,
 ) -> pending.PendingTicket:
-    """Return a ticket for the next sending of a request.
+    """Return a ticket for the next attempt of a request.
 
-    `has_events` says that the caller has a part of its stream already, so that
-    the goal no longer counts but the next pause does.
+    `has_events` means that the caller already received part of its stream, so that
+    the goal for the next gap applies in place of the goal for the first event.
     """
     work = accepted.call.work
     route = accepted.route
@@ -103,21 +103,21 @@
         patience=max(0.0, patience),
         urgency=route.rank,
         expected_tokens=work.expected_tokens,
-        # A stream that goes on counts from its last event, not from a first try.
+        # A resumed stream is measured from its last event, not from a first attempt.
         caller_remaining=0.0 if has_events else caller_remaining(accepted, now),
     )
     return pending.PendingTicket(ticket, accepted.deadline, None)
 
 
 def caller_remaining(accepted: AcceptedRequest, now: ids.Instant) -> float:
-    """Return the seconds until the caller gives up by its own word; 0: unknown."""
+    """Return the seconds until the caller's own deadline; 0 if unknown."""
     if accepted.call.caller_timeout is None:
         return 0.0
     return max(0.0, accepted.arrived + accepted.call.caller_timeout - now)
 
 
 def remaining_goal(route: declared.Route, waited: float, has_events: bool) -> float:
-    """Return the seconds left to the goal; 0: there is none, tiny: it's missed."""
+    """Return the seconds left to the goal; 0: no goal, tiny: missed."""
     if has_events and route.gap > 0.0:
         return route.gap
     if route.goal <= 0.0:
@@ -126,7 +126,7 @@
 
 
 def stream_patience(route: declared.Route) -> float:
-    """Return the seconds of silence after which a stream's caller leaves."""
+    """Return the seconds of silence after which a stream's caller disconnects."""
     return max(
         MIN_PATIENCE,
         PATIENCE_GOAL_FACTOR * route.goal,
