--- a/src/tealcove/platform/__init__.py
+++ b/src/tealcove/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter to the users' platform: its wire, and nothing that decides."""
+"""The adapter to the users' platform: wire formats only, no decisions."""
--- a/src/tealcove/platform/callers.py
+++ b/src/tealcove/platform/callers.py
@@ -1,4 +1,4 @@
-"""Reads callers' requests and writes the answers that are the system's own."""
+"""Decodes callers' requests and encodes the system's own responses."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 from tealcove.platform import names
 
 MILLISECONDS = 1000.0
-# Headers of one connection; they don't go on to the backend server. The length
-# is written anew, and the caller's coding of the body is undone when it's read.
+# Headers of one connection, which aren't forwarded to the backend server. The length is
+# set again, and the caller's transfer coding is removed when the body is read.
 CONNECTION_HEADERS = fields.HOP_BY_HOP | {fields.CONTENT_LENGTH, "expect"}
-# What this system sets or states anew for each sending.
+# Headers that this system sets for each attempt.
 REPLACED_HEADERS = frozenset((names.DEADLINE_MS.lower(), names.LAST_EVENT_ID.lower()))
-# Decimal places of Retry-After, in seconds: callers take fractions.
+# Decimal places of Retry-After, in seconds: callers accept fractions.
 RETRY_DECIMALS = 3
 HTTP_UNAVAILABLE = 503
 HTTP_BAD_GATEWAY = 502
@@ -30,7 +30,7 @@
 
 
 class CallerCodec(answers.Codec):
-    """Callers' requests as the platform's clients send them."""
+    """Codec for requests in the format of the platform's clients."""
 
     def read(self, request: web.BaseRequest, body: bytes) -> call.Call:
         """See Codec."""
@@ -60,12 +60,11 @@
     def respond(self, found: problem.Problem) -> web.Response:
         """See Codec.
 
-        Only a request that hasn't run, and never will, gets a status that
-        promises so.
+        Only a request that hasn't run, and never will, gets a status that says so.
         """
         headers = {}
         if found.retry_after is not None:
-            # Rounded up: back a moment too early, a caller is refused once more.
+            # Rounded up: a caller that retries too early is refused again.
             scale = 10**RETRY_DECIMALS
             seconds = math.ceil(found.retry_after * scale) / scale
             headers[names.RETRY_AFTER] = f"{seconds:g}"
@@ -78,7 +77,7 @@
 
 
 def status_of(found: problem.Problem) -> int:
-    """Return the status that says what became of a request."""
+    """Return the HTTP status for the outcome of a request."""
     if found.outcome is problem.Outcome.REJECTED:
         return found.status
     if found.outcome is problem.Outcome.NOT_RUN:
@@ -88,7 +87,7 @@
 
 
 def forwarded_headers(headers: Mapping[str, str]) -> call.Headers:
-    """Return the headers that go on to the backend server."""
+    """Return the headers to forward to the backend server."""
     pairs = tuple((str(name), value) for name, value in headers.items())
     return fields.end_to_end(
         pairs, CONNECTION_HEADERS | REPLACED_HEADERS | names.RESERVED_HEADERS
@@ -96,14 +95,14 @@
 
 
 def read_work(request: web.BaseRequest) -> call.Work:
-    """Return what a request asks of an engine; raises UnreadableError."""
+    """Return a request's token counts; raises UnreadableError."""
     tokens = request.headers.get(names.TOKEN_COUNT)
     if tokens is None:
         return call.Work()
     prompt, _, output = (count.read(part) for part in tokens.partition(","))
     if prompt is None or output is None:
         raise call.UnreadableError(f"Write {names.TOKEN_COUNT} as two whole numbers.")
-    # A hint that can't be read is only a worse guess.
+    # An invalid hint only makes the estimate less accurate.
     expected = count.read(request.headers.get(names.LENGTH_HINT, "")) or 0
     return call.Work(prompt, output, min(expected, output))
 
@@ -113,7 +112,7 @@
     if text is None:
         return None
     try:
-        # Python's own notation with underscores is nobody else's.
+        # float() accepts underscores, which are valid only in Python.
         found = math.nan if "_" in text else float(text)
     except ValueError:
         found = math.nan
--- a/src/tealcove/platform/directory.py
+++ b/src/tealcove/platform/directory.py
@@ -1,4 +1,4 @@
-"""Answers callers who ask where to connect, and the platform's look at readiness."""
+"""Serves the addresses for callers and the platform's readiness check."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class AddressSource(abc.ABC):
-    """What the directory asks the instance."""
+    """Provides the addresses of instances and this instance's readiness."""
 
     @abc.abstractmethod
     def addresses(self, data_centre: ids.DataCentreId) -> list[str]:
@@ -23,18 +23,18 @@
 
     @abc.abstractmethod
     def is_ready(self) -> bool:
-        """Tell whether this instance takes requests."""
+        """Return whether this instance accepts requests."""
 
 
 class Resolved(msgspec.Struct):
-    """Where to connect, and for how many seconds that may be kept."""
+    """Addresses to connect to, and the seconds for which they may be cached."""
 
     addrs: list[str]
     ttl_s: float
 
 
 class Directory:
-    """The handlers of both."""
+    """HTTP handlers for address lookup and the readiness check."""
 
     def __init__(self, source: AddressSource, ttl_seconds: float) -> None:
         self.source = source
@@ -49,7 +49,7 @@
         return [web.get(names.READY_PATH, self.ready)]
 
     async def resolve(self, request: web.Request) -> web.Response:
-        """Answer addresses; 503 while none is known, so that callers ask elsewhere."""
+        """Return addresses; 503 if none is known, so that callers ask elsewhere."""
         data_centre = ids.DataCentreId(request.query.get("zone", ""))
         found = self.source.addresses(data_centre)
         if not found:
@@ -58,6 +58,6 @@
         return web.Response(body=body, content_type="application/json")
 
     async def ready(self, request: web.Request) -> web.Response:
-        """Say whether this instance takes requests."""
+        """Return 200 if this instance accepts requests, otherwise 503."""
         ready = self.source.is_ready()
         return web.Response(status=HTTP_OK if ready else HTTP_UNAVAILABLE)
--- a/src/tealcove/platform/documents.py
+++ b/src/tealcove/platform/documents.py
@@ -16,10 +16,10 @@
 T = TypeVar("T")
 
 MILLISECONDS = 1000.0
-# Rank of a route that names none: behind all that do.
+# Rank of a route without one: after all routes that have one.
 DEFAULT_RANK = 9
 DEFAULT_TIMEOUT_MS = 30_000.0
-# The largest port number of TCP.
+# The largest TCP port number.
 MAX_PORT = 65_535
 
 
@@ -36,13 +36,13 @@
     name: str
     host: str
     prefix: str
-    # The name suggests a media type; it says what may be repeated.
+    # Not a media type: whether requests may be repeated, and whether they stream.
     type: str = ""
     timeout_ms: float = DEFAULT_TIMEOUT_MS
     goal_ms: float = 0.0
     priority: int = DEFAULT_RANK
     service: str = ""
-    # In place of `service`.
+    # Replaces `service`.
     split: tuple[WireShare, ...] = ()
     attempts: int = 1
     public: bool = False
@@ -51,9 +51,9 @@
 
 
 class WireEngine(msgspec.Struct):
-    """What the engines of a service have in common."""
+    """Settings shared by the engines of a service."""
 
-    # Output tokens in one event of a stream.
+    # Output tokens per event of a stream.
     stride: int = 1
 
 
@@ -65,7 +65,7 @@
 
 
 class WireLimits(msgspec.Struct):
-    """What callers may send."""
+    """Limits on callers' requests."""
 
     max_header_bytes: int = 16 * 1024
     max_body_bytes: int = 4 * 1024 * 1024
@@ -79,7 +79,7 @@
     name: str
     api_keys: tuple[str, ...] = ()
     priority: int | None = None
-    # What the two amounts below count: requests, or with "token" tokens.
+    # Unit of the rate and burst below: tokens if "token", otherwise requests.
     unit: str = ""
     plain_tokens: int = 1
     rate_per_s: float = 0.0
@@ -96,35 +96,35 @@
 
 
 class WireServerState(enum.Enum):
-    """What a backend server says of its work."""
+    """The state that a backend server reports."""
 
     READY = "ready"
     DRAINING = "draining"
 
 
 class WireServer(msgspec.Struct):
-    """What a backend server writes of itself.
+    """A backend server's row, as the server writes it.
 
-    All that every server writes must be there, also what isn't used: a row without it
-    is another writer's, and requests sent by it would reach nobody.
+    Fields that every server writes are required, even if unused: a row without one
+    comes from another writer, and requests sent to its address would fail.
     """
 
     service: str
     # IP:PORT.
     addr: str
     zone: str
-    # Of its software; unlike `born` it's the same at its next start.
+    # The version of its software; unlike `born` it's the same after a restart.
     version: str
     slots: Annotated[int, msgspec.Meta(ge=1)]
     state: WireServerState
     cold_left_ms: float
     seq: int
-    # The Unix millisecond of its start; absent where servers don't restart.
+    # Unix time of its start in milliseconds; absent where servers don't restart.
     born: Annotated[int, msgspec.Meta(ge=0)] = 0
 
 
 def decode_configuration(content: bytes) -> declared.Catalog:
-    """Return the operator's configuration; raises PlatformError."""
+    """Decode the operator's configuration; raises PlatformError."""
     found = decode(content, WireConfiguration)
     return declared.Catalog(
         routes=tuple(route_of(route) for route in found.routes),
@@ -145,7 +145,7 @@
 
 
 def route_of(route: WireRoute) -> declared.Route:
-    """Return a route in the product's terms."""
+    """Convert a route to the internal representation."""
     is_stream = route.type == names.STREAM
     repeat = declared.Repeat.ONCE
     if route.type == names.SAFE:
@@ -172,13 +172,13 @@
 
 
 def service_of(service: WireService) -> declared.Service:
-    """Return a service in the product's terms."""
+    """Convert a service to the internal representation."""
     tokens = 0 if service.engine is None else service.engine.stride
     return declared.Service(ids.PoolId(service.name), tokens)
 
 
 def account_of(tenant: WireTenant) -> declared.Account:
-    """Return a client account in the product's terms."""
+    """Convert a client account to the internal representation."""
     bound = None
     if tenant.rate_per_s > 0:
         bound = limit.Limit(tenant.rate_per_s, tenant.burst)
@@ -192,7 +192,7 @@
 
 
 def decode_server(key: str, content: bytes) -> declared.BackendServer:
-    """Return a backend server; raises PlatformError."""
+    """Decode a backend server's row; raises PlatformError."""
     found = decode(content, WireServer)
     host, _, number = found.addr.rpartition(":")
     port = count.read(number)
@@ -215,7 +215,7 @@
 
 
 def is_ip(host: str) -> bool:
-    """Tell whether a host is an IP number; names aren't looked up."""
+    """Return whether a host is an IP address; names aren't resolved."""
     try:
         ipaddress.ip_address(host)
     except ValueError:
@@ -232,7 +232,7 @@
 
 
 def unreadable(problem: str) -> errors.PlatformError:
-    """Return the error for a document that can't be used."""
+    """Return the error for an unusable document."""
     return errors.PlatformError(
         f"a document in the store can't be read: {problem}",
         "Compare its writer's version with docs/design/platform.md.",
--- a/src/tealcove/platform/engines.py
+++ b/src/tealcove/platform/engines.py
@@ -1,4 +1,4 @@
-"""Sends calls to backend servers over HTTP, each on a connection of its own."""
+"""Sends calls to backend servers over HTTP, each on its own connection."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 from tealcove.ingress import link
 from tealcove.platform import callers, names
 
-# Seconds for a connection: links between data centres take some milliseconds, and
-# a server that is gone without a reset must be noticed while the goal is in reach.
+# Connect timeout in seconds: links between data centres take some milliseconds, and an
+# unreachable server must be detected while the goal can still be met.
 CONNECT_TIMEOUT = 0.25
-# Seconds beyond the time of a call before this client ends it. Whoever called ends it
-# in time, and would otherwise take this client's end for the server's.
+# Seconds by which this client's timeout exceeds a call's. The caller of this client
+# enforces the deadline, and would otherwise take this timeout for a server's failure.
 TIMEOUT_MARGIN = 1.0
 MILLISECONDS = 1000
 HTTP_MISDIRECTED = 421
-# Headers of an answer that concern one connection, or that are written anew.
+# Response headers of one connection, or that are set again for the caller.
 DROPPED_HEADERS = callers.CONNECTION_HEADERS | {
     names.LOAD.lower(),
     names.INCARNATION.lower(),
@@ -34,11 +34,11 @@
 
 
 class StrictResponseHandler(client_proto.ResponseHandler):
-    """A connection that takes no reset for the end of an answer.
+    """A response handler that doesn't take a connection reset for end of body.
 
-    An answer without a length ends when its connection is closed. aiohttp takes
-    a reset for that as well, so that a part of an answer would reach the caller
-    as the whole.
+    A response without a length ends when its connection is closed. aiohttp treats a
+    reset the same way, so that a truncated response would reach the caller as
+    complete.
     """
 
     def connection_lost(self, exc: BaseException | None) -> None:
@@ -50,9 +50,10 @@
 
 
 class StrictConnector(aiohttp.TCPConnector):
-    """Makes a watched connection for each call, and uses none again.
+    """Opens a connection with a strict response handler for each call.
 
-    A faulty server may send a second answer, late, where the next one is expected.
+    Connections aren't reused: a faulty server may send a late second response where
+    the response to the next call is expected.
     """
 
     def __init__(self) -> None:
@@ -62,7 +63,7 @@
 
 
 class HttpBackendLink(link.BackendLink):
-    """One session to all backend servers."""
+    """Sends calls to all backend servers in one HTTP session."""
 
     def __init__(self) -> None:
         self.session: aiohttp.ClientSession | None = None
@@ -73,7 +74,7 @@
         tracing.on_connection_create_end.append(attempts.notify_dispatched)
         self.session = aiohttp.ClientSession(
             connector=StrictConnector(),
-            # A jar would send one caller's cookie with the next caller's call.
+            # A cookie jar would send one caller's cookies with another's call.
             cookie_jar=aiohttp.DummyCookieJar(),
             auto_decompress=False,
             skip_auto_headers=attempts.SKIPPED_AUTO_HEADERS,
@@ -118,11 +119,11 @@
 
 
 def headers_of(outbound: link.OutboundRequest) -> multidict.CIMultiDict[str]:
-    """Return the headers of a call with those that the system sets."""
+    """Return a call's headers with those that this system sets."""
     headers = multidict.CIMultiDict(outbound.call.headers)
     headers[names.EXPECTED_INCARNATION] = outbound.server.name
-    # Milliseconds that are left, and not the caller's own number: the server works
-    # on until then, for nobody if it's too long.
+    # Remaining milliseconds, not the caller's own value: past the deadline, the server
+    # would keep working on a response that no one receives.
     left = max(1, int(outbound.remaining * MILLISECONDS))
     headers[names.DEADLINE_MS] = str(left)
     if outbound.account is not None:
@@ -135,25 +136,25 @@
 def read_head(
     outbound: link.OutboundRequest, response: aiohttp.ClientResponse
 ) -> link.Head:
-    """Return the head of an answer to this very request.
+    """Return the head of a response after checking that it is to this request.
 
-    Raises NotRunError if the server says that it hasn't run the request, and
-    WrongAnswerError for anything that may belong to another one.
+    Raises NotRunError if the server hasn't run the request, and WrongAnswerError
+    if the response may belong to another one.
     """
     server = outbound.server
     headers = response.headers
     if names.NOT_RUN in headers:
         raise link.NotRunError(server.name, response.status)
     if response.status == HTTP_MISDIRECTED and names.SIGNATURE not in headers:
-        # Another server has the address now; it runs only what names it.
+        # Another server has this address now, and rejects requests for its predecessor.
         raise link.NotRunError(server.name, response.status)
     echoed = headers.get(names.REQUEST_ID)
     is_signed = names.SIGNATURE in headers
     if echoed != outbound.call.request_id or not is_signed:
         raise engine.WrongAnswerError(
-            f"{server.name} gave an answer that isn't this request's: "
+            f"{server.name} sent a response that isn't this request's: "
             f"id {echoed!r}, {'signed' if is_signed else 'not signed'}",
-            "Nothing of it was passed on; report it to the server's maker.",
+            "No part of it was forwarded; report it to the server's vendor.",
         )
     returned = tuple(
         (str(name), value)
--- a/src/tealcove/platform/names.py
+++ b/src/tealcove/platform/names.py
@@ -1,4 +1,4 @@
-"""What the platform calls things: headers, paths, tables and words."""
+"""Names defined by the platform: headers, paths, tables and document values."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 MODEL = "Tealcove-Model"
 # Two numbers: prompt tokens, and the most output tokens.
 TOKEN_COUNT = "Tealcove-Token-Count"
-# Not a hash: the parts of the prompt in order, as ID:TOKENS.
+# Despite its name not a hash: the prompt's parts in order, as ID:TOKENS.
 PROMPT_PARTS = "Tealcove-Prefix-Hash"
 LENGTH_HINT = "Tealcove-Length-Hint"
 LAST_EVENT_ID = "Last-Event-Id"
@@ -18,16 +18,15 @@
 ACCOUNT = "Tealcove-Tenant"
 EXPECTED_INCARNATION = "Tealcove-Expect-Instance"
 
-# Headers of a backend server's answer.
+# Headers of a backend server's response.
 SIGNATURE = "Tealcove-Response-Stamp"
 NOT_RUN = "Tealcove-Not-Executed"
 INCARNATION = "Tealcove-Instance"
 LOAD = "Tealcove-Instance-Load"
 RETRY_AFTER = "Retry-After"
 
-# Headers that only this system may set. A caller that sent them could have its
-# request charged to another account, pinned in an engine's memory, or joined to
-# another request's memory.
+# Headers that only this system may set. Callers could use them to charge a request to
+# another account, pin it in an engine's memory, or access another request's memory.
 RESERVED_HEADERS = frozenset(
     name.lower()
     for name in (
@@ -47,11 +46,11 @@
     )
 )
 
-# Calls that the system answers.
+# Endpoints of this system.
 READY_PATH = "/readyz"
 RESOLVE_PATH = "/resolve"
 
-# Calls of the store.
+# Endpoints of the store.
 TRANSACT_PATH = "/rows-tx"
 READ_PATH = "/rows-get"
 FEED_PATH = "/rows-feed"
@@ -64,10 +63,10 @@
 SERVERS_TABLE = "servers"
 CONFIGURATION_KEY = "config"
 ROLLOUT_KEY = "rollout/"
-# The table in which this system tells of what it was ordered.
+# The table to which this system writes the status of the operator's orders.
 STATUS_TABLE = "status"
 
-# Words in documents.
+# Values in documents.
 SAFE = "safe"
 STREAM = "stream"
 TOKENS = "token"
--- a/src/tealcove/platform/rollouts.py
+++ b/src/tealcove/platform/rollouts.py
@@ -1,4 +1,4 @@
-"""Operators' orders of roll-outs, and what they're told, as rows of the store."""
+"""Roll-out orders and their status, as rows of the store."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class WireOrder(msgspec.Struct):
-    """An order as the operator writes it."""
+    """A roll-out order as the operator writes it."""
 
     service: str
     to: str
@@ -21,7 +21,7 @@
 
 
 class WireStatus(msgspec.Struct, omit_defaults=True):
-    """What the operator reads; the last three are this system's own."""
+    """The status as the operator reads it; the last three fields are internal."""
 
     state: str
     to: str
@@ -31,7 +31,7 @@
 
 
 class StoreOrders(order.OrderStore):
-    """Orders and their status by service."""
+    """Stores roll-out orders and their status per service."""
 
     def __init__(self, rows: services.StoreTable) -> None:
         self.rows = rows
@@ -68,7 +68,7 @@
 
 
 def order_of(service: ids.PoolId, row: table.Row) -> order.Order:
-    """Return an order; one that can't be read names no version."""
+    """Return an order; an invalid one has an empty target version."""
     revision = ids.Revision(row.version)
     try:
         found = documents.decode(row.value, WireOrder)
@@ -78,7 +78,7 @@
 
 
 def status_of(row: table.Row) -> order.Status | None:
-    """Return a status; None: somebody else wrote what stands there."""
+    """Return a status; None if this system didn't write the row."""
     try:
         found = msgspec.json.decode(row.value, type=WireStatus)
     except msgspec.MsgspecError:
--- a/src/tealcove/platform/services.py
+++ b/src/tealcove/platform/services.py
@@ -1,4 +1,4 @@
-"""The product's table and object store, kept in the platform's store."""
+"""The table and object store interfaces on top of the platform's store."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class StoreTable(table.TimedTable):
-    """Rows and conditional transactions."""
+    """Stores rows and applies conditional transactions."""
 
     def __init__(self, client: store.StoreClient) -> None:
         self.client = client
@@ -49,7 +49,7 @@
 
 
 class StoreObjects(objects.ObjectStore):
-    """Whole objects."""
+    """Stores complete objects."""
 
     def __init__(self, client: store.StoreClient) -> None:
         self.client = client
@@ -73,12 +73,12 @@
 
 
 def quoted(name: str) -> str:
-    """Return an object's name as one part of a path."""
+    """Return an object's name quoted as one path segment."""
     return urllib.parse.quote(name, safe="")
 
 
 def wire_transaction(transaction: table.Transaction) -> store.WireTransaction:
-    """Return a transaction as the store takes it."""
+    """Convert a transaction to the store's wire format."""
     puts = [one for one in transaction.writes if isinstance(one, table.Put)]
     drops = [one for one in transaction.writes if isinstance(one, table.Delete)]
     return store.WireTransaction(
@@ -97,17 +97,17 @@
 
 
 def expected_version(condition: table.Absent | table.VersionIs) -> int:
-    """Return the version that a condition names; 0: the row must be absent."""
+    """Return the version that a condition requires; 0: the row must be absent."""
     return condition.version if isinstance(condition, table.VersionIs) else 0
 
 
 def conflicts(
     transaction: table.Transaction, reply: store.Reply
 ) -> table.ConditionFailedError:
-    """Return the error that names every condition that failed.
+    """Return the error that lists every failed condition.
 
-    Raises PlatformUnavailableError if the answer can't be understood, since a
-    refused transaction was certainly not applied.
+    Raises PlatformUnavailableError if the reply can't be decoded, since a rejected
+    transaction was certainly not applied.
     """
     page = store.decode_read(reply.content, store.WirePage)
     present = {(row.table, row.key): row for row in page.rows if not row.tombstone}
@@ -122,5 +122,5 @@
 
 
 def row_of(row: store.WireRow) -> table.Row:
-    """Return a row in the product's terms."""
+    """Convert a row to the internal representation."""
     return table.Row(row.table, row.key, row.content(), row.row_version)
--- a/src/tealcove/platform/store.py
+++ b/src/tealcove/platform/store.py
@@ -1,4 +1,4 @@
-"""The one client of the platform's store."""
+"""HTTP client for the platform's store."""
 
 from __future__ import annotations
 
@@ -24,60 +24,60 @@
 HTTP_TOO_MANY_REQUESTS = 429
 HTTP_SERVER_ERROR = 500
 HTTP_UNAVAILABLE = 503
-# By these statuses the store says that it did nothing with the call.
+# Statuses with which the store guarantees that it didn't process the call.
 REFUSED_STATUSES = (HTTP_TOO_MANY_REQUESTS, HTTP_UNAVAILABLE)
-# What a read may be answered by; anything else means that it failed.
+# Statuses of a valid reply to a read; any other means that it failed.
 READ_STATUSES = (HTTP_OK, HTTP_NOT_FOUND, HTTP_GONE)
-# What a call without a whole reply raises, besides the failures to connect.
+# Exceptions of a call without a complete reply; they include failures to connect.
 CALL_ERRORS = (aiohttp.ClientError, TimeoutError, OSError, attempts.SecondWriteError)
 JSON_TYPE = "application/json"
-# Rows in one answer of a read, the most that the store gives.
+# Rows per page of a read, the store's maximum.
 PAGE_ROWS = 500
-# Seconds that the answer to a read may take beyond its longest silence: 9 MB on a link
-# of 5 Mbit/s.
+# Seconds that a read may take beyond its silence timeout: enough for 9 MB on a link of
+# 5 Mbit/s.
 READ_TIME_MARGIN = 15.0
-# Seconds beyond a feed's own wait before it counts as unanswered. The store's
-# answers take 4 ms, and 60 times as long when it's slow.
+# Seconds that a feed call may take beyond its own wait. The store's replies take 4 ms,
+# and 60 times as long when it's slow.
 FEED_MARGIN = 2.0
-# The same for a feed that doesn't wait, which is asked for while the store fails: the
-# sooner it's given up, the sooner is the store's return noticed.
+# The same for a feed call without a wait, which is used while the store is failing: the
+# sooner it times out, the sooner the store's recovery is detected.
 PROBE_MARGIN = 0.75
 
 
 class Timeouts(msgspec.Struct, frozen=True):
     """Limits of one call, in seconds."""
 
-    # Until a connection stands; after that nothing has been sent yet.
+    # To establish a connection; when it expires, nothing has been sent.
     connect: float = 1.0
-    # Until the whole reply is in, connecting included.
+    # To receive the complete reply, including the connection time.
     total: float = 5.0
 
 
 class WireRow(msgspec.Struct, omit_defaults=True):
-    """A row as the store sends and takes it."""
+    """A row in the store's wire format."""
 
     table: str
     key: str
     part: str = ""
     # Base64.
     value: str = ""
-    # The version of the row's last change; in a condition, the wanted one.
+    # The version of the row's last change; in a condition, the required one.
     row_version: int = 0
-    # In a feed: the row was dropped.
+    # In a feed: the row was deleted.
     tombstone: bool = False
 
     def content(self) -> bytes:
-        """Return the value's bytes; raises PlatformUnavailableError."""
+        """Decode the value; raises PlatformUnavailableError."""
         try:
             return base64.b64decode(self.value, validate=True)
         except ValueError as error:
             raise unavailable(f"a row's value can't be read: {error}") from error
 
     def entry(self) -> feed.Entry:
-        """Return the row as one of a followed table.
+        """Convert the row to an entry of a feed.
 
-        One row that isn't base64 must not make the whole table unreadable: its text is
-        handed on as it stands, and whoever decodes it passes over that row alone.
+        One row that isn't valid base64 must not make the whole table unreadable: its
+        text is returned undecoded, so that the consumer skips only this row.
         """
         if self.tombstone:
             return feed.Entry(self.key, None, self.row_version)
@@ -89,7 +89,7 @@
 
 
 class WireTransaction(msgspec.Struct):
-    """The body of a transaction."""
+    """The request body of a transaction."""
 
     # Conditions: version 0 means that the row must be absent.
     expect_rev: tuple[WireCondition, ...] = ()
@@ -98,7 +98,7 @@
 
 
 class WireCondition(msgspec.Struct):
-    """The version that a row must have; always written out, since 0 has a meaning."""
+    """The version that a row must have; always encoded, since 0 has a meaning."""
 
     table: str
     key: str
@@ -107,27 +107,27 @@
 
 
 class WirePage(msgspec.Struct):
-    """Rows, and the newest version of the whole store at that moment."""
+    """Rows, and the newest version of the whole store at that time."""
 
     rows: tuple[WireRow, ...] = ()
     row_version: int = 0
     has_more: bool = False
-    # A clock of the store's own, in milliseconds; it only goes forward.
+    # The store's own monotonic clock in milliseconds.
     now_ms: float = 0.0
 
 
 class Reply(msgspec.Struct, frozen=True):
-    """A reply of the store, whole."""
+    """A complete reply of the store."""
 
     status: int
     content: bytes
 
 
 class StoreClient(feed.Feed):
-    """One HTTP session with the store, which all users of it share.
+    """Calls the store in one HTTP session that all its users share.
 
-    Opens no connection before the first call. Must be made and closed inside
-    the event loop that uses it.
+    Opens no connection before the first call. Must be created and closed in the
+    event loop that uses it.
     """
 
     def __init__(
@@ -138,7 +138,7 @@
     ) -> None:
         self.url = url.rstrip("/")
         self.timeouts = timeouts or Timeouts()
-        # For the metrics; a failure is a call without a usable reply.
+        # Counters for metrics; a failure is a call without a usable reply.
         self.calls = 0
         self.failures = 0
         self.session = aiohttp.ClientSession(
@@ -146,9 +146,9 @@
                 ssl=tls or True, socket_factory=keepalive.new_socket
             ),
             cookie_jar=aiohttp.DummyCookieJar(),
-            # aiohttp sends a PUT or DELETE a second time by itself when a reused
-            # connection breaks. After a lost reply that would apply the write
-            # twice and hide the loss.
+            # aiohttp retries a PUT or DELETE by itself when a reused connection
+            # breaks. After a lost reply that would apply the write twice and hide
+            # the loss.
             middlewares=(attempts.forbid_second_write,),
         )
 
@@ -167,8 +167,8 @@
     ) -> tuple[list[WireRow], int]:
         """Return rows from a key on, all of them without a limit, and the version.
 
-        A table that needs several pages is read at the version of the first one:
-        what has changed since is in the feed from there.
+        The version is that of the first page: changes during the read of further pages
+        are in the feed from that version on.
         """
         found: list[WireRow] = []
         version = None
@@ -200,7 +200,7 @@
         arriving: Callable[[], None] | None = None,
     ) -> feed.Page:
         """See Feed."""
-        # The name says a revision of the caller's; it's the version to go on from.
+        # Despite its name, since_rev is the store version from which to continue.
         params = {
             "table": table,
             "since_rev": str(since),
@@ -226,12 +226,12 @@
         silence: float,
         arriving: Callable[[], None] | None = None,
     ) -> Reply:
-        """Return the reply to a read; `silence` is the longest without a byte of it.
+        """Return the reply to a read; `silence` limits the seconds without a byte.
 
-        A bound on the whole would never let a large document through a slow link: an
-        instance that starts would read its first part again and again. Raises
-        PlatformUnavailableError, since a read that failed in any way changed nothing
-        and may be repeated.
+        With a short limit on the whole reply, a large document would never get through
+        a slow link: a starting instance would read its first part again and again.
+        Raises PlatformUnavailableError, since a failed read changed nothing and may be
+        retried.
         """
         limits = aiohttp.ClientTimeout(
             total=silence + READ_TIME_MARGIN,
@@ -249,10 +249,10 @@
     async def write(
         self, method: str, path: str, content: bytes, headers: dict[str, str]
     ) -> Reply:
-        """Return the reply to a write: done, or its condition failed.
+        """Return the reply to a write that was applied or whose condition failed.
 
         Raises PlatformUnavailableError if it was certainly not applied, and
-        OutcomeUnknownError if it may have been.
+        OutcomeUnknownError if it may have been applied.
         """
         limits = aiohttp.ClientTimeout(
             total=self.timeouts.total, connect=self.timeouts.connect
@@ -280,7 +280,7 @@
         headers: dict[str, str] | None = None,
         arriving: Callable[[], None] | None = None,
     ) -> Reply:
-        """Send one request and return the whole reply; raises aiohttp's errors."""
+        """Send one request and return the complete reply; raises aiohttp's errors."""
         self.calls += 1
         is_usable = False
         try:
@@ -320,13 +320,12 @@
 
 
 def raise_for_status(reply: Reply) -> NoReturn:
-    """Raise the error that the status of a write's reply stands for."""
+    """Raise the error for the status of a write's reply."""
     problem = f"a write was answered by status {reply.status}"
     if reply.status in REFUSED_STATUSES:
         raise unavailable(problem)
     if reply.status >= HTTP_SERVER_ERROR:
-        # A server that failed half way, or something between, may answer so
-        # after the write was applied.
+        # The store or a proxy may respond like this after the write was applied.
         raise unknown(problem)
     raise errors.PlatformError(
         f"the platform refused a call: status {reply.status}",
@@ -351,5 +350,5 @@
 
 
 def error_text(error: BaseException) -> str:
-    """Return an error's text, or its type where it has none (a timeout)."""
+    """Return an error's text, or its type if it has none, as for a timeout."""
     return str(error) or type(error).__name__
--- a/src/tealcove/platform/tests/__init__.py
+++ b/src/tealcove/platform/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the platform slice."""
+"""Tests of the platform adapter."""
--- a/src/tealcove/platform/tests/builders.py
+++ b/src/tealcove/platform/tests/builders.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-# What every backend server writes of itself.
+# The fields that every backend server writes.
 WRITTEN = {
     "service": "pool",
     "addr": "10.0.0.1:80",
--- a/src/tealcove/platform/tests/test_boundary.py
+++ b/src/tealcove/platform/tests/test_boundary.py
@@ -1,4 +1,4 @@
-"""The platform's names stay inside the adapter."""
+"""Tests that the platform's names are used only inside the adapter."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import tealcove
 
 ROOT = pathlib.Path(tealcove.__file__).parent
-# Stand-ins speak for the platform, so they know its words as well.
+# Stand-ins imitate the platform, so they use its names as well.
 INSIDE = ("platform", "standins")
 NAMES = re.compile(
     r"rows-(tx|get|feed)|blob-(put|get|drop)|/resolve|/readyz|row_version|since_rev"
@@ -18,12 +18,12 @@
     r"|\btenants?\b",
     re.IGNORECASE,
 )
-# The product's own interface has had this path from the start.
+# Paths of the product's own interface that equal one of the platform's.
 OWN = {"probes.py": "/readyz", "listener.py": "/readyz", "parts.py": "/readyz"}
 MOST_LINES = 1500
 
 
-def test_no_other_module_knows_the_platforms_names():
+def test_no_other_module_uses_platform_names():
     found = []
     for path in ROOT.rglob("*.py"):
         parts = path.relative_to(ROOT).parts
--- a/src/tealcove/platform/tests/test_callers.py
+++ b/src/tealcove/platform/tests/test_callers.py
@@ -1,4 +1,4 @@
-"""What the ingress makes of headers that callers write."""
+"""Tests of decoding callers' headers."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 def read(headers: dict[str, str], target: str = "/a/1") -> call.Call:
-    """Return a request with some headers as the ingress reads it."""
+    """Decode a request with the given headers."""
     sent = {"Host": "a.example", names.REQUEST_ID: "r-1", **headers}
     return CODEC.read(make_mocked_request("POST", target, headers=sent), b"x")
 
@@ -36,14 +36,13 @@
 @hypothesis.given(
     st.dictionaries(st.sampled_from(READ_FROM), NUMBERS), st.integers(0, 3)
 )
-def test_any_header_is_read_or_refused(
+def test_any_header_is_decoded_or_rejected(
     headers: dict[str, str], separators: int
 ) -> None:
-    """A caller gets 500, and the log a traceback.
+    """Guards against status 500 and a traceback for an invalid number in a header.
 
-    Symptom: a request fails inside. Sequence: a header has a number that looks like
-    one and isn't, such as a superscript or 5,000 digits. Cause: it passed the check
-    for digits, and the conversion failed.
+    Some texts pass a check for digits, but their conversion fails, such as a
+    superscript or 5,000 digits.
     """
     if names.TOKEN_COUNT in headers:
         headers[names.TOKEN_COUNT] += "," * separators + "5"
@@ -62,18 +61,18 @@
 @pytest.mark.parametrize(
     "tokens", ["²,5", "5,²", "9" * 5000 + ",5", "5", "5,5,5", "-5,5"]
 )
-def test_token_counts_that_are_no_numbers_are_refused(tokens: str) -> None:
+def test_invalid_token_counts_are_rejected(tokens: str) -> None:
     with pytest.raises(call.UnreadableError, match="two whole numbers"):
         read({names.TOKEN_COUNT: tokens})
 
 
-def test_a_hint_that_cannot_be_read_counts_for_nothing() -> None:
+def test_invalid_length_hint_is_ignored() -> None:
     found = read({names.TOKEN_COUNT: "10, 20", names.LENGTH_HINT: "²"})
     assert found.work == call.Work(10, 20, 0)
 
 
 @hypothesis.given(st.text(alphabet="/?#%. \u00e9abc", max_size=20))
-def test_any_target_is_read_or_refused(target: str) -> None:
+def test_any_target_is_decoded_or_rejected(target: str) -> None:
     try:
         found = read({}, target or "/")
     except call.UnreadableError:
--- a/src/tealcove/platform/tests/test_rows.py
+++ b/src/tealcove/platform/tests/test_rows.py
@@ -1,4 +1,4 @@
-"""Rows of the store as entries of a followed table."""
+"""Tests of converting rows of the store to entries of a feed."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 TABLE = "servers"
 
 
-def test_a_row_is_its_decoded_value():
+def test_entry_has_decoded_value():
     row = store.WireRow(TABLE, "a", value="YWJj", row_version=3)
     assert row.entry() == feed.Entry("a", b"abc", 3)
     dropped = store.WireRow(TABLE, "a", row_version=4, tombstone=True)
@@ -23,11 +23,11 @@
 
 
 @given(st.text().filter(lambda text: not is_base64(text)))
-def test_a_value_that_is_no_base64_is_one_unreadable_row(text: str) -> None:
-    """No server is known any more, and no configuration.
+def test_invalid_base64_makes_only_its_row_unreadable(text: str) -> None:
+    """Guards against losing all servers and the configuration through one bad row.
 
-    Symptom: the store counts as unusable for as long as one row stands there.
-    Sequence: a row's value is no base64. Cause: the whole page is given up for it.
+    If a row's value isn't base64 and the whole page is rejected for it, the store
+    counts as unavailable for as long as the row exists.
     """
     entry = store.WireRow(TABLE, "a", value=text, row_version=3).entry()
     assert entry.version == 3
@@ -46,7 +46,7 @@
 @pytest.mark.parametrize(
     "address", ["", "10.0.0.1", "10.0.0.1:0", "10.0.0.1:65536", "name:80", "10.0.0:80"]
 )
-def test_only_ip_and_port_are_an_address(address: str):
+def test_only_ip_and_port_is_a_valid_address(address: str):
     written = {**builders.WRITTEN, "addr": address}
     with pytest.raises(errors.PlatformError):
         documents.decode_server("a", msgspec.json.encode(written))
--- a/src/tealcove/platform/tests/test_slow_links.py
+++ b/src/tealcove/platform/tests/test_slow_links.py
@@ -1,4 +1,4 @@
-"""Documents of the store that take long on a slow link."""
+"""Tests of reading the store's documents over a slow link."""
 
 from __future__ import annotations
 
@@ -14,20 +14,20 @@
 
 TABLE = "declared"
 VALUE = "eA=="
-# Seconds that the client waits for the next bytes; the whole answer takes longer.
+# Seconds that the client waits for the next bytes; the whole reply takes longer.
 SILENCE = 0.5
 PIECES = 10
 PAUSE = 0.1
 
 
 def page() -> bytes:
-    """Return the store's answer with one row."""
+    """Return the store's reply with one row."""
     row = store.WireRow(TABLE, "config", value=VALUE, row_version=3)
     return msgspec.json.encode(store.WirePage((row,), 3))
 
 
 async def answer_slowly(request: web.Request) -> web.StreamResponse:
-    """Send an answer in pieces, as a link of a few Mbit/s does."""
+    """Send a reply in pieces, like a link of a few Mbit/s."""
     content = page()
     response = web.StreamResponse()
     await response.prepare(request)
@@ -40,7 +40,7 @@
 
 
 async def answer_nothing(request: web.Request) -> web.StreamResponse:
-    """Begin an answer and send no more of it."""
+    """Send the first bytes of a reply and nothing more."""
     response = web.StreamResponse()
     await response.prepare(request)
     await response.write(page()[:10])
@@ -61,16 +61,16 @@
             await client.close()
 
 
-async def test_a_large_document_comes_to_its_end_on_a_slow_link() -> None:
-    """An instance that starts never gets its configuration.
+async def test_large_document_is_read_over_slow_link() -> None:
+    """Guards against a starting instance that never gets its configuration.
 
-    Symptom: after a restart of everything, instances with slow links answer 503 for
-    good. Sequence: the configuration has grown; its transfer takes longer than a call
-    may. Cause: the call is given up by its length, and begun again from the start.
+    If a call is limited by its total duration, the transfer of a large configuration
+    over a slow link times out and starts again from the beginning. After a restart
+    of all instances, those with slow links then respond 503 forever.
     """
     assert await read(answer_slowly) == 3
 
 
-async def test_an_answer_that_stops_is_given_up() -> None:
+async def test_stalled_reply_times_out() -> None:
     with pytest.raises(errors.PlatformUnavailableError):
         await read(answer_nothing)
--- a/src/tealcove/platform/tests/test_store_machine.py
+++ b/src/tealcove/platform/tests/test_store_machine.py
@@ -1,4 +1,4 @@
-"""The store's client against any order of lost, slow and refused answers."""
+"""Stateful test of the store's client with lost, slow and refused replies."""
 
 from __future__ import annotations
 
@@ -16,17 +16,18 @@
 
 TABLE = "rows"
 KEYS = st.sampled_from(("a", "b", "c"))
-# Seconds that the client waits for an answer, and a store that is slower.
-PATIENCE = 0.15
-TOO_SLOW = 0.3
+# Seconds: the client's timeout, and the delay of a slow store, which is longer.
+TIMEOUT = 0.15
+SLOW_DELAY = 0.3
 
 
 class StoreMachine(stateful.RuleBasedStateMachine):
-    """Writes, reads and follows while the store fails; the store itself is the truth.
+    """Writes, reads and follows changes while the store fails.
 
-    What a caller may rely on: a write that failed for certain changed nothing; one
-    whose end is unknown changed all or nothing; what was read stood there; whoever
-    follows the changes ends up with what the store holds, and never goes back.
+    The stand-in's content is the reference. Guarantees: a write that certainly failed
+    changed nothing; one with unknown outcome changed all or nothing; a read returns
+    what is stored; a follower of the changes converges to the store's content, and its
+    version never goes back.
     """
 
     def __init__(self) -> None:
@@ -35,7 +36,7 @@
         self.standin = platform.PlatformStandin()
         self.runner.run(self.start())
         self.rows = services.StoreTable(self.client)
-        # What the client has read last of each key, and what it has followed.
+        # The last row read per key, and the copy built from the feed.
         self.known: dict[str, table.Row | None] = {}
         self.followed: dict[str, bytes] = {}
         self.version: int | None = None
@@ -45,51 +46,51 @@
         """Start the stand-in and the client."""
         await self.standin.start()
         url = f"http://127.0.0.1:{self.standin.port}"
-        timeouts = store_client.Timeouts(connect=PATIENCE, total=PATIENCE)
+        timeouts = store_client.Timeouts(connect=TIMEOUT, total=TIMEOUT)
         self.client = store_client.StoreClient(url, timeouts)
 
     def teardown(self) -> None:
-        """Stop both."""
+        """Stop the client and the stand-in."""
         self.runner.run(self.client.close())
         self.runner.run(self.standin.stop())
         self.runner.close()
 
-    def truth(self) -> dict[str, bytes]:
-        """Return what the store holds."""
+    def store_content(self) -> dict[str, bytes]:
+        """Return the store's content."""
         found = self.standin.memory.table.of_table(TABLE)
         return {row.key: row.value for row in found}
 
     @stateful.rule(down=st.booleans(), lost=st.integers(0, 2), slow=st.booleans())
     def change_faults(self, down: bool, lost: int, slow: bool) -> None:
-        """Let other things go wrong from now on."""
+        """Inject other faults from now on."""
         faults = self.standin.memory.faults
         faults.down = down
         faults.lose_replies = lost
-        faults.slow = TOO_SLOW if slow else 0.0
+        faults.slow = SLOW_DELAY if slow else 0.0
 
     @stateful.rule()
-    def mend(self) -> None:
-        """Let nothing go wrong."""
+    def remove_faults(self) -> None:
+        """Remove the injected faults."""
         self.change_faults(down=False, lost=0, slow=False)
 
     @stateful.rule()
-    def turn_away(self) -> None:
-        """Turn the client away, or serve it again."""
+    def toggle_refusal(self) -> None:
+        """Refuse the client, or serve it again."""
         faults = self.standin.memory.faults
         faults.refused_callers = () if faults.refused_callers else ("127.0.0.1",)
 
     @stateful.rule(key=KEYS, drops=st.booleans())
     def change_by_others(self, key: str, drops: bool) -> None:
-        """Let the operator write or drop a row."""
+        """Write or delete a row as the operator."""
         self.written += 1
         value = None if drops else b"other %d" % self.written
-        if drops and key not in self.truth():
+        if drops and key not in self.store_content():
             return
         self.runner.run(self.standin.put_row(TABLE, key, value))
 
     @stateful.rule()
     def forget_history(self) -> None:
-        """Let the store forget its changes."""
+        """Discard the store's change history."""
         self.runner.run(self.standin.memory.table.forget_history())
 
     @stateful.rule(key=KEYS)
@@ -100,14 +101,14 @@
         except errors.PlatformUnavailableError:
             return
         self.known[key] = found
-        assert (None if found is None else found.value) == self.truth().get(key)
+        assert (None if found is None else found.value) == self.store_content().get(key)
 
     @stateful.rule(key=KEYS)
     def replace(self, key: str) -> None:
-        """Write a row on condition that it's as it was read."""
+        """Write a row on condition that it hasn't changed since it was read."""
         self.written += 1
         value = b"own %d" % self.written
-        before = self.truth()
+        before = self.store_content()
         known = self.known.get(key)
         work = table.replace(self.rows, known, TABLE, key, value)
         try:
@@ -115,21 +116,21 @@
         except table.ConditionFailedError as error:
             (conflict,) = error.conflicts
             self.known[key] = conflict.row
-            standing = None if conflict.row is None else conflict.row.value
-            assert standing == before.get(key)
-            assert self.truth() == before
+            current = None if conflict.row is None else conflict.row.value
+            assert current == before.get(key)
+            assert self.store_content() == before
         except errors.OutcomeUnknownError:
-            # A store that is slow may still apply it.
+            # A slow store may still apply it.
             self.runner.run(asyncio.sleep(self.standin.memory.faults.slow))
-            assert self.truth() in (before, {**before, key: value})
+            assert self.store_content() in (before, {**before, key: value})
         except errors.PlatformUnavailableError:
-            assert self.truth() == before
+            assert self.store_content() == before
         else:
-            assert self.truth() == {**before, key: value}
+            assert self.store_content() == {**before, key: value}
 
     @stateful.rule()
     def follow(self) -> None:
-        """Take in what has changed."""
+        """Apply the changes from the feed."""
         try:
             page = self.runner.run(self.next_page())
         except feed.HistoryLostError:
@@ -146,7 +147,7 @@
                 self.followed.pop(entry.key, None)
             else:
                 self.followed[entry.key] = entry.value
-        assert self.followed == self.truth()
+        assert self.followed == self.store_content()
 
     async def next_page(self) -> feed.Page:
         """Return the whole table at first, then its changes."""
