--- a/src/tealcove/ingress/exchange.py
+++ b/src/tealcove/ingress/exchange.py
@@ -271,7 +271,7 @@
         return self.finish_response(BufferedResponse(head, body), server)
 
     def silence_timeout(self, grant: messages.Grant, now: ids.Instant) -> float | None:
-        """Return the seconds of silence before a retry; None if no retry is left."""
+        """Return the seconds of silence before a retry; None for no limit."""
         if not grant.first_seconds or not self.may_retry(now, self.runs + 1):
             return None
         if not self.services.budget.can_retry(self.accepted.service, now):
