--- a/bench/slopes/claims.py
+++ b/bench/slopes/claims.py
@@ -21,7 +21,7 @@
 from tealcove.claims import claim, messages, writer
 from tealcove.membership import members
 from tealcove.peers import endpoint, mesh
-from tealcove.platform import services
+from tealcove.platform import storeadapter
 
 INTERVAL = 0.02
 ANSWER_TIMEOUT = 10.0
@@ -36,7 +36,7 @@
             own.instance, own.incarnation, endpoint.Endpoint("127.0.0.1", 0)
         )
         self.members = members.Members(own, 1.0, 10.0)
-        rows = services.StoreTable(fleet.client)
+        rows = storeadapter.StoreTable(fleet.client)
         self.writer = writer.Writer(self.mesh, self.members, rows, INTERVAL)
         # Claims sent and not answered yet.
         self.open = 0
@@ -136,7 +136,7 @@
     }
 
 
-async def counts(rows: services.StoreTable) -> dict[str, int]:
+async def counts(rows: storeadapter.StoreTable) -> dict[str, int]:
     """Return what the platform's stand-in has counted."""
     reply = await rows.platform.read("/standin/counts", {})
     return msgspec.json.decode(reply.content)
--- a/src/tealcove/daemon.py
+++ b/src/tealcove/daemon.py
@@ -33,7 +33,7 @@
 from tealcove.orders import drains, steward
 from tealcove.orders import role as orders_role
 from tealcove.peers import endpoint, mesh, security
-from tealcove.platform import services, store
+from tealcove.platform import store, storeadapter
 from tealcove.quarantine import role as quarantine_role
 from tealcove.resources import copy, kinds
 from tealcove.resources import role as configuration
@@ -68,8 +68,8 @@
             store.Timeouts(total=found.platform.timeout_seconds),
             tls.for_platform(found),
         )
-        self.rows = services.StoreTable(self.platform)
-        self.objects = services.StoreObjects(self.platform)
+        self.rows = storeadapter.StoreTable(self.platform)
+        self.objects = storeadapter.StoreObjects(self.platform)
         self.start_mesh()
         await self.engines.start()
         await self.services.start()
--- a/src/tealcove/front/instance.py
+++ b/src/tealcove/front/instance.py
@@ -24,13 +24,13 @@
 from tealcove.membership import members, messages
 from tealcove.peers import endpoint
 from tealcove.platform import (
+    backendlink,
     callers,
     directory,
     documents,
-    engines,
     names,
     rollouts,
-    services,
+    storeadapter,
 )
 from tealcove.quarantine import role as quarantine_role
 from tealcove.rollout import controller
@@ -142,7 +142,7 @@
         self.limits.start()
         self.spread = spread.Spread(self.pools, lambda other: 0.0, CELL_SERVERS)
         self.rollouts = controller.Controller(
-            rollouts.StoreOrders(services.StoreTable(self.store)),
+            rollouts.StoreOrders(storeadapter.StoreTable(self.store)),
             lambda: self.dispatcher.views_by_pool(),
         )
         self.dispatcher = role.Dispatcher(
@@ -174,7 +174,7 @@
     async def start_ingress(self) -> None:
         """Listen for callers."""
         found = self.settings
-        self.link = engines.HttpBackendLink()
+        self.link = backendlink.HttpBackendLink()
         await self.link.start()
         self.ingress = http.Ingress(
             exchange.Services(
--- a/src/tealcove/front/parts.py
+++ b/src/tealcove/front/parts.py
@@ -12,7 +12,7 @@
 from tealcove.ingress import budget
 from tealcove.membership import heartbeats, members, messages
 from tealcove.peers import endpoint, mesh
-from tealcove.platform import names, services, store
+from tealcove.platform import names, store, storeadapter
 from tealcove.storage import instances, rowlist
 
 # Seconds between two looks at the list of instances: heartbeats tell of new ones,
@@ -104,7 +104,7 @@
     return heartbeats.HeartbeatService(
         transport,
         known,
-        rowlist.RowInstanceList(services.StoreTable(rows), listed),
+        rowlist.RowInstanceList(storeadapter.StoreTable(rows), listed),
         tuple(endpoint.parse(seed) for seed in found.seeds),
         found.heartbeat.interval,
         LIST_INTERVALS,
--- a/src/tealcove/ingress/exchange.py
+++ b/src/tealcove/ingress/exchange.py
@@ -16,11 +16,11 @@
 from tealcove.dispatch import messages, pending, requester
 from tealcove.entry import problem
 from tealcove.ingress import (
-    answers,
     budget,
     events,
     failures,
     link,
+    responses,
     stream,
     tickets,
 )
@@ -125,7 +125,7 @@
                 raise
             # The caller disconnected during a write of the response.
             self.outcome = problem.CALLER_GONE
-            answers.abort_connection(self.http)
+            responses.abort_connection(self.http)
             return self.stream.response
 
     async def serve(self) -> web.StreamResponse:
@@ -151,10 +151,10 @@
             clock.now() - self.accepted.arrived,
         )
         if self.stream.response is not None:
-            answers.abort_connection(self.http)
+            responses.abort_connection(self.http)
             return self.stream.response
         if self.failure is not None:
-            return answers.buffered_response(self.failure.head, self.failure.body)
+            return responses.buffered_response(self.failure.head, self.failure.body)
         raise error
 
     async def acquire_slot(self) -> tuple[pending.PendingTicket, messages.Grant]:
@@ -285,7 +285,7 @@
         if found.head.status >= HTTP_SERVER_ERROR:
             self.failure = found
             raise failures.failed(server, found.head.status)
-        return answers.buffered_response(found.head, found.body)
+        return responses.buffered_response(found.head, found.body)
 
     async def relay_stream(
         self,
--- a/src/tealcove/ingress/http.py
+++ b/src/tealcove/ingress/http.py
@@ -13,10 +13,10 @@
 from tealcove.entry import problem
 from tealcove.ingress import (
     acceptance,
-    answers,
     call,
     exchange,
     observer,
+    responses,
     tickets,
 )
 from tealcove.limits import admission, central
@@ -40,7 +40,7 @@
         spreading: spread.Spread,
         limits: central.CentralLimits,
         quarantine: quarantine_role.Quarantine,
-        codec: answers.Codec,
+        codec: responses.Codec,
         source: measuring.Source | None = None,
     ) -> None:
         self.services = services
--- a/src/tealcove/ingress/stream.py
+++ b/src/tealcove/ingress/stream.py
@@ -5,7 +5,7 @@
 from aiohttp import web
 
 from tealcove import clock, ids
-from tealcove.ingress import answers, events, failures, link
+from tealcove.ingress import events, failures, link, responses
 
 
 class CallerStream:
@@ -40,7 +40,7 @@
         """Start the response if necessary, and write a part of it."""
         if self.response is None:
             self.first_event_at = clock.now()
-            self.response = answers.stream_response(head)
+            self.response = responses.stream_response(head)
             await self.response.prepare(self.http)
         if content:
             await self.response.write(content)
--- a/src/tealcove/platform/callers.py
+++ b/src/tealcove/platform/callers.py
@@ -10,7 +10,7 @@
 
 from tealcove import count, ids
 from tealcove.entry import fields, problem
-from tealcove.ingress import answers, call
+from tealcove.ingress import call, responses
 from tealcove.platform import names
 
 MILLISECONDS = 1000.0
@@ -29,7 +29,7 @@
 ACCOUNT_LIMIT_REASON = "account_limit"
 
 
-class CallerCodec(answers.Codec):
+class CallerCodec(responses.Codec):
     """Codec for requests in the format of the platform's clients."""
 
     def read(self, request: web.BaseRequest, body: bytes) -> call.Call:
--- a/src/tealcove/platform/rollouts.py
+++ b/src/tealcove/platform/rollouts.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from tealcove import errors, ids
-from tealcove.platform import documents, names, services
+from tealcove.platform import documents, names, storeadapter
 from tealcove.rollout import order
 from tealcove.storage import table
 
@@ -33,7 +33,7 @@
 class StoreOrders(order.OrderStore):
     """Stores roll-out orders and their status per service."""
 
-    def __init__(self, rows: services.StoreTable) -> None:
+    def __init__(self, rows: storeadapter.StoreTable) -> None:
         self.rows = rows
 
     async def read(self, service: ids.PoolId) -> order.Snapshot:
--- a/src/tealcove/platform/tests/test_store_machine.py
+++ b/src/tealcove/platform/tests/test_store_machine.py
@@ -9,8 +9,8 @@
 from hypothesis import strategies as st
 
 from tealcove import errors
-from tealcove.platform import services
 from tealcove.platform import store as store_client
+from tealcove.platform import storeadapter
 from tealcove.standins import platform
 from tealcove.storage import feed, table
 
@@ -35,7 +35,7 @@
         self.runner = asyncio.Runner()
         self.standin = platform.PlatformStandin()
         self.runner.run(self.start())
-        self.rows = services.StoreTable(self.client)
+        self.rows = storeadapter.StoreTable(self.client)
         # The last row read per key, and the copy built from the feed.
         self.known: dict[str, table.Row | None] = {}
         self.followed: dict[str, bytes] = {}
--- a/src/tealcove/standins/tests/test_platform.py
+++ b/src/tealcove/standins/tests/test_platform.py
@@ -9,8 +9,8 @@
 import pytest
 
 from tealcove import errors
-from tealcove.platform import services
 from tealcove.platform import store as store_client
+from tealcove.platform import storeadapter
 from tealcove.standins import platform
 from tealcove.storage import faults, rowlist
 from tealcove.storage.tests import builders
@@ -18,7 +18,7 @@
 
 async def test_faults_are_switched_at_run_time_and_calls_counted():
     async with builders.serving() as (standin, connected), aiohttp.ClientSession() as s:
-        rows = services.StoreTable(connected)
+        rows = storeadapter.StoreTable(connected)
         body = msgspec.json.encode(faults.Faults(down=True))
         async with s.put(f"{standin.url}/standin/faults", data=body) as answer:
             assert answer.status == 204
@@ -36,7 +36,7 @@
 
 async def test_instances_are_registered_and_removed():
     async with builders.serving() as (standin, connected), aiohttp.ClientSession() as s:
-        listing = rowlist.RowInstanceList(services.StoreTable(connected))
+        listing = rowlist.RowInstanceList(storeadapter.StoreTable(connected))
         body = msgspec.json.encode(builders.entry("one"))
         url = f"{standin.url}/standin/instances/"
         async with s.put(url + "other", data=body) as answer:
@@ -51,7 +51,7 @@
 
 async def test_contents_and_port_stay_over_a_restart():
     async with builders.serving() as (standin, connected):
-        rows = services.StoreTable(connected)
+        rows = storeadapter.StoreTable(connected)
         done = await rows.commit(builders.put("a"))
         await standin.stop()
         await standin.start()
@@ -70,9 +70,9 @@
         )
         try:
             with pytest.raises(errors.PlatformUnavailableError):
-                await services.StoreTable(elsewhere).read("t", "a")
+                await storeadapter.StoreTable(elsewhere).read("t", "a")
             with pytest.raises(errors.PlatformError):
-                await services.StoreObjects(elsewhere).put("o", b"")
+                await storeadapter.StoreObjects(elsewhere).put("o", b"")
         finally:
             await elsewhere.close()
 
--- a/src/tealcove/storage/tests/test_services.py
+++ b/src/tealcove/storage/tests/test_services.py
@@ -7,15 +7,15 @@
 import pytest
 
 from tealcove import errors
-from tealcove.platform import services
 from tealcove.platform import store as store_client
+from tealcove.platform import storeadapter
 from tealcove.storage import faults, rowlist, rowweights, table
 from tealcove.storage.tests import builders
 
 
 async def test_rows_commit_read_scan_delete():
     async with builders.serving() as (_, platform):
-        rows = services.StoreTable(platform)
+        rows = storeadapter.StoreTable(platform)
         for key in ("c", "a/ü ?&", "b"):
             await rows.commit(builders.put(key, key.encode()))
         stored = await rows.read("t", "a/ü ?&")
@@ -30,7 +30,7 @@
 
 async def test_conflict_names_every_failed_condition():
     async with builders.serving() as (_, platform):
-        rows = services.StoreTable(platform)
+        rows = storeadapter.StoreTable(platform)
         done = await rows.commit(builders.put("a"))
         conditions = (
             table.Absent("t", "a"),
@@ -49,16 +49,18 @@
 
 async def test_objects_instances_and_weights():
     async with builders.serving() as (standin, platform):
-        objects = services.StoreObjects(platform)
+        objects = storeadapter.StoreObjects(platform)
         await objects.put("snapshots/7", b"\x00whole")
         assert await objects.get("snapshots/7") == b"\x00whole"
         await objects.delete("snapshots/7")
         await objects.delete("snapshots/7")
         assert await objects.get("snapshots/7") is None
         standin.memory.instances.register(builders.entry("one"))
-        listed = await rowlist.RowInstanceList(services.StoreTable(platform)).listed()
+        listed = await rowlist.RowInstanceList(
+            storeadapter.StoreTable(platform)
+        ).listed()
         assert listed == (builders.entry("one"),)
-        weights = rowweights.RowWeightStore(services.StoreTable(platform))
+        weights = rowweights.RowWeightStore(storeadapter.StoreTable(platform))
         assert await weights.reserve(100_000_000_000) == 0.0
         assert await weights.reserve(1) > 0.0
 
@@ -78,14 +80,14 @@
     Cause: a refusal taken for a lost reply, or the other way round.
     """
     async with builders.serving() as (standin, platform):
-        rows = services.StoreTable(platform)
+        rows = storeadapter.StoreTable(platform)
         standin.memory.faults = fault
         with pytest.raises(errors.PlatformUnavailableError):
             await rows.commit(builders.put("a"))
         with pytest.raises(errors.PlatformUnavailableError):
             await rows.read("t", "a")
         with pytest.raises(errors.PlatformUnavailableError):
-            await rowlist.RowInstanceList(services.StoreTable(platform)).listed()
+            await rowlist.RowInstanceList(storeadapter.StoreTable(platform)).listed()
         standin.memory.faults = faults.Faults()
         assert await rows.read("t", "a") is None
 
@@ -97,7 +99,7 @@
     Cause: a refusal before anything was sent, taken for an unknown outcome.
     """
     async with builders.serving() as (standin, platform):
-        rows = services.StoreTable(platform)
+        rows = storeadapter.StoreTable(platform)
         await standin.stop()
         with pytest.raises(errors.PlatformUnavailableError):
             await rows.commit(builders.put("a"))
@@ -112,8 +114,8 @@
     Cause: aiohttp sends a PUT or DELETE again when a reused connection breaks.
     """
     async with builders.serving() as (standin, platform):
-        rows = services.StoreTable(platform)
-        objects = services.StoreObjects(platform)
+        rows = storeadapter.StoreTable(platform)
+        objects = storeadapter.StoreObjects(platform)
         await rows.commit(builders.put("a", b"old"))
         standin.memory.faults.lose_replies = 3
         with pytest.raises(errors.OutcomeUnknownError):
@@ -136,7 +138,7 @@
     """
     short = store_client.Timeouts(connect=10.0, total=1.0)
     async with builders.serving(short) as (standin, platform):
-        rows = services.StoreTable(platform)
+        rows = storeadapter.StoreTable(platform)
         released = asyncio.Event()
         standin.memory.gate.delay = released.wait
         with pytest.raises(errors.OutcomeUnknownError):
--- a/tests/deployment.py
+++ b/tests/deployment.py
@@ -17,8 +17,8 @@
 
 from tealcove import bearer
 from tealcove.membership import ranking
-from tealcove.platform import services
 from tealcove.platform import store as store_client
+from tealcove.platform import storeadapter
 from tealcove.resources import copy, decision, edits, kinds, store
 from tealcove.storage import instances
 from tests import callers
@@ -163,8 +163,8 @@
             raise
         self.client = store_client.StoreClient(self.platform.url)
         self.store = store.ResourceStore(
-            services.StoreTable(self.client),
-            services.StoreObjects(self.client),
+            storeadapter.StoreTable(self.client),
+            storeadapter.StoreObjects(self.client),
             self.resources,
         )
         return self
--- a/tests/embedded.py
+++ b/tests/embedded.py
@@ -12,8 +12,8 @@
 
 from tealcove import bearer, daemon, settings
 from tealcove.membership import ranking
-from tealcove.platform import services
 from tealcove.platform import store as store_client
+from tealcove.platform import storeadapter
 from tealcove.resources import copy, decision, edits, kinds, store
 from tealcove.standins import engine, platform, service
 from tests import callers, deployment
@@ -119,8 +119,8 @@
         own = store_client.StoreClient(self.platform.url)
         try:
             resources = store.ResourceStore(
-                services.StoreTable(own),
-                services.StoreObjects(own),
+                storeadapter.StoreTable(own),
+                storeadapter.StoreObjects(own),
                 copy.ConfigurationCopy(),
             )
             for kind, name, spec in specs:
--- a/tests/test_at_most_once.py
+++ b/tests/test_at_most_once.py
@@ -9,7 +9,7 @@
 import msgspec
 from syrupy import assertion
 
-from tealcove.platform import services
+from tealcove.platform import storeadapter
 from tealcove.resources import kinds
 from tests import callers, deployment
 
@@ -107,7 +107,7 @@
         await deployment.until(has_arrived)
 
     async def wait_for_row(self, key: str) -> None:
-        rows = services.StoreTable(self.running.client)
+        rows = storeadapter.StoreTable(self.running.client)
 
         async def stands() -> bool:
             return await rows.read("claims", f"account-high/{key}") is not None
--- a/tests/test_platformed.py
+++ b/tests/test_platformed.py
@@ -9,7 +9,7 @@
 
 from tealcove.ingress import exchange
 from tealcove.membership import messages
-from tealcove.platform import engines, names
+from tealcove.platform import backendlink, names
 from tealcove.standins import poolserver
 from tests import platformed
 
@@ -114,7 +114,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ):
     # However slow this process is, both servers are reached and may take their time.
-    monkeypatch.setattr(engines, "CONNECT_TIMEOUT", platformed.PATIENCE)
+    monkeypatch.setattr(backendlink, "CONNECT_TIMEOUT", platformed.PATIENCE)
     monkeypatch.setattr(exchange, "MIN_SILENCE", platformed.PATIENCE)
     async with platformed.site() as running:
         fail_next(running, Fault.FAILED)
--- a/tests/test_steward.py
+++ b/tests/test_steward.py
@@ -11,7 +11,7 @@
 import syrupy
 
 from tealcove.orders import intents
-from tealcove.platform import services
+from tealcove.platform import storeadapter
 from tealcove.resources import kinds
 from tests import callers, deployment
 
@@ -131,7 +131,7 @@
     """
 
     async def is_settled() -> bool:
-        row = await services.StoreTable(running.client).read(intents.TABLE, pool)
+        row = await storeadapter.StoreTable(running.client).read(intents.TABLE, pool)
         return row is not None and not intents.decode(row).open
 
     await deployment.until(is_settled)
