--- a/src/tealcove/ingress/acceptance.py
+++ b/src/tealcove/ingress/acceptance.py
@@ -16,7 +16,7 @@
 # Seconds before a request's deadline at which it gets its final response, so that the
 # response arrives in time: the network path to the caller takes 3 ms, and an event
 # loop under load lags by some tens of milliseconds.
-ANSWER_MARGIN = 0.06
+RESPONSE_MARGIN = 0.06
 # Seconds after which a caller may retry an instance that isn't ready.
 NOT_READY_RETRY = 0.5
 HTTP_UNAUTHORIZED = 401
@@ -48,9 +48,9 @@
         account = None
     service = choose_service(route, received.request_id)
     declared_service = current.services.get(service)
-    seconds = route.timeout - ANSWER_MARGIN
+    seconds = route.timeout - RESPONSE_MARGIN
     if received.caller_timeout is not None:
-        seconds = min(seconds, received.caller_timeout - ANSWER_MARGIN)
+        seconds = min(seconds, received.caller_timeout - RESPONSE_MARGIN)
     return tickets.AcceptedRequest(
         call=received,
         route=route,
--- a/src/tealcove/ingress/exchange.py
+++ b/src/tealcove/ingress/exchange.py
@@ -258,10 +258,10 @@
                 report.grant.first_seconds,
             )
 
-        answer = self.services.link.send(outbound, dispatched)
+        response = self.services.link.send(outbound, dispatched)
         silence = asyncio.timeout(self.silence_timeout(report.grant, now))
         try:
-            async with contextlib.aclosing(answer) as parts, silence:
+            async with contextlib.aclosing(response) as parts, silence:
                 head = await anext(parts)
                 if accepted.route.is_stream and head.is_success:
                     return await self.relay_stream(head, parts, report, silence)
@@ -297,15 +297,15 @@
         """Forward a stream event by event; raises BackendError when it breaks."""
         splitter = events.Splitter()
         async for part in parts:
-            whole = splitter.feed(part)
-            if not whole:
+            completed = splitter.feed(part)
+            if not completed:
                 continue
-            self.stream.check(whole)
+            self.stream.check(completed)
             if not self.events:
                 silence.reschedule(None)
                 report.first_event(clock.now())
-            self.events += len(whole)
-            await self.stream.forward(head, whole)
+            self.events += len(completed)
+            await self.stream.forward(head, completed)
         return await self.stream.end(head, splitter.remainder)
 
     def check_retry(
--- a/src/tealcove/ingress/stream.py
+++ b/src/tealcove/ingress/stream.py
@@ -18,14 +18,14 @@
         self.response: web.StreamResponse | None = None
         self.first_event_at: ids.Instant | None = None
 
-    def check(self, whole: list[events.Event]) -> None:
+    def check(self, completed: list[events.Event]) -> None:
         """Raise BackendError unless these are the next events."""
-        if not all(self.order.accept(event) for event in whole):
+        if not all(self.order.accept(event) for event in completed):
             raise failures.broken("an event arrived out of order")
 
-    async def forward(self, head: link.Head, whole: list[events.Event]) -> None:
+    async def forward(self, head: link.Head, completed: list[events.Event]) -> None:
         """Write events that were checked to the caller."""
-        await self.write(head, b"".join(event.content for event in whole))
+        await self.write(head, b"".join(event.content for event in completed))
 
     async def end(self, head: link.Head, rest: bytes) -> web.StreamResponse:
         """End the response; raises BackendError for an incomplete last event."""
--- a/src/tealcove/platform/documents.py
+++ b/src/tealcove/platform/documents.py
@@ -87,7 +87,7 @@
 
 
 class WireConfiguration(msgspec.Struct):
-    """A whole configuration as the operator writes it."""
+    """The complete configuration as the operator writes it."""
 
     routes: tuple[WireRoute, ...] = ()
     services: tuple[WireService, ...] = ()
--- a/src/tealcove/platform/names.py
+++ b/src/tealcove/platform/names.py
@@ -7,7 +7,7 @@
 DEADLINE_MS = "Tealcove-Deadline-Ms"
 API_KEY = "Api-Key"
 MODEL = "Tealcove-Model"
-# Two numbers: prompt tokens, and the most output tokens.
+# Two numbers: prompt tokens and the maximum of output tokens.
 TOKEN_COUNT = "Tealcove-Token-Count"
 # Despite its name not a hash: the prompt's parts in order, as ID:TOKENS.
 PROMPT_PARTS = "Tealcove-Prefix-Hash"
