--- a/src/tealcove/backends/events.py
+++ b/src/tealcove/backends/events.py
@@ -1,31 +1,31 @@
-"""Server-sent events, cut out of the parts in which a stream arrives."""
+"""Parses server-sent events from the chunks of a stream."""
 
 from __future__ import annotations
 
 from tealcove.backends import engine
 
 DATA_PREFIX = b"data:"
-# Bytes of a line at the most; a stream without line ends would fill the memory.
-LARGEST_LINE = 1 << 20
+# Maximum bytes of a line; a stream without line ends would exhaust the memory.
+MAX_LINE_BYTES = 1 << 20
 
 
 class Events:
-    """The events of one stream, of which each has its data in one line."""
+    """Parses one stream in which each event's data is a single line."""
 
     def __init__(self) -> None:
-        # The start of a line whose end hasn't come yet.
-        self.rest = b""
+        # The start of a line whose end hasn't been received.
+        self.remainder = b""
 
-    def take(self, part: bytes) -> list[bytes]:
-        """Return the data of the events that a part completes.
+    def feed(self, part: bytes) -> list[bytes]:
+        """Append a chunk and return the data of the events that it completes.
 
         Raises BrokenStreamError when a line is too long.
         """
-        lines = (self.rest + part).split(b"\n")
-        self.rest = lines.pop()
-        if len(self.rest) > LARGEST_LINE:
+        lines = (self.remainder + part).split(b"\n")
+        self.remainder = lines.pop()
+        if len(self.remainder) > MAX_LINE_BYTES:
             raise engine.BrokenStreamError(
-                f"An engine sent a line of more than {LARGEST_LINE} bytes",
+                f"An engine sent a line of more than {MAX_LINE_BYTES} bytes",
                 "Compare the engine with docs/BACKENDS.md.",
             )
         prefix = len(DATA_PREFIX)
--- a/src/tealcove/backends/http_service.py
+++ b/src/tealcove/backends/http_service.py
@@ -1,4 +1,4 @@
-"""Plain services over HTTP."""
+"""HTTP client for plain services."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 REQUEST_ID_HEADER = "X-Request-Id"
 CONNECT_TIMEOUT = 2.0
-PART_BYTES = 64 * 1024
+CHUNK_BYTES = 64 * 1024
 WITHOUT_BODY = (204, 304)
 
 
 class HttpServiceClient(service.ServiceClient):
-    """One session to all services; each call has a connection of its own."""
+    """Calls all services in one session, each call on its own connection."""
 
     def __init__(self) -> None:
         self.session: aiohttp.ClientSession | None = None
@@ -27,15 +27,14 @@
     async def start(self) -> None:
         """Open the session."""
         tracing = aiohttp.TraceConfig()
-        tracing.on_connection_create_end.append(attempts.tell_dispatched)
+        tracing.on_connection_create_end.append(attempts.notify_dispatched)
         self.session = aiohttp.ClientSession(
             connector=aiohttp.TCPConnector(force_close=True, limit=0),
-            # A jar would send the cookie that one caller was given with the next
-            # caller's call.
+            # A cookie jar would send one caller's cookies with another's call.
             cookie_jar=aiohttp.DummyCookieJar(),
-            # The body is passed on with the coding that its header names.
+            # The body is forwarded in the encoding that its header names.
             auto_decompress=False,
-            skip_auto_headers=attempts.NO_HEADERS_OF_OUR_OWN,
+            skip_auto_headers=attempts.SKIPPED_AUTO_HEADERS,
             middlewares=(attempts.forbid_second_write,),
             trace_configs=[tracing],
         )
@@ -66,9 +65,9 @@
         )
         try:
             async with request as response:
-                check_end_is_told(server, call.method, response)
+                check_body_is_delimited(server, call.method, response)
                 yield read_head(server, call.request_id, response)
-                async for part in response.content.iter_chunked(PART_BYTES):
+                async for part in response.content.iter_chunked(CHUNK_BYTES):
                     yield part
         except (
             aiohttp.ClientError,
@@ -76,28 +75,28 @@
             OSError,
             attempts.SecondWriteError,
         ) as error:
-            raise attempts.describe(server, attempt, error) from error
+            raise attempts.translate_error(server, attempt, error) from error
 
 
 def request_headers(call: service.Call) -> multidict.CIMultiDict[str]:
-    """Return the caller's headers with the id and the trace of the request."""
+    """Return the caller's headers with the request's id and trace context."""
     headers = multidict.CIMultiDict(call.headers)
     headers[REQUEST_ID_HEADER] = call.request_id
     telemetry.inject(headers)
     return headers
 
 
-def check_end_is_told(
+def check_body_is_delimited(
     server: engine.Server, method: str, response: aiohttp.ClientResponse
 ) -> None:
-    """Refuse a body that ends where the connection does.
+    """Raise BrokenStreamError for a body that is delimited by connection close.
 
-    A server that dies in the middle closes its connection in the same way, and
-    the fragment would pass for the whole; raises BrokenStreamError.
+    A server that crashes during the response closes its connection in the same way,
+    and the truncated body would be taken for complete.
     """
     headers = response.headers
-    is_told = "Content-Length" in headers or "Transfer-Encoding" in headers
-    if is_told or method == "HEAD" or response.status in WITHOUT_BODY:
+    is_delimited = "Content-Length" in headers or "Transfer-Encoding" in headers
+    if is_delimited or method == "HEAD" or response.status in WITHOUT_BODY:
         return
     raise engine.BrokenStreamError(
         f"The response of {server.name} doesn't say where it ends",
@@ -110,9 +109,9 @@
     request_id: ids.RequestId,
     response: aiohttp.ClientResponse,
 ) -> service.Head:
-    """Return the head of a response, unless it names another request.
+    """Return the head of a response, unless it echoes another request's id.
 
-    A service that doesn't echo the id can't be checked; its connection was used
+    If a service doesn't echo the id, the check is skipped; its connection was used
     for this one call only.
     """
     echoed = response.headers.get(REQUEST_ID_HEADER, request_id)
@@ -121,6 +120,6 @@
             f"{server.name} answered {request_id} with another request's answer",
             "Nothing of it was passed on; report it to the service's maker.",
         )
-    # aiohttp's names are of a type of its own, which can't be stored.
+    # aiohttp's header names are of a str subclass that can't be stored.
     headers = tuple((str(name), value) for name, value in response.headers.items())
     return service.Head(response.status, headers)
--- a/src/tealcove/entry/tests/test_crash.py
+++ b/src/tealcove/entry/tests/test_crash.py
@@ -17,8 +17,8 @@
 
 async def test_only_a_closed_port_refuses_connections() -> None:
     async with builders.listening([]) as port:
-        assert not await reach.refuses(local(port))
-    assert await reach.refuses(local(port))
+        assert not await reach.refuses_connections(local(port))
+    assert await reach.refuses_connections(local(port))
 
 
 @pytest.mark.parametrize(
@@ -37,7 +37,7 @@
     async def refuses(server: engine.Server) -> bool:
         return gone
 
-    monkeypatch.setattr(reach, "refuses", refuses)
+    monkeypatch.setattr(reach, "refuses_connections", refuses)
 
     async def handler(request: web.Request) -> web.Response:
         request.transport.abort()
--- a/src/tealcove/front/addresses.py
+++ b/src/tealcove/front/addresses.py
@@ -12,7 +12,7 @@
 MAX_ADDRESSES = 64
 
 
-class MemberAddresses(directory.Places):
+class MemberAddresses(directory.AddressSource):
     """Finds addresses and readiness in the membership."""
 
     def __init__(self, known: members.Members) -> None:
--- a/src/tealcove/ingress/observer.py
+++ b/src/tealcove/ingress/observer.py
@@ -1,4 +1,4 @@
-"""What is counted and measured of callers' requests."""
+"""Metrics of callers' requests."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 from tealcove.entry import problem
 
 
-class Seen(msgspec.Struct):
-    """One request, from its arrival to the end of its answer."""
+class Observation(msgspec.Struct):
+    """What the metrics need of one request."""
 
-    began: ids.Instant
+    arrived: ids.Instant
     route: str = ""
     outcome: str = problem.Outcome.COMPLETED.value
     first_event_at: ids.Instant | None = None
 
 
 class Observer:
-    """The metrics of an ingress: few, since each costs time at every request."""
+    """The metrics of an ingress: few, since each adds cost to every request."""
 
     def __init__(self, source: measuring.Source | None = None) -> None:
         source = source or measuring.NoOpSource()
@@ -35,15 +35,15 @@
             "From a request's arrival to the end of its answer.",
         )
 
-    def begin(self, now: ids.Instant) -> Seen:
-        """Begin to watch a request."""
-        return Seen(now)
+    def begin(self, now: ids.Instant) -> Observation:
+        """Start the observation of a request."""
+        return Observation(now)
 
-    def end(self, seen: Seen, now: ids.Instant) -> None:
-        """Add a request that has ended to the metrics."""
-        labels = {"route": seen.route, "outcome": seen.outcome}
+    def end(self, observation: Observation, now: ids.Instant) -> None:
+        """Record a finished request in the metrics."""
+        labels = {"route": observation.route, "outcome": observation.outcome}
         self.requests.add(1, labels)
-        self.durations.record(now - seen.began, labels)
-        if seen.first_event_at is not None:
-            first = seen.first_event_at - seen.began
-            self.first_events.record(first, {"route": seen.route})
+        self.durations.record(now - observation.arrived, labels)
+        if observation.first_event_at is not None:
+            first = observation.first_event_at - observation.arrived
+            self.first_events.record(first, {"route": observation.route})
--- a/tests/test_platformed.py
+++ b/tests/test_platformed.py
@@ -9,7 +9,7 @@
 
 from tealcove.ingress import exchange
 from tealcove.membership import messages
-from tealcove.platform import engines, names
+from tealcove.platform import backendlink, names
 from tealcove.standins import poolserver
 from tests import platformed
 
@@ -114,8 +114,8 @@
     monkeypatch: pytest.MonkeyPatch,
 ):
     # However slow this process is, both servers are reached and may take their time.
-    monkeypatch.setattr(engines, "CONNECT_TIMEOUT", platformed.PATIENCE)
-    monkeypatch.setattr(exchange, "LEAST_SILENCE", platformed.PATIENCE)
+    monkeypatch.setattr(backendlink, "CONNECT_TIMEOUT", platformed.PATIENCE)
+    monkeypatch.setattr(exchange, "MIN_SILENCE", platformed.PATIENCE)
     async with platformed.site() as running:
         fail_next(running, Fault.FAILED)
         answer = await running.send("/safe/1")
@@ -134,7 +134,7 @@
     still for 0.3 s while it connects is enough. Cause: none; it's allowed, since the
     request may repeat and ran twice at the most.
     """
-    monkeypatch.setattr(exchange, "LEAST_SILENCE", platformed.PATIENCE)
+    monkeypatch.setattr(exchange, "MIN_SILENCE", platformed.PATIENCE)
     async with platformed.site() as running:
         for _ in range(2):
             fail_next(running, Fault.FAILED, 1)
