--- a/bench/engine.py
+++ b/bench/engine.py
@@ -49,7 +49,7 @@
         engine_counts.add(self.counts.prompts, digest(body.prompt))
         if not self.batch.running:
             # An idle engine takes no steps, so the idle time isn't counted yet.
-            self.counted_to = server.present()
+            self.counted_to = server.loop_time()
         return await super().complete(request)
 
 
--- a/src/tealcove/backends/tests/test_http_engine.py
+++ b/src/tealcove/backends/tests/test_http_engine.py
@@ -95,7 +95,7 @@
     client: http_engine.HttpEngineClient, running: engine_standin.EngineStandin
 ) -> None:
     await client.load(server(running.port))
-    await running.die()
+    await running.kill()
     with pytest.raises(errors.BackendError):
         await client.load(server(running.port))
     await running.start()
--- a/src/tealcove/standins/backend.py
+++ b/src/tealcove/standins/backend.py
@@ -81,12 +81,12 @@
     async def start(self) -> None:
         """Listen; `port` tells where."""
         await super().start()
-        now = server.present()
+        now = server.loop_time()
         self.set_state(self.state, now)
 
     def leave(self) -> None:
         """Be leaving from now on."""
-        self.set_state(backend_settings.BackendState.LEAVING, server.present())
+        self.set_state(backend_settings.BackendState.LEAVING, server.loop_time())
 
     def set_state(self, state: backend_settings.BackendState, now: ids.Instant) -> None:
         """Change the state that health tells at once and load later."""
@@ -110,7 +110,7 @@
 
     async def apply_faults(self, faults: Faults) -> None:
         """Replace the set of faults."""
-        now = server.present()
+        now = server.loop_time()
         self.load.show(now)
         self.faults = faults
         self.load.stale = faults.stale_load
@@ -129,7 +129,7 @@
 
     async def show_load(self, request: web.Request) -> web.Response:
         """Answer the load as it was."""
-        now = server.present()
+        now = server.loop_time()
         self.sample_load(now)
         return server.json_response(self.load.show(now))
 
--- a/src/tealcove/standins/engine.py
+++ b/src/tealcove/standins/engine.py
@@ -107,13 +107,13 @@
 
     async def crash(self) -> None:
         """Die as an engine does that a prompt has crashed."""
-        await self.die()
+        await self.kill()
         if self.on_crash is not None:
             self.on_crash(self)
 
     async def apply_faults(self, faults: EngineFaults) -> None:
         """Replace the set of faults."""
-        self.advance(server.present())
+        self.advance(server.loop_time())
         self.batch.speed_factor = faults.speed_factor
         self.events.dropping = faults.drop_cache_events
         await super().apply_faults(faults)
@@ -126,17 +126,17 @@
         """
         while not self.batch.crashed:
             if not self.batch.kept:
-                self.sample_load(server.present())
+                self.sample_load(server.loop_time())
                 self.wake.clear()
                 await self.wake.wait()
             step = self.batch.step_seconds()
             await asyncio.sleep(max(self.settings.tick_seconds, step))
-            self.advance(server.present())
+            self.advance(server.loop_time())
         await self.crash()
 
     def advance(self, now: ids.Instant) -> None:
         """Account for the time up to now."""
-        if not self.thawed.is_set():
+        if not self.unfrozen.is_set():
             self.batch.skip_to(now)
             return
         self.batch.tick(now)
@@ -161,7 +161,7 @@
             raise web.HTTPBadRequest(text=f"Send the header {REQUEST_ID}.")
         body = await server.decode_body(request, CompletionRequest)
         self.check(body)
-        now = server.present()
+        now = server.loop_time()
         engine_counts.add(self.counts.dispatches, request_id)
         self.note_if_leaving(request_id, now)
         run = engine_batch.Run(request_id, body.prompt, body.max_tokens)
@@ -213,7 +213,7 @@
             if request.transport is not None:
                 request.transport.abort()
         finally:
-            run.detach(server.present())
+            run.detach(server.loop_time())
         return response
 
     def take_spoiling(self) -> engine_stream.Spoiling:
@@ -232,8 +232,8 @@
 
     async def cancel(self, request: web.Request) -> web.Response:
         """Cancel a request, also one that isn't known."""
-        self.advance(server.present())
-        self.batch.cancel_id(request.match_info["id"], server.present())
+        self.advance(server.loop_time())
+        self.batch.cancel_id(request.match_info["id"], server.loop_time())
         return web.Response(status=204)
 
     async def show_cache_events(self, request: web.Request) -> web.Response:
@@ -242,7 +242,7 @@
             after = int(request.query.get("after", "0"))
         except ValueError as error:
             raise web.HTTPBadRequest(text="Send a whole number as after.") from error
-        return server.json_response(self.events.report(after, server.present()))
+        return server.json_response(self.events.report(after, server.loop_time()))
 
     async def take_order(self, request: web.Request) -> web.Response:
         """Carry out an order, or refuse an old fencing number."""
@@ -270,7 +270,7 @@
             chain = msgspec.msgpack.decode(content, type=tuple[int, ...])
         except msgspec.DecodeError as error:
             raise web.HTTPBadRequest(text="Send what an engine exported.") from error
-        self.cache.store(chain, server.present())
+        self.cache.store(chain, server.loop_time())
         return web.Response(status=204)
 
 
--- a/src/tealcove/standins/server.py
+++ b/src/tealcove/standins/server.py
@@ -12,7 +12,7 @@
 
 from tealcove import ids, tasks
 
-MOST_BODY_BYTES = 16 * 1024 * 1024
+MAX_BODY_BYTES = 16 * 1024 * 1024
 # A handler that is still there after its connection was broken is given up then.
 SHUTDOWN_SECONDS = 1.0
 CONTROL_PREFIX = "/standin/"
@@ -22,7 +22,7 @@
 Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 
 
-def present() -> ids.Instant:
+def loop_time() -> ids.Instant:
     """Return the present time of the running event loop."""
     return ids.Instant(asyncio.get_running_loop().time())
 
@@ -52,13 +52,13 @@
         self.runner: web.AppRunner | None = None
         self.site: web.TCPSite | None = None
         # Clear while the stand-in behaves as a stopped process.
-        self.thawed = asyncio.Event()
-        self.thawed.set()
-        self.thawing: asyncio.TimerHandle | None = None
+        self.unfrozen = asyncio.Event()
+        self.unfrozen.set()
+        self.unfreeze_timer: asyncio.TimerHandle | None = None
         # Clear while any request isn't answered whole.
         self.idle = asyncio.Event()
         self.idle.set()
-        self.refusing: asyncio.Task[None] | None = None
+        self.reopen_task: asyncio.Task[None] | None = None
 
     @abc.abstractmethod
     def add_routes(self, app: web.Application) -> None:
@@ -67,7 +67,7 @@
     async def start(self) -> None:
         """Listen; `port` tells where. Also starts a stand-in that died again."""
         app = web.Application(
-            middlewares=[self.hold_while_frozen], client_max_size=MOST_BODY_BYTES
+            middlewares=[self.hold_while_frozen], client_max_size=MAX_BODY_BYTES
         )
         self.add_routes(app)
         self.runner = web.AppRunner(
@@ -87,14 +87,14 @@
 
     async def stop(self) -> None:
         """Close the port and all connections; does nothing when stopped."""
-        if self.refusing is not None:
-            self.refusing.cancel()
-            self.refusing = None
+        if self.reopen_task is not None:
+            self.reopen_task.cancel()
+            self.reopen_task = None
         runner, self.runner = self.runner, None
         if runner is not None:
             await runner.cleanup()
 
-    async def die(self) -> None:
+    async def kill(self) -> None:
         """Break all connections at once, as a process that is killed does."""
         self.abort_connections()
         await self.stop()
@@ -113,32 +113,32 @@
     ) -> web.StreamResponse:
         """Answer nothing while frozen, except calls of tests."""
         if not request.path.startswith(CONTROL_PREFIX):
-            await self.thawed.wait()
+            await self.unfrozen.wait()
         return await handler(request)
 
     def freeze(self, seconds: float) -> None:
         """Behave as a stopped process for a time; 0 ends it."""
-        if self.thawing is not None:
-            self.thawing.cancel()
-        self.thawed.clear()
+        if self.unfreeze_timer is not None:
+            self.unfreeze_timer.cancel()
+        self.unfrozen.clear()
         loop = asyncio.get_running_loop()
-        self.thawing = loop.call_later(seconds, self.thawed.set)
+        self.unfreeze_timer = loop.call_later(seconds, self.unfrozen.set)
         if seconds <= 0.0:
-            self.thawed.set()
+            self.unfrozen.set()
 
     async def refuse(self, seconds: float) -> None:
         """Close the port for a time; 0 ends it. Open connections stay open."""
-        if self.refusing is not None:
-            self.refusing.cancel()
-            self.refusing = None
+        if self.reopen_task is not None:
+            self.reopen_task.cancel()
+            self.reopen_task = None
             await self.listen()
         if seconds > 0.0:
             await self.site.stop()
-            again = self.listen_again(seconds)
-            self.refusing = tasks.start(again, f"port of {self.name}")
+            again = self.reopen_port(seconds)
+            self.reopen_task = tasks.start(again, f"port of {self.name}")
 
-    async def listen_again(self, seconds: float) -> None:
+    async def reopen_port(self, seconds: float) -> None:
         """Open the port again after a time."""
         await asyncio.sleep(seconds)
         await self.listen()
-        self.refusing = None
+        self.reopen_task = None
--- a/src/tealcove/standins/service.py
+++ b/src/tealcove/standins/service.py
@@ -129,7 +129,7 @@
         engine_counts.add(self.counts.dispatches, request_id)
         if key is not None:
             engine_counts.add(self.counts.keys, key)
-        self.note_if_leaving(request_id, server.present())
+        self.note_if_leaving(request_id, server.loop_time())
         return Answer(request.method, path, digest, request_id, self.name)
 
     async def run(self, call: Answer) -> None:
@@ -137,14 +137,14 @@
         async with self.slots:
             self.running += 1
             try:
-                self.sample_load(server.present())
+                self.sample_load(server.loop_time())
                 seconds = self.settings.seconds_per_call / self.faults.speed_factor
                 await asyncio.sleep(seconds)
-                await self.thawed.wait()
+                await self.unfrozen.wait()
             finally:
                 self.running -= 1
         engine_counts.add(self.counts.completed, call.request_id)
-        self.sample_load(server.present())
+        self.sample_load(server.loop_time())
 
     def respond(self, request: web.Request, call: Answer) -> web.Response:
         """Return the answer, or what the faults make of it."""
--- a/src/tealcove/standins/tests/test_engine.py
+++ b/src/tealcove/standins/tests/test_engine.py
@@ -213,7 +213,7 @@
             await caller.complete("a")
         assert caller.counts.dispatches == {}
         await caller.standin.apply_faults(engine.EngineFaults(refuse_seconds=0.01))
-        await builders.until(lambda: caller.standin.refusing is None)
+        await builders.until(lambda: caller.standin.reopen_task is None)
         assert (await caller.complete("a")).whole
 
 
