--- a/src/tealcove/standins/backend.py
+++ b/src/tealcove/standins/backend.py
@@ -84,7 +84,7 @@
         now = server.loop_time()
         self.set_state(self.state, now)
 
-    def leave(self) -> None:
+    def start_leaving(self) -> None:
         """Be leaving from now on."""
         self.set_state(backend_settings.BackendState.LEAVING, server.loop_time())
 
@@ -98,7 +98,7 @@
         self.state = state
         self.sample_load(now)
 
-    def note_if_leaving(self, request_id: str, now: ids.Instant) -> None:
+    def count_if_leaving(self, request_id: str, now: ids.Instant) -> None:
         """Count a request that was sent to a leaving server."""
         if self.leaving_since is not None:
             seconds = now - self.leaving_since
@@ -119,7 +119,7 @@
             self.set_state(faults.state, now)
         await self.refuse(faults.refuse_seconds)
 
-    def take_fault(self, field: str) -> bool:
+    def consume_fault(self, field: str) -> bool:
         """Count a fault down; whether there was one left."""
         left = getattr(self.faults, field)
         if left == 0:
@@ -166,13 +166,13 @@
     its sender couldn't tell whether it ran.
     """
     loop = asyncio.get_running_loop()
-    told = asyncio.Event()
+    stop_requested = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, told.set)
+        loop.add_signal_handler(number, stop_requested.set)
     await backend.start()
     announce("listening", backend)
-    await told.wait()
-    backend.leave()
+    await stop_requested.wait()
+    backend.start_leaving()
     await asyncio.sleep(backend.settings.linger_seconds)
     await backend.idle.wait()
     await backend.stop()
--- a/src/tealcove/standins/backend_load.py
+++ b/src/tealcove/standins/backend_load.py
@@ -41,7 +41,7 @@
         self.shown: LoadReport | None = None
         self.samples: collections.deque[Sample] = collections.deque()
 
-    def is_due(self, now: ids.Instant) -> bool:
+    def needs_sample(self, now: ids.Instant) -> bool:
         """Whether it's time for the next sample."""
         if not self.samples:
             return True
@@ -50,16 +50,16 @@
     def sample(self, report: LoadReport, now: ids.Instant) -> None:
         """Keep a sample."""
         self.samples.append(Sample(now, report))
-        self.forget(now)
+        self.discard_old(now)
 
-    def forget(self, now: ids.Instant) -> None:
+    def discard_old(self, now: ids.Instant) -> None:
         """Drop samples older than the newest one that may be shown."""
         while len(self.samples) > 1 and self.samples[1].at <= now - self.lag:
             self.samples.popleft()
 
     def show(self, now: ids.Instant) -> LoadReport:
         """Return the newest sample as old as the lag, or else the oldest one."""
-        self.forget(now)
+        self.discard_old(now)
         if not self.stale or self.shown is None:
             self.shown = self.samples[0].report
         return self.shown
--- a/src/tealcove/standins/engine.py
+++ b/src/tealcove/standins/engine.py
@@ -140,7 +140,7 @@
             self.batch.skip_to(now)
             return
         self.batch.tick(now)
-        if self.load.is_due(now):
+        if self.load.needs_sample(now):
             self.sample_load(now)
 
     def report(self) -> backend_load.LoadReport:
@@ -163,7 +163,7 @@
         self.check(body)
         now = server.loop_time()
         engine_counts.add(self.counts.dispatches, request_id)
-        self.note_if_leaving(request_id, now)
+        self.count_if_leaving(request_id, now)
         run = engine_batch.Run(request_id, body.prompt, body.max_tokens)
         self.batch.submit(run, now)
         self.wake.set()
@@ -219,14 +219,14 @@
     def take_spoiling(self) -> engine_stream.Spoiling:
         """Return the faults of the next answer and count them down."""
         cut = self.faults.cut_after_tokens
-        if cut is not None and not self.take_fault("cut_times"):
+        if cut is not None and not self.consume_fault("cut_times"):
             cut = None
         return engine_stream.Spoiling(
-            wrong_id=self.take_fault("wrong_id"),
-            wrong_event_id=self.take_fault("wrong_event_id"),
-            duplicate=self.take_fault("duplicate_chunk"),
-            reorder=self.take_fault("reorder_chunk"),
-            drop=self.take_fault("drop_chunk"),
+            wrong_id=self.consume_fault("wrong_id"),
+            wrong_event_id=self.consume_fault("wrong_event_id"),
+            duplicate=self.consume_fault("duplicate_chunk"),
+            reorder=self.consume_fault("reorder_chunk"),
+            drop=self.consume_fault("drop_chunk"),
             cut_after=cut,
         )
 
--- a/src/tealcove/standins/service.py
+++ b/src/tealcove/standins/service.py
@@ -129,7 +129,7 @@
         engine_counts.add(self.counts.dispatches, request_id)
         if key is not None:
             engine_counts.add(self.counts.keys, key)
-        self.note_if_leaving(request_id, server.loop_time())
+        self.count_if_leaving(request_id, server.loop_time())
         return Answer(request.method, path, digest, request_id, self.name)
 
     async def run(self, call: Answer) -> None:
@@ -148,14 +148,14 @@
 
     def respond(self, request: web.Request, call: Answer) -> web.Response:
         """Return the answer, or what the faults make of it."""
-        if self.take_fault("lose_answers"):
+        if self.consume_fault("lose_answers"):
             if request.transport is not None:
                 request.transport.abort()
             return web.Response()
-        failed = self.take_fault("fail_calls")
+        failed = self.consume_fault("fail_calls")
         response = server.json_response(call, status=500 if failed else 200)
         shown = call.request_id
-        if self.take_fault("wrong_id"):
+        if self.consume_fault("wrong_id"):
             shown = backend_settings.OTHER_ID
         if shown and self.settings.echoes_request_id:
             response.headers[REQUEST_ID] = shown
