--- a/bench/engine.py
+++ b/bench/engine.py
@@ -33,7 +33,7 @@
     def __init__(self, settings: engine.EngineSettings) -> None:
         super().__init__(settings, engine.exit_process)
         self.counts = Counts()
-        self.lose_memory()
+        self.reset_state()
         self.counted_to = 0.0
 
     def advance(self, now: ids.Instant) -> None:
@@ -46,7 +46,7 @@
     async def complete(self, request: web.Request) -> web.StreamResponse:
         """Count the prompt, then admit the request."""
         body = msgspec.json.decode(await request.read(), type=engine.CompletionRequest)
-        engine_counts.add(self.counts.prompts, digest(body.prompt))
+        engine_counts.increment(self.counts.prompts, digest(body.prompt))
         if not self.batch.running:
             # An idle engine takes no steps, so the idle time isn't counted yet.
             self.counted_to = server.loop_time()
--- a/src/tealcove/standins/answers.py
+++ b/src/tealcove/standins/answers.py
@@ -10,7 +10,7 @@
 HEX_DIGITS = 3
 
 
-def key_of(prompt: str) -> bytes:
+def answer_key(prompt: str) -> bytes:
     """Return the key from which all tokens of a prompt's answer follow."""
     return hashlib.blake2b(prompt.encode(), digest_size=KEY_BYTES).digest()
 
@@ -28,4 +28,4 @@
 
 def expected_answer(prompt: str, max_tokens: int) -> str:
     """Return the whole answer that every engine stand-in gives to a prompt."""
-    return text_between(key_of(prompt), 0, max_tokens)
+    return text_between(answer_key(prompt), 0, max_tokens)
--- a/src/tealcove/standins/engine.py
+++ b/src/tealcove/standins/engine.py
@@ -61,10 +61,10 @@
         super().__init__(settings, engine_counts.EngineCounts())
         self.on_crash = on_crash
         self.wake = asyncio.Event()
-        self.ticking: asyncio.Task[None] | None = None
-        self.lose_memory()
+        self.tick_task: asyncio.Task[None] | None = None
+        self.reset_state()
 
-    def lose_memory(self) -> None:
+    def reset_state(self) -> None:
         """Begin with empty cache, no runs, and the models of the settings."""
         settings = self.settings
         self.events = engine_cache.EventLog(
@@ -84,7 +84,7 @@
                 web.get("/v1/completions/{id}", self.resume),
                 web.delete("/v1/completions/{id}", self.cancel),
                 web.get("/cache-events", self.show_cache_events),
-                web.post("/orders", self.take_order),
+                web.post("/orders", self.handle_order),
                 web.get("/state", self.show_state),
                 web.get("/kv/{id}", self.export_kv),
                 web.put("/kv/{id}", self.import_kv),
@@ -94,16 +94,16 @@
     async def start(self) -> None:
         """Listen and compute; `port` tells where it listens."""
         await super().start()
-        self.ticking = tasks.start(self.tick(), f"steps of {self.name}")
+        self.tick_task = tasks.start(self.tick(), f"steps of {self.name}")
 
     async def stop(self) -> None:
         """Close the port and all connections, and lose all but the counts."""
-        ticking, self.ticking = self.ticking, None
-        if ticking is not None and ticking is not asyncio.current_task():
-            ticking.cancel()
+        tick_task, self.tick_task = self.tick_task, None
+        if tick_task is not None and tick_task is not asyncio.current_task():
+            tick_task.cancel()
         await super().stop()
         self.batch.clear()
-        self.lose_memory()
+        self.reset_state()
 
     async def crash(self) -> None:
         """Die as an engine does that a prompt has crashed."""
@@ -125,7 +125,7 @@
         take most of a core at a few engines.
         """
         while not self.batch.crashed:
-            if not self.batch.kept:
+            if not self.batch.runs_by_id:
                 self.sample_load(server.loop_time())
                 self.wake.clear()
                 await self.wake.wait()
@@ -160,16 +160,16 @@
         if not request_id:
             raise web.HTTPBadRequest(text=f"Send the header {REQUEST_ID}.")
         body = await server.decode_body(request, CompletionRequest)
-        self.check(body)
+        self.validate(body)
         now = server.loop_time()
-        engine_counts.add(self.counts.dispatches, request_id)
+        engine_counts.increment(self.counts.dispatches, request_id)
         self.count_if_leaving(request_id, now)
         run = engine_batch.Run(request_id, body.prompt, body.max_tokens)
         self.batch.submit(run, now)
         self.wake.set()
         return await self.stream(request, run, 0)
 
-    def check(self, body: CompletionRequest) -> None:
+    def validate(self, body: CompletionRequest) -> None:
         """Refuse what can't run here; raises HTTPNotFound, HTTPBadRequest."""
         if body.model not in self.orders.holding.models:
             raise web.HTTPNotFound(text=f"Model {body.model!r} isn't loaded.")
@@ -189,7 +189,7 @@
 
     def newest_run(self, request: web.Request) -> engine_batch.Run:
         """Return the run that a path names; raises HTTPNotFound."""
-        runs = self.batch.kept.get(request.match_info["id"])
+        runs = self.batch.runs_by_id.get(request.match_info["id"])
         if not runs:
             raise web.HTTPNotFound(text="This request isn't known here.")
         return runs[-1]
@@ -198,15 +198,15 @@
         self, request: web.Request, run: engine_batch.Run, offset: int
     ) -> web.StreamResponse:
         """Stream a run to one connection."""
-        spoiling = self.take_spoiling()
-        shown = backend_settings.OTHER_ID if spoiling.wrong_id else run.request_id
+        stream_faults = self.next_stream_faults()
+        shown = backend_settings.OTHER_ID if stream_faults.wrong_id else run.request_id
         response = web.StreamResponse(
             headers={REQUEST_ID: shown, "Content-Type": "text/event-stream"}
         )
         run.attach()
         try:
             await response.prepare(request)
-            await engine_stream.Stream(run, offset, spoiling, response).write()
+            await engine_stream.Stream(run, offset, stream_faults, response).write()
             self.batch.deliver(run)
             await response.write_eof()
         except engine_stream.CutError:
@@ -216,12 +216,12 @@
             run.detach(server.loop_time())
         return response
 
-    def take_spoiling(self) -> engine_stream.Spoiling:
+    def next_stream_faults(self) -> engine_stream.StreamFaults:
         """Return the faults of the next answer and count them down."""
         cut = self.faults.cut_after_tokens
         if cut is not None and not self.consume_fault("cut_times"):
             cut = None
-        return engine_stream.Spoiling(
+        return engine_stream.StreamFaults(
             wrong_id=self.consume_fault("wrong_id"),
             wrong_event_id=self.consume_fault("wrong_event_id"),
             duplicate=self.consume_fault("duplicate_chunk"),
@@ -233,7 +233,7 @@
     async def cancel(self, request: web.Request) -> web.Response:
         """Cancel a request, also one that isn't known."""
         self.advance(server.loop_time())
-        self.batch.cancel_id(request.match_info["id"], server.loop_time())
+        self.batch.cancel_request(request.match_info["id"], server.loop_time())
         return web.Response(status=204)
 
     async def show_cache_events(self, request: web.Request) -> web.Response:
@@ -244,7 +244,7 @@
             raise web.HTTPBadRequest(text="Send a whole number as after.") from error
         return server.json_response(self.events.report(after, server.loop_time()))
 
-    async def take_order(self, request: web.Request) -> web.Response:
+    async def handle_order(self, request: web.Request) -> web.Response:
         """Carry out an order, or refuse an old fencing number."""
         order = await server.decode_body(request, engine_orders.Order)
         # A steward that dies mustn't end its order: one that is still carried out
--- a/src/tealcove/standins/engine_batch.py
+++ b/src/tealcove/standins/engine_batch.py
@@ -16,7 +16,7 @@
 )
 
 # Looking for runs to let go of at each step would cost more than the step.
-EXPIRY_SECONDS = 0.05
+EXPIRY_INTERVAL = 0.05
 
 
 class RunState(enum.Enum):
@@ -35,7 +35,7 @@
         self.request_id = request_id
         self.prompt = prompt
         self.max_tokens = max_tokens
-        self.key = answers.key_of(prompt)
+        self.key = answers.answer_key(prompt)
         self.chain = prefixes.chain(prompt)
         self.prompt_tokens = prefixes.count_tokens(prompt)
         self.cached_tokens = 0
@@ -98,7 +98,7 @@
         self.waiting: collections.deque[Run] = collections.deque()
         self.running: list[Run] = []
         # Runs by request id, kept until their time to resume is over.
-        self.kept: dict[str, list[Run]] = {}
+        self.runs_by_id: dict[str, list[Run]] = {}
         self.next_expiry = ids.Instant(0.0)
         # Set once a run started whose prompt kills the engine.
         self.crashed = False
@@ -106,7 +106,7 @@
     def submit(self, run: Run, now: ids.Instant) -> None:
         """Admit a run; it starts at once when a slot is free."""
         self.idle.clear()
-        self.kept.setdefault(run.request_id, []).append(run)
+        self.runs_by_id.setdefault(run.request_id, []).append(run)
         self.waiting.append(run)
         self.fill_slots(now)
 
@@ -128,8 +128,8 @@
 
     def step_seconds(self) -> float:
         """Return the duration of a decode step at the present batch size."""
-        further = max(0, len(self.running) - 1)
-        slowdown = 1.0 + self.settings.batch_slowdown * further
+        others = max(0, len(self.running) - 1)
+        slowdown = 1.0 + self.settings.batch_slowdown * others
         return self.settings.decode_seconds_per_token * slowdown / self.speed_factor
 
     def tick(self, now: ids.Instant) -> None:
@@ -164,14 +164,14 @@
 
     def prefill(self, run: Run, seconds: float, now: ids.Instant) -> float:
         """Compute prompt tokens; return the seconds left for decoding."""
-        left = run.uncached_tokens - run.prefilled
-        if left <= 0.0 and run.decoded > 0.0:
+        remaining = run.uncached_tokens - run.prefilled
+        if remaining <= 0.0 and run.decoded > 0.0:
             return seconds
         rate = self.settings.prefill_tokens_per_second * self.speed_factor
-        done = min(left, seconds * rate)
+        done = min(remaining, seconds * rate)
         before = int(run.prefilled)
         run.prefilled += done
-        if done == left:
+        if done == remaining:
             run.prefilled = float(run.uncached_tokens)
             self.cache.store(run.chain, now)
         self.counts.prefill_tokens += int(run.prefilled) - before
@@ -181,27 +181,27 @@
         """Let go of runs that nobody has read for the time to resume."""
         if now < self.next_expiry:
             return
-        self.next_expiry = ids.Instant(now + EXPIRY_SECONDS)
+        self.next_expiry = ids.Instant(now + EXPIRY_INTERVAL)
         oldest = now - self.settings.resume_seconds
         for run in self.runs():
             if run.unread_since is not None and run.unread_since <= oldest:
                 self.cancel(run, now)
 
-    def cancel_id(self, request_id: str, now: ids.Instant) -> None:
+    def cancel_request(self, request_id: str, now: ids.Instant) -> None:
         """Cancel all runs of a request; the slot is free at once."""
-        for run in list(self.kept.get(request_id, ())):
+        for run in list(self.runs_by_id.get(request_id, ())):
             self.cancel(run, now)
 
     def cancel(self, run: Run, now: ids.Instant) -> None:
         """Forget a run, and give its slot to the next one at once."""
-        self.forget(run)
+        self.discard(run)
         self.fill_slots(now)
 
-    def forget(self, run: Run) -> None:
+    def discard(self, run: Run) -> None:
         """Drop a run; what it computed in vain counts as wasted."""
-        self.kept[run.request_id].remove(run)
-        if not self.kept[run.request_id]:
-            del self.kept[run.request_id]
+        self.runs_by_id[run.request_id].remove(run)
+        if not self.runs_by_id[run.request_id]:
+            del self.runs_by_id[run.request_id]
         if run.state is RunState.WAITING:
             self.waiting.remove(run)
         if run.state is RunState.RUNNING:
@@ -212,17 +212,17 @@
         self.counts.prefill_wasted += int(run.prefilled)
         self.counts.cancelled += 1
         run.changed.set()
-        self.note_idle()
+        self.update_idle()
 
     def deliver(self, run: Run) -> None:
         """Note that the last event of a run was written."""
         if run.delivered:
             return
         run.delivered = True
-        engine_counts.add(self.counts.completed, run.request_id)
-        self.note_idle()
+        engine_counts.increment(self.counts.completed, run.request_id)
+        self.update_idle()
 
-    def note_idle(self) -> None:
+    def update_idle(self) -> None:
         """Tell those who wait for the last answer."""
         if all(run.delivered for run in self.runs()):
             self.idle.set()
@@ -231,8 +231,8 @@
         """Lose all runs, as a process that dies does."""
         self.crashed = False
         for run in self.runs():
-            self.forget(run)
+            self.discard(run)
 
     def runs(self) -> list[Run]:
-        """Return all runs that are kept."""
-        return [run for runs in self.kept.values() for run in runs]
+        """Return all runs that are runs_by_id."""
+        return [run for runs in self.runs_by_id.values() for run in runs]
--- a/src/tealcove/standins/engine_cache.py
+++ b/src/tealcove/standins/engine_cache.py
@@ -10,7 +10,7 @@
 from tealcove import ids
 
 # Published events that are kept for readers; older ones are a gap to them.
-KEPT_EVENTS = 10_000
+MAX_PUBLISHED_EVENTS = 10_000
 STORED = "stored"
 REMOVED = "removed"
 
@@ -31,9 +31,9 @@
 
 
 class PendingEvent(msgspec.Struct, frozen=True):
-    """An event that is published once `due` has come."""
+    """An event that is published once `publish_at` has come."""
 
-    due: ids.Instant
+    publish_at: ids.Instant
     event: CacheEvent
 
 
@@ -48,7 +48,7 @@
         self.dropping = False
         self.pending: collections.deque[PendingEvent] = collections.deque()
         self.published: collections.deque[CacheEvent]
-        self.published = collections.deque(maxlen=KEPT_EVENTS)
+        self.published = collections.deque(maxlen=MAX_PUBLISHED_EVENTS)
 
     def record(self, kind: str, blocks: tuple[int, ...], now: ids.Instant) -> None:
         """Give an event the next number, which is used up even if it gets lost."""
@@ -64,7 +64,7 @@
         `last` is a number that was published, never one that got lost: a
         reader that asks from there on sees the gap at the next event.
         """
-        while self.pending and self.pending[0].due <= now:
+        while self.pending and self.pending[0].publish_at <= now:
             self.published.append(self.pending.popleft().event)
         events = tuple(event for event in self.published if event.sequence > after)
         last = self.published[-1].sequence if self.published else 0
--- a/src/tealcove/standins/engine_counts.py
+++ b/src/tealcove/standins/engine_counts.py
@@ -35,6 +35,6 @@
     orders: list[OrderSeen] = []
 
 
-def add(counts: dict[str, int], request_id: str) -> None:
+def increment(counts: dict[str, int], request_id: str) -> None:
     """Count one more for an id."""
     counts[request_id] = counts.get(request_id, 0) + 1
--- a/src/tealcove/standins/engine_orders.py
+++ b/src/tealcove/standins/engine_orders.py
@@ -66,15 +66,15 @@
         `running` is how many requests run; it is only counted.
         """
         async with self.lock:
-            old = order.fencing < self.holding.fencing
-            accepted = not (old and self.settings.checks_fencing)
-            self.note(order, accepted, running)
+            is_stale = order.fencing < self.holding.fencing
+            accepted = not (is_stale and self.settings.checks_fencing)
+            self.record(order, accepted, running)
             if accepted:
                 self.holding.fencing = max(self.holding.fencing, order.fencing)
                 await self.apply(order)
             return accepted
 
-    def note(self, order: Order, accepted: bool, running: int) -> None:
+    def record(self, order: Order, accepted: bool, running: int) -> None:
         """Count an order, refused ones included."""
         seen = engine_counts.OrderSeen(
             fencing=order.fencing,
@@ -101,13 +101,13 @@
             case OrderKind.SET_ROLE:
                 self.holding.role = order.role
 
-    async def load(self, held: dict[str, str], order: Order) -> None:
+    async def load(self, versions: dict[str, str], order: Order) -> None:
         """Load a version, which takes its time unless it's there already.
 
         The version before is gone in the meantime: there's no room for both.
         """
-        if held.get(order.name) == order.version:
+        if versions.get(order.name) == order.version:
             return
-        held.pop(order.name, None)
+        versions.pop(order.name, None)
         await asyncio.sleep(self.settings.load_seconds)
-        held[order.name] = order.version
+        versions[order.name] = order.version
--- a/src/tealcove/standins/engine_stream.py
+++ b/src/tealcove/standins/engine_stream.py
@@ -10,7 +10,7 @@
 DONE = b"data: [DONE]\n\n"
 OTHER_PROMPT = "someone else's prompt"
 # The first event of an answer at which the faults of single events strike.
-SPOILT_EVENT = 1
+FAULTY_EVENT = 1
 
 
 class Chunk(msgspec.Struct, frozen=True, omit_defaults=True):
@@ -39,7 +39,7 @@
     usage: Usage
 
 
-class Spoiling(msgspec.Struct, frozen=True):
+class StreamFaults(msgspec.Struct, frozen=True):
     """Which faults strike one answer."""
 
     wrong_id: bool = False
@@ -50,7 +50,7 @@
     cut_after: int | None = None
 
     @property
-    def strikes_event(self) -> bool:
+    def affects_event(self) -> bool:
         """Whether a single event is to be spoilt."""
         return self.duplicate or self.reorder or self.drop
 
@@ -71,20 +71,20 @@
         self,
         run: engine_batch.Run,
         offset: int,
-        spoiling: Spoiling,
+        faults: StreamFaults,
         response: web.StreamResponse,
     ) -> None:
         self.run = run
         self.position = offset
-        self.spoiling = spoiling
+        self.faults = faults
         self.response = response
         self.sent_events = 0
         self.sent_tokens = 0
         # An event that waits for its successor, to be sent after it.
         self.held_back = b""
-        other = spoiling.wrong_id or spoiling.wrong_event_id
+        other = faults.wrong_id or faults.wrong_event_id
         self.id = backend_settings.OTHER_ID if other else run.request_id
-        self.key = answers.key_of(OTHER_PROMPT) if other else run.key
+        self.key = answers.answer_key(OTHER_PROMPT) if other else run.key
 
     async def write(self) -> None:
         """Write all events up to the last one; raises CutError.
@@ -108,10 +108,10 @@
     async def write_tokens(self) -> None:
         """Write the tokens that are there, as one event."""
         stop = self.run.produced
-        if self.sent_events <= SPOILT_EVENT and self.spoiling.strikes_event:
+        if self.sent_events <= FAULTY_EVENT and self.faults.affects_event:
             # A slow machine makes larger events: there has to be a second one.
             stop = min(stop, self.position + 1)
-        cut = self.spoiling.cut_after
+        cut = self.faults.cut_after
         if cut is not None:
             stop = min(stop, self.position + cut - self.sent_tokens)
         if stop > self.position:
@@ -127,21 +127,21 @@
         content = event(Chunk(self.id, start, text, count))
         self.sent_tokens += count
         number, self.sent_events = self.sent_events, self.sent_events + 1
-        if number == SPOILT_EVENT:
-            content = self.spoil(content)
+        if number == FAULTY_EVENT:
+            content = self.apply_fault(content)
         elif self.held_back:
             content, self.held_back = content + self.held_back, b""
         if content:
             await self.response.write(content)
 
-    def spoil(self, content: bytes) -> bytes:
+    def apply_fault(self, content: bytes) -> bytes:
         """Return what is written in place of the spoilt event."""
-        if self.spoiling.drop:
+        if self.faults.drop:
             return b""
-        if self.spoiling.reorder:
+        if self.faults.reorder:
             self.held_back = content
             return b""
-        if self.spoiling.duplicate:
+        if self.faults.duplicate:
             return content * 2
         return content
 
--- a/src/tealcove/standins/service.py
+++ b/src/tealcove/standins/service.py
@@ -125,10 +125,10 @@
         request_id = request.headers.get(REQUEST_ID, "")
         key = request.headers.get(IDEMPOTENCY_KEY)
         path = request.path_qs
-        engine_counts.add(self.counts.calls, f"{request.method} {path} {digest}")
-        engine_counts.add(self.counts.dispatches, request_id)
+        engine_counts.increment(self.counts.calls, f"{request.method} {path} {digest}")
+        engine_counts.increment(self.counts.dispatches, request_id)
         if key is not None:
-            engine_counts.add(self.counts.keys, key)
+            engine_counts.increment(self.counts.keys, key)
         self.count_if_leaving(request_id, server.loop_time())
         return Answer(request.method, path, digest, request_id, self.name)
 
@@ -143,7 +143,7 @@
                 await self.unfrozen.wait()
             finally:
                 self.running -= 1
-        engine_counts.add(self.counts.completed, call.request_id)
+        engine_counts.increment(self.counts.completed, call.request_id)
         self.sample_load(server.loop_time())
 
     def respond(self, request: web.Request, call: Answer) -> web.Response:
