--- a/src/tealcove/standins/platform.py
+++ b/src/tealcove/standins/platform.py
@@ -21,17 +21,17 @@
     table,
 )
 
-GREATEST_BODY = 64 * 2**20
+MAX_BODY_BYTES = 64 * 2**20
 JSON_TYPE = "application/json"
 NO_CONTENT = 204
 BAD_REQUEST = 400
 FORBIDDEN = 403
 MILLISECONDS = 1000.0
 # Bounds of the store's calls.
-MOST_ENTRIES = 100
-LONGEST_WAIT_MS = 30_000
+MAX_ENTRIES = 100
+MAX_WAIT_MS = 30_000
 # Tables that instances may not write.
-OPERATORS_OWN = (names.OPERATOR_TABLE, names.SERVERS_TABLE)
+READ_ONLY_TABLES = (names.OPERATOR_TABLE, names.SERVERS_TABLE)
 
 Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 
@@ -93,7 +93,7 @@
     def application(self) -> web.Application:
         """Return the application with all routes."""
         application = web.Application(
-            client_max_size=GREATEST_BODY, middlewares=[self.meet_faults]
+            client_max_size=MAX_BODY_BYTES, middlewares=[self.handle_errors]
         )
         router = application.router
         router.add_post(names.TRANSACT_PATH, self.transact)
@@ -102,26 +102,26 @@
         router.add_put(names.PUT_OBJECT_PATH + "{name}", self.put_object)
         router.add_get(names.GET_OBJECT_PATH + "{name}", self.get_object)
         router.add_delete(names.DROP_OBJECT_PATH + "{name}", self.delete_object)
-        router.add_put("/standin/faults", self.change_faults)
-        router.add_get("/standin/counts", self.tell_counts)
-        router.add_post("/standin/forget", self.forget)
+        router.add_put("/standin/faults", self.replace_faults)
+        router.add_get("/standin/counts", self.show_counts)
+        router.add_post("/standin/forget", self.clear_history)
         router.add_put("/standin/rows/{table}/{key}", self.write_row)
-        router.add_delete("/standin/rows/{table}/{key}", self.drop_row)
+        router.add_delete("/standin/rows/{table}/{key}", self.delete_row)
         router.add_put("/standin/instances/{name}", self.register)
-        router.add_delete("/standin/instances/{name}", self.remove)
+        router.add_delete("/standin/instances/{name}", self.unregister)
         return application
 
     async def transact(self, request: web.Request) -> web.Response:
         """Apply a transaction; 412 carries the rows that its conditions name."""
         body = msgspec.json.decode(await request.read(), type=store.WireTransaction)
-        if any(row.table in OPERATORS_OWN for row in (*body.puts, *body.drop)):
+        if any(row.table in READ_ONLY_TABLES for row in (*body.puts, *body.drop)):
             return web.Response(status=FORBIDDEN, text="The operator's own table.")
-        if len(body.expect_rev) + len(body.puts) + len(body.drop) > MOST_ENTRIES:
+        if len(body.expect_rev) + len(body.puts) + len(body.drop) > MAX_ENTRIES:
             return web.Response(status=BAD_REQUEST, text="Too many entries.")
         try:
             # A caller that leaves doesn't take its write back: it may still be
             # applied, seconds later.
-            done = await asyncio.shield(self.memory.table.commit(transaction_of(body)))
+            done = await asyncio.shield(self.memory.table.commit(to_transaction(body)))
         except table.ConditionFailedError:
             stored = self.memory.table.rows
             places = [(one.table, one.key) for one in body.expect_rev]
@@ -153,7 +153,7 @@
     async def feed(self, request: web.Request) -> web.Response:
         """Answer the changes of a table as soon as there are any."""
         query = request.query
-        seconds = min(int(query["wait_ms"]), LONGEST_WAIT_MS) / MILLISECONDS
+        seconds = min(int(query["wait_ms"]), MAX_WAIT_MS) / MILLISECONDS
         found = await self.memory.table.wait_for_changes(
             query["table"], int(query["since_rev"]), seconds
         )
@@ -194,7 +194,7 @@
             return web.Response(status=store.HTTP_NOT_FOUND)
         return web.Response(body=content)
 
-    async def forget(self, request: web.Request) -> web.Response:
+    async def clear_history(self, request: web.Request) -> web.Response:
         """Keep none of the changes so far."""
         await self.memory.table.forget_history()
         return web.Response(status=NO_CONTENT)
@@ -205,7 +205,7 @@
         await self.put_row(place["table"], place["key"], await request.read())
         return web.Response(status=NO_CONTENT)
 
-    async def drop_row(self, request: web.Request) -> web.Response:
+    async def delete_row(self, request: web.Request) -> web.Response:
         """Drop a row as the operator or a backend server does."""
         place = request.match_info
         await self.put_row(place["table"], place["key"], None)
@@ -221,7 +221,7 @@
             rows.changed.notify_all()
 
     @web.middleware
-    async def meet_faults(
+    async def handle_errors(
         self, request: web.Request, handler: Handler
     ) -> web.StreamResponse:
         """Turn errors of the in-memory platform into statuses and cut connections."""
@@ -244,13 +244,13 @@
         except (KeyError, ValueError) as error:
             return web.Response(status=BAD_REQUEST, text=f"Not understood: {error}")
 
-    async def change_faults(self, request: web.Request) -> web.Response:
+    async def replace_faults(self, request: web.Request) -> web.Response:
         """Replace all faults by those of the JSON body."""
         body = await request.read()
         self.memory.faults = msgspec.json.decode(body, type=faults.Faults)
         return web.Response(status=NO_CONTENT)
 
-    async def tell_counts(self, request: web.Request) -> web.Response:
+    async def show_counts(self, request: web.Request) -> web.Response:
         """Answer the numbers of reads and writes as JSON."""
         counts = Counts(self.memory.read_count, self.memory.write_count)
         return web.Response(body=msgspec.json.encode(counts), content_type=JSON_TYPE)
@@ -264,13 +264,13 @@
         self.memory.instances.register(entry)
         return web.Response(status=NO_CONTENT)
 
-    async def remove(self, request: web.Request) -> web.Response:
+    async def unregister(self, request: web.Request) -> web.Response:
         """Remove an entry of the instance list."""
         self.memory.instances.remove(request.match_info["name"])
         return web.Response(status=NO_CONTENT)
 
 
-def transaction_of(body: store.WireTransaction) -> table.Transaction:
+def to_transaction(body: store.WireTransaction) -> table.Transaction:
     """Return a transaction as the in-memory platform takes it."""
     conditions = tuple(
         table.VersionIs(one.table, one.key, one.row_version)
