--- a/soak/deployment.py
+++ b/soak/deployment.py
@@ -144,7 +144,7 @@
 
     async def add(self, server: poolserver.PoolServer) -> None:
         """Start a backend server behind a proxy, and list it."""
-        server.gap = 0.01
+        server.event_interval = 0.01
         await server.start()
         between = proxy.Proxy("127.0.0.1", server.port)
         self.server_proxies.append(between)
--- a/soak/leaving.py
+++ b/soak/leaving.py
@@ -22,16 +22,16 @@
     for server in running.servers:
         for run in server.runs:
             member = members.get(run.request_id, "")
-            if not doing.record.is_calm(run.arrived, member, calm.STORE):
+            if not doing.record.is_calm(run.arrived_at, member, calm.STORE):
                 continue
             over = [
-                leave for leave in doing.leaves if is_over(leave, doing, run.arrived)
+                leave for leave in doing.leaves if is_over(leave, doing, run.arrived_at)
             ]
             watched += bool(over)
-            is_calm_way = doing.record.is_calm(run.arrived, server.name)
+            is_calm_way = doing.record.is_calm(run.arrived_at, server.name)
             found.extend(
                 f"{run.request_id} of {member} reached {server.name} "
-                f"{run.arrived - leave.since:.2f} s after it had left"
+                f"{run.arrived_at - leave.since:.2f} s after it had left"
                 for leave in over
                 if leave.server == server.name and is_calm_way
             )
--- a/src/tealcove/standins/poolserver.py
+++ b/src/tealcove/standins/poolserver.py
@@ -21,7 +21,7 @@
 SLOTS = 4
 EVENT_STREAM = "text/event-stream"
 # Time for the part of an answer to arrive before the reset overtakes it.
-PART_SECONDS = 0.05
+PARTIAL_ANSWER_SECONDS = 0.05
 # Linger for 0 s: closing sends a reset in place of an orderly end.
 RESET_AT_CLOSE = struct.pack("ii", 1, 0)
 
@@ -34,17 +34,17 @@
     # It has run, and the connection is reset in place of an answer.
     RESET = "reset"
     # The answer bears another request's id.
-    FOREIGN = "foreign"
+    WRONG_ID = "foreign"
     # The answer says that the request failed.
     FAILED = "failed"
     # The stream is cut in the middle of an event.
     CUT = "cut"
     # An event is left out.
-    SKIPPED = "skipped"
+    SKIPPED_EVENT = "skipped"
     # An answer without a length that is reset on the way.
     UNFRAMED = "unframed"
     # It never answers.
-    SILENT = "silent"
+    NO_ANSWER = "silent"
 
 
 class Run(msgspec.Struct, frozen=True):
@@ -57,7 +57,7 @@
     headers: dict[str, str]
     deadline_ms: str | None
     body: bytes
-    arrived: ids.Instant
+    arrived_at: ids.Instant
 
 
 class PoolServer:
@@ -69,10 +69,10 @@
         # Of its software.
         self.version = "v1"
         # Events of each stream, and seconds between two of them.
-        self.events = events
-        self.gap = 0.0
+        self.event_count = events
+        self.event_interval = 0.0
         # Seconds that a call takes.
-        self.seconds = 0.0
+        self.call_seconds = 0.0
         self.faults: collections.deque[Fault] = collections.deque()
         self.runs: list[Run] = []
         self.running = 0
@@ -130,14 +130,14 @@
         fault = self.faults.popleft() if self.faults else None
         if fault is Fault.FULL:
             return web.Response(status=HTTP_UNAVAILABLE, headers={names.NOT_RUN: "1"})
-        self.note(request, body)
+        self.record(request, body)
         self.running += 1
         try:
             return await self.run(request, fault)
         finally:
             self.running -= 1
 
-    def note(self, request: web.Request, body: bytes) -> None:
+    def record(self, request: web.Request, body: bytes) -> None:
         """Remember a request that runs."""
         headers = request.headers
         self.runs.append(
@@ -149,7 +149,7 @@
                 headers=dict(headers),
                 deadline_ms=headers.get(names.DEADLINE_MS),
                 body=body,
-                arrived=clock.now(),
+                arrived_at=clock.now(),
             )
         )
 
@@ -161,18 +161,18 @@
             names.REQUEST_ID: request.headers[names.REQUEST_ID],
             names.SIGNATURE: f"signed by {self.name}",
         }
-        if fault is Fault.SILENT:
+        if fault is Fault.NO_ANSWER:
             await asyncio.Event().wait()
         if fault is Fault.RESET:
             request.transport.abort()
             return web.Response()
-        if fault is Fault.FOREIGN:
+        if fault is Fault.WRONG_ID:
             headers[names.REQUEST_ID] = "another"
         if fault is Fault.UNFRAMED:
             return await self.break_unframed(request, headers)
         if request.path.startswith("/stream/"):
             return await self.stream(request, headers, fault)
-        await asyncio.sleep(self.seconds)
+        await asyncio.sleep(self.call_seconds)
         status = HTTP_FAILED if fault is Fault.FAILED else 200
         return web.Response(
             status=status, headers=headers, body=f"from {self.name}".encode()
@@ -184,7 +184,7 @@
         """Send a part of an answer without a length, then reset."""
         head = "".join(f"{name}: {value}\r\n" for name, value in headers.items())
         request.transport.write(f"HTTP/1.1 200 OK\r\n{head}\r\nhalf".encode())
-        await asyncio.sleep(PART_SECONDS)
+        await asyncio.sleep(PARTIAL_ANSWER_SECONDS)
         reset(request.transport)
         return web.Response()
 
@@ -195,22 +195,22 @@
         last = int(request.headers.get(names.LAST_EVENT_ID, 0))
         response = web.StreamResponse(headers={**headers, "Content-Type": EVENT_STREAM})
         await response.prepare(request)
-        half = self.events // 2 + 1
-        for number in range(last + 1, self.events + 1):
+        half = self.event_count // 2 + 1
+        for number in range(last + 1, self.event_count + 1):
             event = f"id: {number}\ndata: piece {number}\n\n".encode()
             if fault is Fault.CUT and number == half:
                 await response.write(event[:-4])
                 request.transport.abort()
                 return response
-            if fault is not Fault.SKIPPED or number != half:
+            if fault is not Fault.SKIPPED_EVENT or number != half:
                 await response.write(event)
-            await asyncio.sleep(self.gap)
+            await asyncio.sleep(self.event_interval)
         await response.write_eof()
         return response
 
 
 def reset(transport: asyncio.Transport) -> None:
     """Break a connection so that its peer sees a reset."""
-    taken = transport.get_extra_info("socket")
-    taken.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_AT_CLOSE)
+    connection = transport.get_extra_info("socket")
+    connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_AT_CLOSE)
     transport.abort()
--- a/tests/test_platformed.py
+++ b/tests/test_platformed.py
@@ -162,7 +162,7 @@
     sends an answer that belongs elsewhere. Cause: the echoed id isn't compared.
     """
     async with platformed.site() as running:
-        fail_next(running, Fault.FOREIGN)
+        fail_next(running, Fault.WRONG_ID)
         answer = await running.send("/once/1")
         assert answer.status == 502
         assert b"from" not in answer.body
@@ -196,7 +196,7 @@
 
 async def test_a_stream_never_leaves_an_event_out():
     async with platformed.site() as running:
-        fail_next(running, Fault.SKIPPED)
+        fail_next(running, Fault.SKIPPED_EVENT)
         answer = await running.send("/stream/brief/1")
         assert not answer.is_whole
         assert answer.body == WHOLE_STREAM[: WHOLE_STREAM.index(b"id: 3")]
@@ -204,7 +204,7 @@
 
 async def test_a_silent_server_is_left_at_the_routes_time():
     async with platformed.site() as running:
-        fail_next(running, Fault.SILENT)
+        fail_next(running, Fault.NO_ANSWER)
         answer = await running.send("/stream/brief/1")
         assert answer.status == 504
 
@@ -217,7 +217,7 @@
     broken connection leads to another server.
     """
     async with platformed.site() as running:
-        fail_next(running, Fault.SILENT, 1)
+        fail_next(running, Fault.NO_ANSWER, 1)
         answers = [await running.send("/stream/1") for _ in range(2)]
         assert [answer.body for answer in answers] == [WHOLE_STREAM] * 2
         assert len(runs(running)) == 3
@@ -225,7 +225,7 @@
 
 async def test_a_caller_that_leaves_ends_its_run():
     async with platformed.site() as running:
-        fail_next(running, Fault.SILENT)
+        fail_next(running, Fault.NO_ANSWER)
         sending = asyncio.create_task(running.send("/safe/1"))
         await platformed.until(lambda: sum(s.running for s in running.servers) == 1)
         sending.cancel()
@@ -257,7 +257,7 @@
     """
     async with platformed.site(servers=1) as running:
         (server,) = running.servers
-        server.faults.extend([Fault.SILENT] * poolserver.SLOTS)
+        server.faults.extend([Fault.NO_ANSWER] * poolserver.SLOTS)
         lost = [
             asyncio.create_task(
                 running.send("/once/1", Tealcove_Deadline_Ms=str(PATIENCE_MS))
@@ -369,7 +369,7 @@
 async def test_a_leaving_instance_ends_what_it_has_and_refuses_the_rest():
     async with platformed.site() as running:
         one = running.instances[0]
-        running.servers[0].gap = running.servers[1].gap = 0.15
+        running.servers[0].event_interval = running.servers[1].event_interval = 0.15
         streaming = asyncio.create_task(running.send("/stream/1"))
         await platformed.until(lambda: bool(runs(running)))
         one.settings = platformed.instance.settings.FrontSettings(
@@ -399,7 +399,7 @@
     async with platformed.site(instances=2) as running:
         one, other = running.instances
         for server in running.servers:
-            server.gap = PATIENCE_MS
+            server.event_interval = PATIENCE_MS
         long = platformed.route("stream/long", "stream", timeout_ms=PATIENCE_MS)
         await running.declare(platformed.configuration(long, version=2))
         sent = running.send(
--- a/tests/test_rollouts.py
+++ b/tests/test_rollouts.py
@@ -32,7 +32,7 @@
     for number in range(SERVERS):
         await running.add_server(f"n-{number}", NEW)
     for server in running.servers:
-        server.seconds = WORK_SECONDS
+        server.call_seconds = WORK_SECONDS
 
 
 async def call_until(
