--- a/src/tealcove/standins/engine_batch.py
+++ b/src/tealcove/standins/engine_batch.py
@@ -234,5 +234,5 @@
             self.discard(run)
 
     def runs(self) -> list[Run]:
-        """Return all runs that are runs_by_id."""
+        """Return all runs that are kept."""
         return [run for runs in self.runs_by_id.values() for run in runs]
--- a/src/tealcove/standins/tests/builders.py
+++ b/src/tealcove/standins/tests/builders.py
@@ -24,9 +24,9 @@
 MODEL = "drafts"
 # A block of the prefix cache is 64 tokens of 4 bytes.
 BLOCK = "x" * 256
-GENEROUS_SECONDS = 20.0
+TIMEOUT_SECONDS = 20.0
 # Serves the stand-in of the module and the settings that are its arguments.
-SERVE = """
+SERVE_SCRIPT = """
 import asyncio, importlib, sys, typing, msgspec
 module = importlib.import_module(sys.argv[1])
 shape = typing.get_type_hints(module.serve)["settings"]
@@ -34,7 +34,7 @@
 """
 
 
-def engine_settings_of(**fields: object) -> engine_settings.EngineSettings:
+def fast_engine_settings(**fields: object) -> engine_settings.EngineSettings:
     """Return settings of a fast engine without lags."""
     values = {
         "models": {MODEL: "1"},
@@ -59,7 +59,7 @@
 
 def running_engine(**fields: object) -> contextlib.AbstractAsyncContextManager[Caller]:
     """Run an engine."""
-    return running(engine.EngineStandin(engine_settings_of(**fields)))
+    return running(engine.EngineStandin(fast_engine_settings(**fields)))
 
 
 def running_service(**fields: object) -> contextlib.AbstractAsyncContextManager[Caller]:
@@ -74,7 +74,7 @@
 ) -> AsyncIterator[tuple[Caller, asyncio.subprocess.Process]]:
     """Run a stand-in as a process of its own, and a caller of it."""
     child = await asyncio.create_subprocess_exec(
-        *(sys.executable, "-c", SERVE, module, msgspec.json.encode(settings)),
+        *(sys.executable, "-c", SERVE_SCRIPT, module, msgspec.json.encode(settings)),
         stdout=asyncio.subprocess.PIPE,
         env=os.environ | {"PYTHONPATH": os.pathsep.join(sys.path)},
     )
@@ -91,7 +91,7 @@
 
 async def until(condition: Callable[[], bool]) -> None:
     """Wait until a condition holds."""
-    async with asyncio.timeout(GENEROUS_SECONDS):
+    async with asyncio.timeout(TIMEOUT_SECONDS):
         while True:
             if condition():
                 return
@@ -105,7 +105,7 @@
         self.status = response.status
         self.header_id = response.headers.get("X-Request-Id")
         self.events: list[dict] = []
-        self.whole = False
+        self.is_complete = False
 
     @property
     def text(self) -> str:
@@ -124,12 +124,12 @@
             return self
         with contextlib.suppress(aiohttp.ClientError):
             async for line in response.content:
-                self.take(line.decode().strip())
+                self.parse_line(line.decode().strip())
         return self
 
-    def take(self, line: str) -> None:
+    def parse_line(self, line: str) -> None:
         if line == "data: [DONE]":
-            self.whole = True
+            self.is_complete = True
         elif line:
             self.events.append(json.loads(line.removeprefix("data: ")))
 
@@ -155,10 +155,10 @@
         async with self.post(request_id, *arguments, **more) as response:
             return await Answer(response).read(response)
 
-    async def complete_whole(self, request_id: str, *arguments, **more) -> Answer:
+    async def complete_or_raise(self, request_id: str, *arguments, **more) -> Answer:
         """Raise ClientError unless the answer is whole."""
         answer = await self.complete(request_id, *arguments, **more)
-        if not answer.whole:
+        if not answer.is_complete:
             raise aiohttp.ClientPayloadError
         return answer
 
@@ -174,5 +174,5 @@
             is_json = response.content_type == "application/json"
             return json.loads(content) if is_json else None
 
-    async def spoil(self, **faults: object) -> None:
+    async def set_faults(self, **faults: object) -> None:
         await self.call("PUT", "/standin/faults", json=faults)
--- a/src/tealcove/standins/tests/test_engine.py
+++ b/src/tealcove/standins/tests/test_engine.py
@@ -27,7 +27,7 @@
     async with builders.running_engine() as caller:
         answer = await caller.complete("a", "bisque", 40)
         other = await caller.complete("b", "rigging", 40)
-    assert answer.whole and answer.header_id == "a"
+    assert answer.is_complete and answer.header_id == "a"
     assert {event["id"] for event in answer.events} == {"a"}
     assert answer.text == engine.expected_answer("bisque", 40) != other.text
     position = 0
@@ -79,7 +79,7 @@
         await caller.call("DELETE", "/v1/completions/r0", status=204)
         report = await caller.call("GET", "/load")
         assert (report["running"], report["waiting"]) == (2, 2)
-        assert not (await builders.Answer(responses[0]).read(responses[0])).whole
+        assert not (await builders.Answer(responses[0]).read(responses[0])).is_complete
         await caller.call("DELETE", "/v1/completions/unknown", status=204)
         for response in responses:
             response.close()
@@ -90,7 +90,7 @@
 async def test_second_dispatch_runs_again_and_is_counted():
     async with builders.running_engine() as caller:
         answers = await asyncio.gather(caller.complete("a"), caller.complete("a"))
-        assert all(answer.whole for answer in answers)
+        assert all(answer.is_complete for answer in answers)
         assert caller.counts.dispatches == caller.counts.completed == {"a": 2}
 
 
@@ -140,14 +140,14 @@
     the rest. The cause is the network, so the engine has to keep the request.
     """
     async with builders.running_engine() as caller:
-        await caller.spoil(cut_after_tokens=10)
+        await caller.set_faults(cut_after_tokens=10)
         answer = await caller.complete("a", "p", 60)
-        assert not answer.whole
+        assert not answer.is_complete
         assert answer.text == engine.expected_answer("p", 10)
         rest = await caller.resume("a", 10)
-        assert rest.whole
+        assert rest.is_complete
         assert answer.text + rest.text == engine.expected_answer("p", 60)
-        assert (await caller.resume("a", 60)).whole
+        assert (await caller.resume("a", 60)).is_complete
         assert (await caller.resume("unknown", 0)).status == 404
         assert caller.counts.dispatches == caller.counts.completed == {"a": 1}
 
@@ -170,22 +170,22 @@
 
 async def test_spoilt_streams_show_as_such():
     async with builders.running_engine() as caller:
-        await caller.spoil(wrong_id=1)
+        await caller.set_faults(wrong_id=1)
         wrong = await caller.complete("a")
         assert wrong.header_id == wrong.events[0]["id"] != "a"
         assert wrong.text != engine.expected_answer("p", 5)
-        await caller.spoil(wrong_event_id=1)
+        await caller.set_faults(wrong_event_id=1)
         wrong = await caller.complete("b")
         assert wrong.header_id == "b" != wrong.events[0]["id"]
-        await caller.spoil(duplicate_chunk=1)
+        await caller.set_faults(duplicate_chunk=1)
         doubled = (await caller.complete("c")).indexes
         assert doubled[1] == doubled[2]
-        await caller.spoil(reorder_chunk=1)
+        await caller.set_faults(reorder_chunk=1)
         swapped = (await caller.complete("d")).indexes
         assert swapped != sorted(swapped) and len(set(swapped)) == len(swapped)
-        await caller.spoil(drop_chunk=1)
+        await caller.set_faults(drop_chunk=1)
         missing = await caller.complete("e")
-        assert missing.whole and missing.text != engine.expected_answer("p", 5)
+        assert missing.is_complete and missing.text != engine.expected_answer("p", 5)
         assert (await caller.complete("f")).text == engine.expected_answer("p", 5)
 
 
@@ -194,15 +194,15 @@
     async with running() as caller, running() as other:
         response = await caller.post("a", "p", LONG)
         await response.content.readline()
-        await caller.spoil(freeze_seconds=1000.0)
+        await caller.set_faults(freeze_seconds=1000.0)
         before = caller.counts.decode_tokens
         pending = asyncio.create_task(caller.complete("b"))
         await other.complete("c", "p", 50)
         counts = await caller.call("GET", "/standin/counts")
         assert counts["decode_tokens"] == before
         assert counts["dispatches"] == {"a": 1}
-        await caller.spoil()
-        assert (await pending).whole
+        await caller.set_faults()
+        assert (await pending).is_complete
         response.close()
 
 
@@ -214,18 +214,18 @@
         assert caller.counts.dispatches == {}
         await caller.standin.apply_faults(engine.EngineFaults(refuse_seconds=0.01))
         await builders.until(lambda: caller.standin.reopen_task is None)
-        assert (await caller.complete("a")).whole
+        assert (await caller.complete("a")).is_complete
 
 
 async def test_load_report_goes_stale_and_health_does_not():
     async with builders.running_engine() as caller:
         await caller.call("GET", "/load")
-        await caller.spoil(stale_load=True, state="leaving")
+        await caller.set_faults(stale_load=True, state="leaving")
         assert (await caller.call("GET", "/load"))["state"] == "serving"
         assert (await caller.call("GET", "/health"))["state"] == "leaving"
-        assert (await caller.complete("late")).whole
+        assert (await caller.complete("late")).is_complete
         assert set(caller.counts.sent_while_leaving) == {"late"}
-        await caller.spoil(state="serving")
+        await caller.set_faults(state="serving")
         assert (await caller.call("GET", "/load"))["state"] == "serving"
 
 
@@ -263,15 +263,15 @@
     break with it. Its counts have to outlive it: tests judge by them.
     """
     crashes = []
-    settings = builders.engine_settings_of(crash_marker="poison")
+    settings = builders.fast_engine_settings(crash_marker="poison")
     standin = engine.EngineStandin(settings, crashes.append)
     async with builders.running(standin) as caller:
         response = await caller.post("victim", builders.BLOCK, LONG)
         await response.content.readline()
         with pytest.raises(aiohttp.ClientError):
-            await caller.complete_whole("killer", "a poison pill")
+            await caller.complete_or_raise("killer", "a poison pill")
         await builders.until(lambda: crashes == [standin])
-        assert not (await builders.Answer(response).read(response)).whole
+        assert not (await builders.Answer(response).read(response)).is_complete
         with pytest.raises(aiohttp.ClientConnectorError):
             await caller.complete("later")
         await standin.start()
@@ -286,12 +286,12 @@
     SIGTERM comes while a request runs; the process has to write the whole
     answer and exit with 0 only then.
     """
-    settings = builders.engine_settings_of(linger_seconds=0.0)
+    settings = builders.fast_engine_settings(linger_seconds=0.0)
     async with builders.process(MODULE, settings) as (caller, child):
         response = await caller.post("a", "p", 200)
         child.send_signal(signal.SIGTERM)
         answer = await builders.Answer(response).read(response)
-        assert answer.whole
+        assert answer.is_complete
         assert answer.text == engine.expected_answer("p", 200)
         last = json.loads(await child.stdout.readline())
         assert last["event"] == "stopped"
@@ -300,10 +300,10 @@
 
 
 async def test_marked_prompt_ends_the_process():
-    settings = builders.engine_settings_of(crash_marker="poison")
+    settings = builders.fast_engine_settings(crash_marker="poison")
     async with builders.process(MODULE, settings) as (caller, child):
         with pytest.raises(aiohttp.ClientError):
-            await caller.complete_whole("killer", "a poison pill")
+            await caller.complete_or_raise("killer", "a poison pill")
         last = json.loads(await child.stdout.readline())
         assert last["event"] == "crashed"
         assert last["counts"]["dispatches"] == {"killer": 1}
@@ -334,7 +334,7 @@
 
 
 async def test_straggler_and_batch_size_slow_a_step():
-    settings = builders.engine_settings_of(batch_slowdown=0.5)
+    settings = builders.fast_engine_settings(batch_slowdown=0.5)
     batch = engine.EngineStandin(settings).batch
     alone = batch.step_seconds()
     batch.running = [None, None, None]
--- a/src/tealcove/standins/tests/test_service.py
+++ b/src/tealcove/standins/tests/test_service.py
@@ -46,7 +46,7 @@
     tell, so the count of calls that ran has to.
     """
     async with builders.running_service() as caller:
-        await caller.spoil(lose_answers=1)
+        await caller.set_faults(lose_answers=1)
         headers = {"X-Request-Id": "a"}
         with pytest.raises(aiohttp.ClientError):
             await caller.call("POST", "/quotes", headers=headers)
@@ -56,7 +56,7 @@
 async def test_failures_wrong_ids_and_leaving():
     async with builders.running_service() as caller:
         headers = {"X-Request-Id": "a"}
-        await caller.spoil(fail_calls=1, wrong_id=1, state="leaving")
+        await caller.set_faults(fail_calls=1, wrong_id=1, state="leaving")
         await caller.call("GET", "/x", status=500, headers=headers)
         async with caller.session.get("/x", headers=headers) as response:
             assert response.status == 200
@@ -73,7 +73,7 @@
         for _ in range(25):
             await other.call("GET", "/x")
         assert (await caller.call("GET", "/standin/counts"))["completed"] == {}
-        await caller.spoil()
+        await caller.set_faults()
         assert (await pending)["path"] == "/x"
 
 
