--- a/src/tealcove/standins/engine.py
+++ b/src/tealcove/standins/engine.py
@@ -1,4 +1,4 @@
-"""A stand-in for a model engine, as docs/BACKENDS.md describes one."""
+"""A stand-in for a model engine with the HTTP interface of docs/BACKENDS.md."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     server,
 )
 
-# Those who start an engine need one import only.
+# Re-exported, so that users of an engine need only this import.
 EngineSettings = engine_settings.EngineSettings
 EngineFaults = engine_settings.EngineFaults
 expected_answer = answers.expected_answer
@@ -45,10 +45,10 @@
 
 
 class EngineStandin(backend.BackendStandin):
-    """One engine; it can be embedded, and started again after it died.
+    """An engine that can be embedded, and restarted after a crash.
 
     `on_crash` is called once a prompt with the crash marker has broken all
-    connections and closed the port. Counts stay over a restart, all else is lost.
+    connections and closed the port. A restart keeps only the counts.
     """
 
     FAULTS = EngineFaults
@@ -65,7 +65,7 @@
         self.reset_state()
 
     def reset_state(self) -> None:
-        """Begin with empty cache, no runs, and the models of the settings."""
+        """Start with an empty cache, no runs, and the models of the settings."""
         settings = self.settings
         self.events = engine_cache.EventLog(
             settings.event_lag, settings.event_gap_share, settings.seed
@@ -76,7 +76,7 @@
         self.load = backend_load.LaggingLoad(settings.load_lag)
 
     def add_routes(self, app: web.Application) -> None:
-        """Add the calls of docs/BACKENDS.md."""
+        """Add the endpoints of docs/BACKENDS.md."""
         super().add_routes(app)
         app.add_routes(
             [
@@ -92,12 +92,12 @@
         )
 
     async def start(self) -> None:
-        """Listen and compute; `port` tells where it listens."""
+        """Start listening on `port` and computing."""
         await super().start()
         self.tick_task = tasks.start(self.tick(), f"steps of {self.name}")
 
     async def stop(self) -> None:
-        """Close the port and all connections, and lose all but the counts."""
+        """Close the port and all connections, and discard all but the counts."""
         tick_task, self.tick_task = self.tick_task, None
         if tick_task is not None and tick_task is not asyncio.current_task():
             tick_task.cancel()
@@ -106,7 +106,7 @@
         self.reset_state()
 
     async def crash(self) -> None:
-        """Die as an engine does that a prompt has crashed."""
+        """Break all connections, close the port and call `on_crash`."""
         await self.kill()
         if self.on_crash is not None:
             self.on_crash(self)
@@ -119,10 +119,10 @@
         await super().apply_faults(faults)
 
     async def tick(self) -> None:
-        """Compute in steps for all runs at once, until the engine crashes.
+        """Advance all runs in steps until the engine crashes.
 
-        One task for all runs, since a timer for each token of each run would
-        take most of a core at a few engines.
+        One task serves all runs, since a timer for each token of each run would
+        use most of a core with a few engines.
         """
         while not self.batch.crashed:
             if not self.batch.runs_by_id:
@@ -135,7 +135,7 @@
         await self.crash()
 
     def advance(self, now: ids.Instant) -> None:
-        """Account for the time up to now."""
+        """Compute the work done up to `now`; a frozen engine does none."""
         if not self.unfrozen.is_set():
             self.batch.skip_to(now)
             return
@@ -144,7 +144,7 @@
             self.sample_load(now)
 
     def report(self) -> backend_load.LoadReport:
-        """Return the load of now."""
+        """Return the present load."""
         return backend_load.LoadReport(
             running=len(self.batch.running),
             waiting=len(self.batch.waiting),
@@ -170,7 +170,7 @@
         return await self.stream(request, run, 0)
 
     def validate(self, body: CompletionRequest) -> None:
-        """Refuse what can't run here; raises HTTPNotFound, HTTPBadRequest."""
+        """Reject an invalid request; raises HTTPNotFound, HTTPBadRequest."""
         if body.model not in self.orders.holding.models:
             raise web.HTTPNotFound(text=f"Model {body.model!r} isn't loaded.")
         adapter = body.adapter
@@ -180,7 +180,7 @@
             raise web.HTTPBadRequest(text="Ask for a stream of at least 1 token.")
 
     async def resume(self, request: web.Request) -> web.StreamResponse:
-        """Stream an answer from a token on."""
+        """Stream the rest of an answer from a token offset."""
         try:
             offset = max(0, int(request.query.get("offset", "0")))
         except ValueError as error:
@@ -188,7 +188,7 @@
         return await self.stream(request, self.newest_run(request), offset)
 
     def newest_run(self, request: web.Request) -> engine_batch.Run:
-        """Return the run that a path names; raises HTTPNotFound."""
+        """Return the latest run of the id in the path; raises HTTPNotFound."""
         runs = self.batch.runs_by_id.get(request.match_info["id"])
         if not runs:
             raise web.HTTPNotFound(text="This request isn't known here.")
@@ -197,7 +197,7 @@
     async def stream(
         self, request: web.Request, run: engine_batch.Run, offset: int
     ) -> web.StreamResponse:
-        """Stream a run to one connection."""
+        """Stream a run's answer to one connection."""
         stream_faults = self.next_stream_faults()
         shown = backend_settings.OTHER_ID if stream_faults.wrong_id else run.request_id
         response = web.StreamResponse(
@@ -217,7 +217,7 @@
         return response
 
     def next_stream_faults(self) -> engine_stream.StreamFaults:
-        """Return the faults of the next answer and count them down."""
+        """Return the faults of the next answer and decrement their counters."""
         cut = self.faults.cut_after_tokens
         if cut is not None and not self.consume_fault("cut_times"):
             cut = None
@@ -231,13 +231,13 @@
         )
 
     async def cancel(self, request: web.Request) -> web.Response:
-        """Cancel a request, also one that isn't known."""
+        """Cancel a request; an unknown one is no error."""
         self.advance(server.loop_time())
         self.batch.cancel_request(request.match_info["id"], server.loop_time())
         return web.Response(status=204)
 
     async def show_cache_events(self, request: web.Request) -> web.Response:
-        """Answer the events after a number."""
+        """Answer the cache events after a sequence number."""
         try:
             after = int(request.query.get("after", "0"))
         except ValueError as error:
@@ -247,24 +247,24 @@
     async def handle_order(self, request: web.Request) -> web.Response:
         """Carry out an order, or refuse an old fencing number."""
         order = await server.decode_body(request, engine_orders.Order)
-        # A steward that dies mustn't end its order: one that is still carried out
-        # when nobody waits for it is the harder case.
+        # The order must go on when the steward that sent it dies: an order that is
+        # still carried out while nobody waits for it is the harder case.
         running = len(self.batch.running) + len(self.batch.waiting)
         accepted = await asyncio.shield(self.orders.carry_out(order, running))
         seen = engine_orders.Fencing(self.orders.holding.fencing)
         return server.json_response(seen, status=200 if accepted else 412)
 
     async def show_state(self, request: web.Request) -> web.Response:
-        """Answer what the engine holds."""
+        """Answer the models, adapters, role and fencing number of the engine."""
         return server.json_response(self.orders.holding)
 
     async def export_kv(self, request: web.Request) -> web.Response:
-        """Answer a request's cache as bytes."""
+        """Answer the KV cache of a request as bytes."""
         chain = self.newest_run(request).chain
         return web.Response(body=msgspec.msgpack.encode(chain), content_type=BINARY)
 
     async def import_kv(self, request: web.Request) -> web.Response:
-        """Take in a cache that another engine exported."""
+        """Store a KV cache that another engine exported."""
         content = await request.read()
         try:
             chain = msgspec.msgpack.decode(content, type=tuple[int, ...])
@@ -275,11 +275,11 @@
 
 
 def exit_process(engine: EngineStandin) -> None:
-    """End the process at once, as an engine does that a prompt has crashed."""
+    """End the process at once, as when a prompt crashes an engine."""
     backend.announce("crashed", engine, engine.counts)
     os._exit(CRASH_EXIT_CODE)
 
 
 async def serve(settings: EngineSettings) -> None:
-    """Run one engine until SIGTERM, then finish what runs."""
+    """Run one engine until SIGTERM, then finish its running requests."""
     await backend.serve_until_signal(EngineStandin(settings, exit_process))
--- a/src/tealcove/standins/engine_batch.py
+++ b/src/tealcove/standins/engine_batch.py
@@ -1,4 +1,4 @@
-"""Continuous batching of an engine stand-in: slots, prefill, decode steps."""
+"""Continuous batching of an engine stand-in: slots, prefill and decode steps."""
 
 from __future__ import annotations
 
@@ -15,12 +15,13 @@
     engine_settings,
 )
 
-# Looking for runs to let go of at each step would cost more than the step.
+# Seconds between searches for expired runs; one at each step would cost more
+# than the step itself.
 EXPIRY_INTERVAL = 0.05
 
 
 class RunState(enum.Enum):
-    """Where a run stands."""
+    """The state of a run."""
 
     WAITING = "waiting"
     RUNNING = "running"
@@ -29,7 +30,7 @@
 
 
 class Run:
-    """One dispatch of a request; a second one of the same id is a second run."""
+    """One dispatch of a request; a second dispatch of the same id is a second run."""
 
     def __init__(self, request_id: str, prompt: str, max_tokens: int) -> None:
         self.request_id = request_id
@@ -45,42 +46,42 @@
         self.decoded = 0.0
         # The time up to which the run's work is accounted for.
         self.advanced_to = ids.Instant(0.0)
-        # Connections that read the answer, and since when there are none.
+        # Connections that read the answer, and the time since which there are none.
         self.readers = 0
         self.unread_since: ids.Instant | None = None
         self.delivered = False
-        # Set whenever there is something new for the readers.
+        # Set when the readers have new tokens or a new state to read.
         self.changed = asyncio.Event()
 
     @property
     def uncached_tokens(self) -> int:
-        """Prompt tokens that have to be computed."""
+        """The number of prompt tokens that must be computed."""
         return self.prompt_tokens - self.cached_tokens
 
     @property
     def produced(self) -> int:
-        """Whole output tokens that can be sent."""
+        """The number of complete output tokens that can be sent."""
         return min(int(self.decoded), self.max_tokens)
 
     @property
     def ended(self) -> bool:
-        """Whether nothing more will be computed."""
+        """Whether the run has finished or been cancelled."""
         return self.state in (RunState.FINISHED, RunState.CANCELLED)
 
     def attach(self) -> None:
-        """Note a connection that reads the answer."""
+        """Record a connection that reads the answer."""
         self.readers += 1
         self.unread_since = None
 
     def detach(self, now: ids.Instant) -> None:
-        """Note that a connection which read the answer is gone."""
+        """Record the end of a connection that read the answer."""
         self.readers -= 1
         if self.readers == 0:
             self.unread_since = now
 
 
 class Batch:
-    """All runs of one engine; knows no priorities and admits everything."""
+    """All runs of one engine; admits every request, without priorities."""
 
     def __init__(
         self,
@@ -90,21 +91,21 @@
         idle: asyncio.Event,
     ) -> None:
         self.settings = settings
-        # Clear while any run's answer isn't written whole.
+        # Clear while any answer is incomplete.
         self.idle = idle
         self.cache = cache
         self.counts = counts
         self.speed_factor = 1.0
         self.waiting: collections.deque[Run] = collections.deque()
         self.running: list[Run] = []
-        # Runs by request id, kept until their time to resume is over.
+        # Runs by request id; kept until they can no longer be resumed.
         self.runs_by_id: dict[str, list[Run]] = {}
         self.next_expiry = ids.Instant(0.0)
-        # Set once a run started whose prompt kills the engine.
+        # Set once a run with the crash marker in its prompt has started.
         self.crashed = False
 
     def submit(self, run: Run, now: ids.Instant) -> None:
-        """Admit a run; it starts at once when a slot is free."""
+        """Queue a run; it starts at once if a slot is free."""
         self.idle.clear()
         self.runs_by_id.setdefault(run.request_id, []).append(run)
         self.waiting.append(run)
@@ -116,7 +117,7 @@
             self.start(self.waiting.popleft(), now)
 
     def start(self, run: Run, now: ids.Instant) -> None:
-        """Give a run a slot, and the part of its prompt that is cached."""
+        """Start a run in a free slot, with the cached part of its prompt."""
         run.state = RunState.RUNNING
         run.advanced_to = now
         matched = self.cache.match(run.chain)
@@ -133,7 +134,7 @@
         return self.settings.decode_seconds_per_token * slowdown / self.speed_factor
 
     def tick(self, now: ids.Instant) -> None:
-        """Account for the work done up to now and let go of what is over."""
+        """Compute the work done up to `now` and cancel expired runs."""
         step = self.step_seconds()
         for run in list(self.running):
             self.advance(run, step, now)
@@ -141,12 +142,12 @@
         self.fill_slots(now)
 
     def skip_to(self, now: ids.Instant) -> None:
-        """Let time pass without any work, as in a frozen process."""
+        """Advance the time without any work, as in a frozen process."""
         for run in self.running:
             run.advanced_to = now
 
     def advance(self, run: Run, step: float, now: ids.Instant) -> None:
-        """Compute one run's share: first its prefill, then its tokens."""
+        """Compute one run up to `now`: first its prefill, then its output tokens."""
         seconds = now - run.advanced_to
         run.advanced_to = now
         seconds = self.prefill(run, seconds, now)
@@ -178,7 +179,7 @@
         return seconds - done / rate
 
     def expire(self, now: ids.Instant) -> None:
-        """Let go of runs that nobody has read for the time to resume."""
+        """Cancel runs without a reader for `resume_seconds`."""
         if now < self.next_expiry:
             return
         self.next_expiry = ids.Instant(now + EXPIRY_INTERVAL)
@@ -188,17 +189,17 @@
                 self.cancel(run, now)
 
     def cancel_request(self, request_id: str, now: ids.Instant) -> None:
-        """Cancel all runs of a request; the slot is free at once."""
+        """Cancel all runs of a request and free their slots at once."""
         for run in list(self.runs_by_id.get(request_id, ())):
             self.cancel(run, now)
 
     def cancel(self, run: Run, now: ids.Instant) -> None:
-        """Forget a run, and give its slot to the next one at once."""
+        """Discard a run and start the next one in its slot."""
         self.discard(run)
         self.fill_slots(now)
 
     def discard(self, run: Run) -> None:
-        """Drop a run; what it computed in vain counts as wasted."""
+        """Remove a run; the prefill of an undelivered one counts as wasted."""
         self.runs_by_id[run.request_id].remove(run)
         if not self.runs_by_id[run.request_id]:
             del self.runs_by_id[run.request_id]
@@ -215,7 +216,7 @@
         self.update_idle()
 
     def deliver(self, run: Run) -> None:
-        """Note that the last event of a run was written."""
+        """Record that the last event of a run was written."""
         if run.delivered:
             return
         run.delivered = True
@@ -223,16 +224,16 @@
         self.update_idle()
 
     def update_idle(self) -> None:
-        """Tell those who wait for the last answer."""
+        """Set `idle` once all answers are delivered."""
         if all(run.delivered for run in self.runs()):
             self.idle.set()
 
     def clear(self) -> None:
-        """Lose all runs, as a process that dies does."""
+        """Discard all runs, as a crash of the process does."""
         self.crashed = False
         for run in self.runs():
             self.discard(run)
 
     def runs(self) -> list[Run]:
-        """Return all runs that are kept."""
+        """Return all runs of `runs_by_id`."""
         return [run for runs in self.runs_by_id.values() for run in runs]
--- a/src/tealcove/standins/engine_cache.py
+++ b/src/tealcove/standins/engine_cache.py
@@ -1,4 +1,4 @@
-"""An engine's prefix cache in limited memory, and its late, gappy events."""
+"""An engine's bounded prefix cache, and its delayed events with gaps."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 from tealcove import ids
 
-# Published events that are kept for readers; older ones are a gap to them.
+# Published events that are kept; to readers, older ones are a gap.
 MAX_PUBLISHED_EVENTS = 10_000
 STORED = "stored"
 REMOVED = "removed"
 
 
 class CacheEvent(msgspec.Struct, frozen=True):
-    """Blocks that the cache took in or gave up; `kind` is STORED or REMOVED."""
+    """Blocks added to or evicted from the cache; `kind` is STORED or REMOVED."""
 
     sequence: int
     kind: str
@@ -24,21 +24,21 @@
 
 
 class EventsReport(msgspec.Struct, frozen=True):
-    """Events after the number asked for, and the last number published."""
+    """Events after the requested number, and the last published number."""
 
     events: tuple[CacheEvent, ...]
     last: int
 
 
 class PendingEvent(msgspec.Struct, frozen=True):
-    """An event that is published once `publish_at` has come."""
+    """An event that is published at `publish_at`."""
 
     publish_at: ids.Instant
     event: CacheEvent
 
 
 class EventLog:
-    """Events by the time they may be published; some never are."""
+    """Delays events by `lag` and drops a random share of them."""
 
     def __init__(self, lag: float, gap_share: float, seed: int) -> None:
         self.lag = lag
@@ -51,7 +51,7 @@
         self.published = collections.deque(maxlen=MAX_PUBLISHED_EVENTS)
 
     def record(self, kind: str, blocks: tuple[int, ...], now: ids.Instant) -> None:
-        """Give an event the next number, which is used up even if it gets lost."""
+        """Queue an event under the next number, which a dropped event uses up too."""
         self.sequence += 1
         if self.dropping or self.random.random() < self.gap_share:
             return
@@ -59,10 +59,10 @@
         self.pending.append(PendingEvent(ids.Instant(now + self.lag), event))
 
     def report(self, after: int, now: ids.Instant) -> EventsReport:
-        """Return what is published by now of the events beyond `after`.
+        """Return the events after `after` that are published by `now`.
 
-        `last` is a number that was published, never one that got lost: a
-        reader that asks from there on sees the gap at the next event.
+        `last` is always the number of a published event, never of a dropped one:
+        a reader that continues from it sees the gap at the next event.
         """
         while self.pending and self.pending[0].publish_at <= now:
             self.published.append(self.pending.popleft().event)
@@ -72,7 +72,7 @@
 
 
 class PrefixCache:
-    """Blocks by chained hash; the least recently used one goes first."""
+    """An LRU cache of blocks, which are identified by their chained hash."""
 
     def __init__(self, capacity: int, log: EventLog) -> None:
         self.capacity = capacity
@@ -80,7 +80,7 @@
         self.blocks: collections.OrderedDict[int, None] = collections.OrderedDict()
 
     def match(self, chain: tuple[int, ...]) -> int:
-        """Return how many blocks from the start of a prompt are cached."""
+        """Return the number of leading blocks of a prompt that are cached."""
         matched = 0
         for block in chain:
             if block not in self.blocks:
@@ -92,14 +92,14 @@
     def touch(self, chain: tuple[int, ...]) -> None:
         """Mark blocks as used, the first block last.
 
-        A block is of no use without those before it, so the end of a prefix
-        has to be given up before its start.
+        A block is useless without those before it, so the end of a prefix
+        must be evicted before its start.
         """
         for block in reversed(chain):
             self.blocks.move_to_end(block)
 
     def store(self, chain: tuple[int, ...], now: ids.Instant) -> None:
-        """Take in a prompt's blocks, as many from its start as fit."""
+        """Store the leading blocks of a prompt, as many as fit."""
         fitting = chain[: self.capacity]
         added = tuple(block for block in fitting if block not in self.blocks)
         for block in added:
@@ -110,7 +110,7 @@
         self.evict(now)
 
     def evict(self, now: ids.Instant) -> None:
-        """Give up the least recently used blocks beyond the capacity."""
+        """Evict the least recently used blocks beyond the capacity."""
         removed = []
         while len(self.blocks) > self.capacity:
             block, _ = self.blocks.popitem(last=False)
--- a/src/tealcove/standins/engine_counts.py
+++ b/src/tealcove/standins/engine_counts.py
@@ -1,4 +1,4 @@
-"""What an engine stand-in counts, by which tests judge."""
+"""The counts of an engine stand-in, which tests check."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class OrderSeen(msgspec.Struct, frozen=True):
-    """An order as it arrived, and whether it was carried out."""
+    """A received order, and whether it was accepted."""
 
     fencing: int
     order: str
@@ -14,27 +14,27 @@
     version: str
     role: str
     accepted: bool
-    # Requests that ran when it came.
+    # Requests running or waiting when it arrived.
     running: int = 0
 
 
 class EngineCounts(msgspec.Struct):
-    """Counts since the start, which no part of the system reads."""
+    """Counts since the start, for tests only; the system itself never reads them."""
 
-    # Times that a request was sent, by its id; above 1 is a second dispatch.
+    # Dispatches by request id; above 1, the request was dispatched again.
     dispatches: dict[str, int] = {}
-    # Answers whose last event was written, by id.
+    # Answers whose last event was written, by request id.
     completed: dict[str, int] = {}
-    # Prompt tokens computed, and those computed for requests not completed.
+    # Prompt tokens computed, and those of requests that did not complete.
     prefill_tokens: int = 0
     prefill_wasted: int = 0
     decode_tokens: int = 0
     cancelled: int = 0
-    # Seconds since the engine was leaving, by id of requests sent since then.
+    # Seconds from the start of leaving to a request's arrival, by request id.
     sent_while_leaving: dict[str, float] = {}
     orders: list[OrderSeen] = []
 
 
 def increment(counts: dict[str, int], request_id: str) -> None:
-    """Count one more for an id."""
+    """Increment the count of an id."""
     counts[request_id] = counts.get(request_id, 0) + 1
--- a/src/tealcove/standins/engine_orders.py
+++ b/src/tealcove/standins/engine_orders.py
@@ -1,4 +1,4 @@
-"""Models, adapters and role of an engine, and the orders that change them."""
+"""The models, adapters and role of an engine, and the orders that change them."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class OrderKind(enum.Enum):
-    """What an order asks for."""
+    """The kind of change that an order requests."""
 
     LOAD_MODEL = "load_model"
     UNLOAD_MODEL = "unload_model"
@@ -21,7 +21,7 @@
 
 
 class Order(msgspec.Struct, frozen=True):
-    """The wanted state of one thing, given by a holder of the lease."""
+    """The desired state of one model, adapter or role, sent by the lease holder."""
 
     fencing: int
     order: OrderKind
@@ -37,7 +37,7 @@
 
 
 class Holding(msgspec.Struct):
-    """What an engine holds; 0 is the fencing number before any order."""
+    """The state of an engine; before any order its fencing number is 0."""
 
     models: dict[str, str]
     adapters: dict[str, str]
@@ -46,7 +46,7 @@
 
 
 class Orders:
-    """Carries out orders one after the other."""
+    """Carries out orders one at a time."""
 
     def __init__(
         self,
@@ -61,9 +61,9 @@
         )
 
     async def carry_out(self, order: Order, running: int = 0) -> bool:
-        """Carry an order out; False when its fencing number is refused.
+        """Carry an order out; return False if its fencing number is too low.
 
-        `running` is how many requests run; it is only counted.
+        `running` is the number of admitted requests; it is only recorded.
         """
         async with self.lock:
             is_stale = order.fencing < self.holding.fencing
@@ -75,7 +75,7 @@
             return accepted
 
     def record(self, order: Order, accepted: bool, running: int) -> None:
-        """Count an order, refused ones included."""
+        """Record an order, whether accepted or refused."""
         seen = engine_counts.OrderSeen(
             fencing=order.fencing,
             order=order.order.value,
@@ -88,7 +88,7 @@
         self.counts.orders.append(seen)
 
     async def apply(self, order: Order) -> None:
-        """Bring about the wanted state."""
+        """Change to the desired state."""
         match order.order:
             case OrderKind.LOAD_MODEL:
                 await self.load(self.holding.models, order)
@@ -102,9 +102,9 @@
                 self.holding.role = order.role
 
     async def load(self, versions: dict[str, str], order: Order) -> None:
-        """Load a version, which takes its time unless it's there already.
+        """Load a version, which takes `load_seconds` unless it is loaded already.
 
-        The version before is gone in the meantime: there's no room for both.
+        The previous version is unloaded first, since memory can't hold both.
         """
         if versions.get(order.name) == order.version:
             return
--- a/src/tealcove/standins/engine_stream.py
+++ b/src/tealcove/standins/engine_stream.py
@@ -1,4 +1,4 @@
-"""The event stream of one completion, with the faults of its connection."""
+"""The event stream of a completion, with injected faults."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 DONE = b"data: [DONE]\n\n"
 OTHER_PROMPT = "someone else's prompt"
-# The first event of an answer at which the faults of single events strike.
+# Index of the event that `duplicate`, `reorder` and `drop` affect.
 FAULTY_EVENT = 1
 
 
 class Chunk(msgspec.Struct, frozen=True, omit_defaults=True):
-    """Tokens from `index` on; `count` of them, where it isn't one."""
+    """An event with `count` tokens, the first of them at `index`."""
 
     id: str
     index: int
@@ -23,7 +23,7 @@
 
 
 class Usage(msgspec.Struct, frozen=True):
-    """Tokens that a request took."""
+    """The token counts of a request."""
 
     prompt_tokens: int
     cached_tokens: int
@@ -31,7 +31,7 @@
 
 
 class Final(msgspec.Struct, frozen=True):
-    """The last event; `index` is the number of tokens."""
+    """The last event of an answer; `index` is the number of tokens."""
 
     id: str
     index: int
@@ -40,7 +40,7 @@
 
 
 class StreamFaults(msgspec.Struct, frozen=True):
-    """Which faults strike one answer."""
+    """The faults of one answer."""
 
     wrong_id: bool = False
     wrong_event_id: bool = False
@@ -51,17 +51,17 @@
 
     @property
     def affects_event(self) -> bool:
-        """Whether a single event is to be spoilt."""
+        """Whether a single event is duplicated, reordered or dropped."""
         return self.duplicate or self.reorder or self.drop
 
 
 def event(value: msgspec.Struct) -> bytes:
-    """Return one server-sent event."""
+    """Encode a value as a server-sent event."""
     return b"data: " + msgspec.json.encode(value) + b"\n\n"
 
 
 class CutError(Exception):
-    """The connection is to be broken without a word."""
+    """The connection must be aborted without an end of the answer."""
 
 
 class Stream:
@@ -80,7 +80,7 @@
         self.response = response
         self.sent_events = 0
         self.sent_tokens = 0
-        # An event that waits for its successor, to be sent after it.
+        # A reordered event, which is sent after its successor.
         self.held_back = b""
         other = faults.wrong_id or faults.wrong_event_id
         self.id = backend_settings.OTHER_ID if other else run.request_id
@@ -89,8 +89,8 @@
     async def write(self) -> None:
         """Write all events up to the last one; raises CutError.
 
-        A run that was cancelled has no last event, so its connection is broken:
-        no client may take what was sent of it for the whole answer.
+        A cancelled run has no last event; its connection is aborted, so that no
+        client mistakes the partial answer for a complete one.
         """
         run = self.run
         while True:
@@ -106,10 +106,11 @@
         await self.write_last()
 
     async def write_tokens(self) -> None:
-        """Write the tokens that are there, as one event."""
+        """Write the tokens available so far as one event."""
         stop = self.run.produced
         if self.sent_events <= FAULTY_EVENT and self.faults.affects_event:
-            # A slow machine makes larger events: there has to be a second one.
+            # On a slow machine one event can hold all tokens, but a fault needs a
+            # second event.
             stop = min(stop, self.position + 1)
         cut = self.faults.cut_after
         if cut is not None:
@@ -135,7 +136,7 @@
             await self.response.write(content)
 
     def apply_fault(self, content: bytes) -> bytes:
-        """Return what is written in place of the spoilt event."""
+        """Return what is written in place of the faulty event."""
         if self.faults.drop:
             return b""
         if self.faults.reorder:
@@ -146,7 +147,7 @@
         return content
 
     async def write_last(self) -> None:
-        """Write the last event and the mark of the end."""
+        """Write the last event and the end marker."""
         usage = Usage(
             self.run.prompt_tokens, self.run.cached_tokens, self.run.max_tokens
         )
