--- a/src/tealcove/standins/__init__.py
+++ b/src/tealcove/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for the platform, engines and plain services."""
+"""Test stand-ins for the platform, model engines and plain services."""
--- a/src/tealcove/standins/backend.py
+++ b/src/tealcove/standins/backend.py
@@ -1,4 +1,4 @@
-"""What the stand-ins of engines and of plain services have in common."""
+"""The base class of the engine and service stand-ins, and their process."""
 
 from __future__ import annotations
 
@@ -15,37 +15,37 @@
 
 
 class Faults(msgspec.Struct, kw_only=True, forbid_unknown_fields=True):
-    """Faults of any backend server; a new set replaces the old one whole.
+    """Faults that any backend server can have; a new set replaces the whole old one.
 
-    Fields that are numbers of answers count down as answers are spoilt.
+    Fields that hold a number of answers are decremented for each faulty answer.
     """
 
-    # Below 1: a straggler, which takes longer for everything.
+    # Below 1: all work takes longer, as on a straggler.
     speed_factor: backend_settings.Positive = 1.0
-    # For this long nothing runs, and only calls of tests are answered.
+    # For this long nothing runs, and only the /standin/ endpoints answer.
     freeze_seconds: backend_settings.Seconds = 0.0
-    # For this long the port is closed: connecting is refused.
+    # For this long the port is closed and connections are refused.
     refuse_seconds: backend_settings.Seconds = 0.0
-    # Answers that carry another request's id.
+    # Number of answers that carry another request's id.
     wrong_id: backend_settings.Count = 0
-    # The load report stays as it is now.
+    # The load report is no longer updated.
     stale_load: bool = False
-    # None: as the settings or SIGTERM say.
+    # None: the state set by the settings or by SIGTERM.
     state: backend_settings.BackendState | None = None
 
 
 class Announcement(msgspec.Struct, frozen=True):
-    """A line on standard output: what happened to a stand-in that runs alone."""
+    """A lifecycle event of a stand-in process, printed to standard output."""
 
     event: str
     name: str
     port: int
-    # Told at the end, when nobody can ask for them any more.
+    # Set for the last event, after which the counts can no longer be requested.
     counts: object = None
 
 
 class BackendStandin(server.StandinServer, abc.ABC):
-    """A backend server: its state, load report, faults and counts."""
+    """Base of a backend server with its state, load report, faults and counts."""
 
     FAULTS: type[Faults] = Faults
 
@@ -64,10 +64,10 @@
 
     @abc.abstractmethod
     def report(self) -> backend_load.LoadReport:
-        """Return the load of now."""
+        """Return the present load."""
 
     def add_routes(self, app: web.Application) -> None:
-        """Add the calls that every backend server answers."""
+        """Add the endpoints that every backend server has."""
         app.add_routes(
             [
                 web.get("/load", self.show_load),
@@ -79,17 +79,17 @@
         )
 
     async def start(self) -> None:
-        """Listen; `port` tells where."""
+        """Start listening on `port`."""
         await super().start()
         now = server.loop_time()
         self.set_state(self.state, now)
 
     def start_leaving(self) -> None:
-        """Be leaving from now on."""
+        """Switch to the leaving state."""
         self.set_state(backend_settings.BackendState.LEAVING, server.loop_time())
 
     def set_state(self, state: backend_settings.BackendState, now: ids.Instant) -> None:
-        """Change the state that health tells at once and load later."""
+        """Change the state; /health shows it at once, /load only after the lag."""
         leaving = state is backend_settings.BackendState.LEAVING
         if not leaving:
             self.leaving_since = None
@@ -99,13 +99,13 @@
         self.sample_load(now)
 
     def count_if_leaving(self, request_id: str, now: ids.Instant) -> None:
-        """Count a request that was sent to a leaving server."""
+        """Count a request that arrived after the server began to leave."""
         if self.leaving_since is not None:
             seconds = now - self.leaving_since
             self.counts.sent_while_leaving.setdefault(request_id, seconds)
 
     def sample_load(self, now: ids.Instant) -> None:
-        """Sample the load for reports of later."""
+        """Record a sample of the load for later reports."""
         self.load.sample(self.report(), now)
 
     async def apply_faults(self, faults: Faults) -> None:
@@ -120,7 +120,7 @@
         await self.refuse(faults.refuse_seconds)
 
     def consume_fault(self, field: str) -> bool:
-        """Count a fault down; whether there was one left."""
+        """Decrement a fault's counter; return False if it was 0."""
         left = getattr(self.faults, field)
         if left == 0:
             return False
@@ -128,21 +128,21 @@
         return True
 
     async def show_load(self, request: web.Request) -> web.Response:
-        """Answer the load as it was."""
+        """Answer the lagging load report."""
         now = server.loop_time()
         self.sample_load(now)
         return server.json_response(self.load.show(now))
 
     async def show_health(self, request: web.Request) -> web.Response:
-        """Answer the state of now."""
+        """Answer the present state."""
         return server.json_response(backend_settings.Health(self.state))
 
     async def show_counts(self, request: web.Request) -> web.Response:
-        """Answer what was counted."""
+        """Answer the counts."""
         return server.json_response(self.counts)
 
     async def show_faults(self, request: web.Request) -> web.Response:
-        """Answer the faults that are on."""
+        """Answer the active faults."""
         return server.json_response(self.faults)
 
     async def put_faults(self, request: web.Request) -> web.Response:
@@ -152,18 +152,18 @@
 
 
 def announce(event: str, backend: BackendStandin, counts: object = None) -> None:
-    """Print one JSON line for whoever started the process."""
+    """Print one JSON line for the parent process."""
     line = Announcement(event, backend.name, backend.port, counts)
     sys.stdout.write(msgspec.json.encode(line).decode() + "\n")
     sys.stdout.flush()
 
 
 async def serve_until_signal(backend: BackendStandin) -> None:
-    """Run a stand-in until SIGTERM or SIGINT, then let it finish what runs.
+    """Run a stand-in until SIGTERM or SIGINT, then finish its running requests.
 
-    It goes on listening for a while: a request that was on its way when the
-    signal came would otherwise meet a closed port after it was written, and
-    its sender couldn't tell whether it ran.
+    It keeps listening for `linger_seconds`: a request in transit when the
+    signal arrives would otherwise reach a closed port after it was written,
+    and its sender couldn't tell whether it ran.
     """
     loop = asyncio.get_running_loop()
     stop_requested = asyncio.Event()
--- a/src/tealcove/standins/backend_load.py
+++ b/src/tealcove/standins/backend_load.py
@@ -1,4 +1,4 @@
-"""A backend server's load report, which shows it as it was some time ago."""
+"""The load report of a backend server, which lags behind its actual load."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from tealcove import ids
 from tealcove.standins import backend_settings
 
-# Samples are at least this part of the lag apart, so that few are kept.
+# Minimum distance of samples as a share of the lag, which limits their number.
 SAMPLE_SHARE = 0.05
 
 
 class LoadReport(msgspec.Struct, frozen=True):
-    """How busy a backend server is."""
+    """The load and state of a backend server."""
 
     running: int
     waiting: int
@@ -25,40 +25,40 @@
 
 
 class Sample(msgspec.Struct, frozen=True):
-    """The load at an instant."""
+    """The load at one point in time."""
 
     at: ids.Instant
     report: LoadReport
 
 
 class LaggingLoad:
-    """Samples of the load, and the one that is old enough to be shown."""
+    """Keeps samples of the load and reports the one that is as old as the lag."""
 
     def __init__(self, lag: float) -> None:
         self.lag = lag
-        # A stale report stays as it was last shown.
+        # While True, the last report is repeated.
         self.stale = False
         self.shown: LoadReport | None = None
         self.samples: collections.deque[Sample] = collections.deque()
 
     def needs_sample(self, now: ids.Instant) -> bool:
-        """Whether it's time for the next sample."""
+        """Tell whether enough time has passed since the last sample."""
         if not self.samples:
             return True
         return now - self.samples[-1].at >= self.lag * SAMPLE_SHARE
 
     def sample(self, report: LoadReport, now: ids.Instant) -> None:
-        """Keep a sample."""
+        """Record a sample."""
         self.samples.append(Sample(now, report))
         self.discard_old(now)
 
     def discard_old(self, now: ids.Instant) -> None:
-        """Drop samples older than the newest one that may be shown."""
+        """Drop samples older than the newest one that has reached the lag."""
         while len(self.samples) > 1 and self.samples[1].at <= now - self.lag:
             self.samples.popleft()
 
     def show(self, now: ids.Instant) -> LoadReport:
-        """Return the newest sample as old as the lag, or else the oldest one."""
+        """Return the newest sample that has reached the lag, or else the oldest."""
         self.discard_old(now)
         if not self.stale or self.shown is None:
             self.shown = self.samples[0].report
--- a/src/tealcove/standins/platform.py
+++ b/src/tealcove/standins/platform.py
@@ -1,4 +1,4 @@
-"""A stand-in for the platform's store: the in-memory one behind its protocol."""
+"""A stand-in for the platform's store: the in-memory platform over HTTP."""
 
 from __future__ import annotations
 
@@ -27,35 +27,35 @@
 BAD_REQUEST = 400
 FORBIDDEN = 403
 MILLISECONDS = 1000.0
-# Bounds of the store's calls.
+# Limits of the store's calls.
 MAX_ENTRIES = 100
 MAX_WAIT_MS = 30_000
-# Tables that instances may not write.
+# Tables that instances can't write.
 READ_ONLY_TABLES = (names.OPERATOR_TABLE, names.SERVERS_TABLE)
 
 Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 
 
 class PlatformSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Settings of a stand-in that runs as a process of its own."""
+    """Settings of a stand-in that runs as a separate process."""
 
     host: str = "127.0.0.1"
     # 0: any free port.
     port: int = 0
-    # Bytes a second that the weight store gives out.
+    # Bytes per second that the weight store serves.
     weight_rate: float = rowweights.DEFAULT_RATE
     faults: faults.Faults = msgspec.field(default_factory=faults.Faults)
 
 
 class Counts(msgspec.Struct, frozen=True):
-    """Calls that were admitted since the start."""
+    """The number of calls admitted since the start."""
 
     reads: int
     writes: int
 
 
 class PlatformStandin:
-    """Serves the in-memory platform; `memory` is open to the tests that embed it."""
+    """Serves the in-memory platform; embedding tests access `memory` directly."""
 
     def __init__(self, settings: PlatformSettings | None = None) -> None:
         self.settings = settings or PlatformSettings()
@@ -66,16 +66,16 @@
 
     @property
     def url(self) -> str:
-        """The base URL for a StoreClient."""
+        """The base URL for a `StoreClient`."""
         return f"http://{self.settings.host}:{self.port}"
 
     async def start(self) -> None:
-        """Listen; `port` holds the port from here on, also over a restart."""
+        """Start listening; `port` keeps the port in use, also across restarts."""
         runner = web.AppRunner(
             self.application(),
             access_log=None,
             shutdown_timeout=0,
-            # A feed's caller that leaves must not keep its handler waiting.
+            # A handler of the change feed must end when its caller disconnects.
             handler_cancellation=True,
         )
         await runner.setup()
@@ -85,7 +85,7 @@
         self.runner = runner
 
     async def stop(self) -> None:
-        """Stop listening and close all connections; the contents stay."""
+        """Stop listening and close all connections; the data is kept."""
         if self.runner is not None:
             await self.runner.cleanup()
             self.runner = None
@@ -112,15 +112,15 @@
         return application
 
     async def transact(self, request: web.Request) -> web.Response:
-        """Apply a transaction; 412 carries the rows that its conditions name."""
+        """Apply a transaction; 412 carries the rows of its conditions."""
         body = msgspec.json.decode(await request.read(), type=store.WireTransaction)
         if any(row.table in READ_ONLY_TABLES for row in (*body.puts, *body.drop)):
             return web.Response(status=FORBIDDEN, text="The operator's own table.")
         if len(body.expect_rev) + len(body.puts) + len(body.drop) > MAX_ENTRIES:
             return web.Response(status=BAD_REQUEST, text="Too many entries.")
         try:
-            # A caller that leaves doesn't take its write back: it may still be
-            # applied, seconds later.
+            # A caller that disconnects doesn't cancel its write, which may still be
+            # applied seconds later.
             done = await asyncio.shield(self.memory.table.commit(to_transaction(body)))
         except table.ConditionFailedError:
             stored = self.memory.table.rows
@@ -130,7 +130,7 @@
         return self.page([], version=done.version)
 
     async def read(self, request: web.Request) -> web.Response:
-        """Answer a page of rows, in order of key."""
+        """Answer a page of rows, sorted by key."""
         query = request.query
         limit = min(int(query.get("limit", store.PAGE_ROWS)), store.PAGE_ROWS)
         if query["table"] == rowlist.TABLE:
@@ -144,14 +144,14 @@
         )
 
     async def listed_rows(self) -> list[table.Row]:
-        """Return the lagging list of instances as rows."""
+        """Return the lagging instance list as rows."""
         return [
             table.Row(rowlist.TABLE, entry.name, msgspec.json.encode(entry), 1)
             for entry in await self.memory.instances.listed()
         ]
 
     async def feed(self, request: web.Request) -> web.Response:
-        """Answer the changes of a table as soon as there are any."""
+        """Answer the changes of a table, as a long poll."""
         query = request.query
         seconds = min(int(query["wait_ms"]), MAX_WAIT_MS) / MILLISECONDS
         found = await self.memory.table.wait_for_changes(
@@ -167,7 +167,7 @@
         has_more: bool = False,
         status: int = store.HTTP_OK,
     ) -> web.Response:
-        """Return the answer that carries rows."""
+        """Return the response with a page of rows."""
         newest = self.memory.table.last_version if version is None else version
         now_ms = self.memory.gate.clock() * MILLISECONDS
         found = store.WirePage(tuple(rows), newest, has_more, now_ms)
@@ -188,31 +188,31 @@
         return web.Response()
 
     async def get_object(self, request: web.Request) -> web.Response:
-        """Answer an object; 404 if there is none."""
+        """Answer an object, or 404 if it doesn't exist."""
         content = await self.memory.objects.get(request.match_info["name"])
         if content is None:
             return web.Response(status=store.HTTP_NOT_FOUND)
         return web.Response(body=content)
 
     async def clear_history(self, request: web.Request) -> web.Response:
-        """Keep none of the changes so far."""
+        """Discard the change history."""
         await self.memory.table.forget_history()
         return web.Response(status=NO_CONTENT)
 
     async def write_row(self, request: web.Request) -> web.Response:
-        """Write a row as the operator or a backend server does."""
+        """Write a row on behalf of the operator or a backend server."""
         place = request.match_info
         await self.put_row(place["table"], place["key"], await request.read())
         return web.Response(status=NO_CONTENT)
 
     async def delete_row(self, request: web.Request) -> web.Response:
-        """Drop a row as the operator or a backend server does."""
+        """Delete a row on behalf of the operator or a backend server."""
         place = request.match_info
         await self.put_row(place["table"], place["key"], None)
         return web.Response(status=NO_CONTENT)
 
     async def put_row(self, name: str, key: str, value: bytes | None) -> None:
-        """Write a row, or drop it without a value; faults don't count here."""
+        """Write a row, or delete it if `value` is None; faults don't apply."""
         rows = self.memory.table
         rows.last_version += 1
         write = table.Delete(name, key) if value is None else None
@@ -224,7 +224,7 @@
     async def handle_errors(
         self, request: web.Request, handler: Handler
     ) -> web.StreamResponse:
-        """Turn errors of the in-memory platform into statuses and cut connections."""
+        """Map errors of the in-memory platform to statuses or a broken connection."""
         is_control = request.path.startswith("/standin/")
         if not is_control and request.remote in self.memory.faults.refused_callers:
             return web.Response(status=store.HTTP_UNAVAILABLE)
@@ -237,7 +237,7 @@
         except errors.PlatformUnavailableError as error:
             return web.Response(status=store.HTTP_UNAVAILABLE, text=str(error))
         except errors.OutcomeUnknownError:
-            # The write is applied. Cutting the connection here loses the reply.
+            # The write is applied; breaking the connection loses the reply.
             if request.transport is not None:
                 request.transport.abort()
             return web.Response()
@@ -245,13 +245,13 @@
             return web.Response(status=BAD_REQUEST, text=f"Not understood: {error}")
 
     async def replace_faults(self, request: web.Request) -> web.Response:
-        """Replace all faults by those of the JSON body."""
+        """Replace all faults with those of the JSON body."""
         body = await request.read()
         self.memory.faults = msgspec.json.decode(body, type=faults.Faults)
         return web.Response(status=NO_CONTENT)
 
     async def show_counts(self, request: web.Request) -> web.Response:
-        """Answer the numbers of reads and writes as JSON."""
+        """Answer the number of reads and writes as JSON."""
         counts = Counts(self.memory.read_count, self.memory.write_count)
         return web.Response(body=msgspec.json.encode(counts), content_type=JSON_TYPE)
 
@@ -271,7 +271,7 @@
 
 
 def to_transaction(body: store.WireTransaction) -> table.Transaction:
-    """Return a transaction as the in-memory platform takes it."""
+    """Convert a transaction to the form of the in-memory platform."""
     conditions = tuple(
         table.VersionIs(one.table, one.key, one.row_version)
         if one.row_version
@@ -284,13 +284,13 @@
 
 
 def wire_row(row: table.Row) -> store.WireRow:
-    """Return a row as it travels."""
+    """Convert a row to its wire format."""
     value = base64.b64encode(row.value).decode()
     return store.WireRow(row.table, row.key, value=value, row_version=row.version)
 
 
 def wire_change(name: str, entry: feed.Entry) -> store.WireRow:
-    """Return a change as it travels."""
+    """Convert a change to its wire format."""
     if entry.value is None:
         return store.WireRow(name, entry.key, row_version=entry.version, tombstone=True)
     return wire_row(table.Row(name, entry.key, entry.value, entry.version))
@@ -300,7 +300,7 @@
     settings: PlatformSettings,
     on_start: Callable[[PlatformStandin], None] | None = None,
 ) -> None:
-    """Run a stand-in until the task is cancelled; `on_start` learns its port."""
+    """Run a stand-in until cancelled; call `on_start` once it is listening."""
     standin = PlatformStandin(settings)
     await standin.start()
     try:
--- a/src/tealcove/standins/poolserver.py
+++ b/src/tealcove/standins/poolserver.py
@@ -1,4 +1,4 @@
-"""A stand-in for a backend server of the platform, with faults to switch on."""
+"""A stand-in for a backend server of the platform, with injectable faults."""
 
 from __future__ import annotations
 
@@ -17,38 +17,38 @@
 HTTP_MISDIRECTED = 421
 HTTP_UNAVAILABLE = 503
 HTTP_FAILED = 500
-# Requests that it works on at once.
+# Concurrent requests that a server reports it can run.
 SLOTS = 4
 EVENT_STREAM = "text/event-stream"
-# Time for the part of an answer to arrive before the reset overtakes it.
+# Time for a partial answer to arrive before the reset.
 PARTIAL_ANSWER_SECONDS = 0.05
-# Linger for 0 s: closing sends a reset in place of an orderly end.
+# SO_LINGER of 0 s: closing sends a reset instead of an orderly end.
 RESET_AT_CLOSE = struct.pack("ii", 1, 0)
 
 
 class Fault(enum.Enum):
-    """What goes wrong with the next request."""
+    """A fault of the next request."""
 
-    # It hasn't run: the server is full.
+    # The request is refused without running: the server is full.
     FULL = "full"
-    # It has run, and the connection is reset in place of an answer.
+    # The request runs, and the connection is reset instead of an answer.
     RESET = "reset"
-    # The answer bears another request's id.
+    # The answer carries another request's id.
     WRONG_ID = "foreign"
     # The answer says that the request failed.
     FAILED = "failed"
     # The stream is cut in the middle of an event.
     CUT = "cut"
-    # An event is left out.
+    # An event of the stream is missing.
     SKIPPED_EVENT = "skipped"
-    # An answer without a length that is reset on the way.
+    # An answer without a length is reset midway.
     UNFRAMED = "unframed"
-    # It never answers.
+    # The request is never answered.
     NO_ANSWER = "silent"
 
 
 class Run(msgspec.Struct, frozen=True):
-    """A request that has run."""
+    """A request that was run."""
 
     request_id: str
     account: str | None
@@ -66,12 +66,12 @@
     def __init__(self, name: str, service: str, events: int = 5) -> None:
         self.name = name
         self.service = service
-        # Of its software.
+        # The version of the server's software.
         self.version = "v1"
-        # Events of each stream, and seconds between two of them.
+        # Number of events of each stream, and the seconds between them.
         self.event_count = events
         self.event_interval = 0.0
-        # Seconds that a call takes.
+        # Duration of a call that isn't a stream.
         self.call_seconds = 0.0
         self.faults: collections.deque[Fault] = collections.deque()
         self.runs: list[Run] = []
@@ -80,7 +80,7 @@
         self.runner: web.AppRunner | None = None
 
     async def start(self) -> None:
-        """Listen on a free port of loopback."""
+        """Listen on a free port of the loopback interface."""
         app = web.Application()
         app.add_routes([web.route("*", "/{path:.*}", self.handle)])
         self.runner = web.AppRunner(
@@ -102,9 +102,9 @@
             self.runner = None
 
     def entry(self, state: str = "ready", born: int = 1) -> bytes:
-        """Return the row that such a server keeps in the store.
+        """Return the row of this server in the store.
 
-        `born` is the Unix millisecond of its start.
+        `born` is its start time in Unix milliseconds.
         """
         found = {
             "service": self.service,
@@ -120,7 +120,7 @@
         return msgspec.json.encode(found)
 
     async def handle(self, request: web.Request) -> web.StreamResponse:
-        """Answer one request."""
+        """Answer a request, or refuse it without running it."""
         body = await request.read()
         expected = request.headers.get(names.EXPECTED_INCARNATION)
         if expected not in (None, self.name):
@@ -138,7 +138,7 @@
             self.running -= 1
 
     def record(self, request: web.Request, body: bytes) -> None:
-        """Remember a request that runs."""
+        """Record a request that is run."""
         headers = request.headers
         self.runs.append(
             Run(
@@ -156,7 +156,7 @@
     async def run(
         self, request: web.Request, fault: Fault | None
     ) -> web.StreamResponse:
-        """Carry a request out."""
+        """Run a request, with its fault if there is one."""
         headers = {
             names.REQUEST_ID: request.headers[names.REQUEST_ID],
             names.SIGNATURE: f"signed by {self.name}",
@@ -181,7 +181,7 @@
     async def break_unframed(
         self, request: web.Request, headers: dict[str, str]
     ) -> web.StreamResponse:
-        """Send a part of an answer without a length, then reset."""
+        """Send part of an answer without a length, then reset the connection."""
         head = "".join(f"{name}: {value}\r\n" for name, value in headers.items())
         request.transport.write(f"HTTP/1.1 200 OK\r\n{head}\r\nhalf".encode())
         await asyncio.sleep(PARTIAL_ANSWER_SECONDS)
@@ -191,7 +191,7 @@
     async def stream(
         self, request: web.Request, headers: dict[str, str], fault: Fault | None
     ) -> web.StreamResponse:
-        """Send a stream, from the event after the last one that the caller has."""
+        """Send a stream, starting after the caller's last event."""
         last = int(request.headers.get(names.LAST_EVENT_ID, 0))
         response = web.StreamResponse(headers={**headers, "Content-Type": EVENT_STREAM})
         await response.prepare(request)
@@ -210,7 +210,7 @@
 
 
 def reset(transport: asyncio.Transport) -> None:
-    """Break a connection so that its peer sees a reset."""
+    """Close a connection with a TCP reset."""
     connection = transport.get_extra_info("socket")
     connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_AT_CLOSE)
     transport.abort()
--- a/src/tealcove/standins/server.py
+++ b/src/tealcove/standins/server.py
@@ -1,4 +1,4 @@
-"""The HTTP server under each backend stand-in: start, stop, die, freeze, refuse."""
+"""The HTTP server of the backend stand-ins: start, stop, kill, freeze, refuse."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from tealcove import ids, tasks
 
 MAX_BODY_BYTES = 16 * 1024 * 1024
-# A handler that is still there after its connection was broken is given up then.
+# Time after which handlers that are still running at shutdown are abandoned.
 SHUTDOWN_SECONDS = 1.0
 CONTROL_PREFIX = "/standin/"
 JSON = "application/json"
@@ -23,18 +23,18 @@
 
 
 def loop_time() -> ids.Instant:
-    """Return the present time of the running event loop."""
+    """Return the time of the running event loop."""
     return ids.Instant(asyncio.get_running_loop().time())
 
 
 def json_response(value: object, status: int = 200) -> web.Response:
-    """Return a response whose body is a value in JSON."""
+    """Return a response with a value as JSON."""
     body = msgspec.json.encode(value)
     return web.Response(body=body, status=status, content_type=JSON)
 
 
 async def decode_body(request: web.Request, shape: type[Decoded]) -> Decoded:
-    """Return a request's JSON body; raises HTTPBadRequest."""
+    """Decode a request's JSON body; raises HTTPBadRequest."""
     try:
         return msgspec.json.decode(await request.read(), type=shape)
     except msgspec.DecodeError as error:
@@ -42,20 +42,20 @@
 
 
 class StandinServer(abc.ABC):
-    """A server on one port that can be embedded, several in one event loop."""
+    """An embeddable server; several can share one event loop."""
 
     def __init__(self, name: str, host: str, port: int) -> None:
         self.name = name
         self.host = host
-        # The port in use from the first start on, also over a restart.
+        # The port in use from the first start on, also across restarts.
         self.port = port
         self.runner: web.AppRunner | None = None
         self.site: web.TCPSite | None = None
-        # Clear while the stand-in behaves as a stopped process.
+        # Clear while the stand-in behaves like a stopped process.
         self.unfrozen = asyncio.Event()
         self.unfrozen.set()
         self.unfreeze_timer: asyncio.TimerHandle | None = None
-        # Clear while any request isn't answered whole.
+        # Clear while any answer is incomplete.
         self.idle = asyncio.Event()
         self.idle.set()
         self.reopen_task: asyncio.Task[None] | None = None
@@ -65,7 +65,7 @@
         """Add the stand-in's own routes."""
 
     async def start(self) -> None:
-        """Listen; `port` tells where. Also starts a stand-in that died again."""
+        """Start listening on `port`, also after a stop or kill."""
         app = web.Application(
             middlewares=[self.hold_while_frozen], client_max_size=MAX_BODY_BYTES
         )
@@ -86,7 +86,7 @@
         self.port = self.runner.addresses[0][1]
 
     async def stop(self) -> None:
-        """Close the port and all connections; does nothing when stopped."""
+        """Close the port and all connections; do nothing when stopped."""
         if self.reopen_task is not None:
             self.reopen_task.cancel()
             self.reopen_task = None
@@ -95,12 +95,12 @@
             await runner.cleanup()
 
     async def kill(self) -> None:
-        """Break all connections at once, as a process that is killed does."""
+        """Break all connections at once and stop, as a killed process does."""
         self.abort_connections()
         await self.stop()
 
     def abort_connections(self) -> None:
-        """Break every open connection without a word."""
+        """Abort every open connection."""
         if self.runner is None:
             return
         for connection in self.runner.server.connections:
@@ -111,13 +111,13 @@
     async def hold_while_frozen(
         self, request: web.Request, handler: Handler
     ) -> web.StreamResponse:
-        """Answer nothing while frozen, except calls of tests."""
+        """Delay all requests but those to /standin/ while frozen."""
         if not request.path.startswith(CONTROL_PREFIX):
             await self.unfrozen.wait()
         return await handler(request)
 
     def freeze(self, seconds: float) -> None:
-        """Behave as a stopped process for a time; 0 ends it."""
+        """Behave like a stopped process for some seconds; 0 ends a freeze."""
         if self.unfreeze_timer is not None:
             self.unfreeze_timer.cancel()
         self.unfrozen.clear()
@@ -127,7 +127,7 @@
             self.unfrozen.set()
 
     async def refuse(self, seconds: float) -> None:
-        """Close the port for a time; 0 ends it. Open connections stay open."""
+        """Close the port for some seconds, but no open connection; 0 reopens it."""
         if self.reopen_task is not None:
             self.reopen_task.cancel()
             self.reopen_task = None
@@ -138,7 +138,7 @@
             self.reopen_task = tasks.start(again, f"port of {self.name}")
 
     async def reopen_port(self, seconds: float) -> None:
-        """Open the port again after a time."""
+        """Reopen the port after some seconds."""
         await asyncio.sleep(seconds)
         await self.listen()
         self.reopen_task = None
--- a/src/tealcove/standins/service.py
+++ b/src/tealcove/standins/service.py
@@ -1,4 +1,4 @@
-"""A stand-in for a plain service, whose calls may not all be repeated."""
+"""A stand-in for a plain service, not all of whose calls can be repeated."""
 
 from __future__ import annotations
 
@@ -23,38 +23,38 @@
 
 
 class ServiceSettings(backend_settings.BackendSettings, kw_only=True):
-    """How one service stand-in behaves; every field has a default."""
+    """Settings of one service stand-in; every field has a default."""
 
     name: str = "service"
     seconds_per_call: backend_settings.Seconds = 0.01
-    # Whether answers carry the request's id back.
+    # Whether answers carry the request id.
     echoes_request_id: bool = True
 
 
 class ServiceFaults(backend.Faults, kw_only=True):
     """Faults of a service."""
 
-    # Calls that run and whose connection then breaks without an answer.
+    # Number of calls that run and whose connection then breaks without an answer.
     lose_answers: backend_settings.Count = 0
-    # Calls that run and are answered with status 500.
+    # Number of calls that run and are answered with status 500.
     fail_calls: backend_settings.Count = 0
 
 
 class ServiceCounts(msgspec.Struct):
-    """Counts since the start, which no part of the system reads."""
+    """Counts since the start, for tests only; the system itself never reads them."""
 
-    # Calls that arrived, by request id, by idempotency key, and by
+    # Calls received, by request id, by idempotency key, and by
     # "<method> <path> <digest of the body>".
     dispatches: dict[str, int] = {}
     keys: dict[str, int] = {}
     calls: dict[str, int] = {}
-    # Calls that ran to their end, by request id.
+    # Calls that ran to completion, by request id.
     completed: dict[str, int] = {}
     sent_while_leaving: dict[str, float] = {}
 
 
 class Answer(msgspec.Struct, frozen=True):
-    """What a call is answered with; `digest` is that of its body."""
+    """The answer to a call; `digest` is that of the request's body."""
 
     method: str
     path: str
@@ -64,7 +64,7 @@
 
 
 class ServiceStandin(backend.BackendStandin):
-    """One plain service; it can be embedded, and started again."""
+    """A plain service that can be embedded and restarted."""
 
     FAULTS = ServiceFaults
 
@@ -72,16 +72,16 @@
         super().__init__(settings, ServiceCounts())
         self.slots = asyncio.Semaphore(settings.slots)
         self.running = 0
-        # Calls that arrived and haven't ended, with those that wait.
+        # Unfinished calls, including those that wait for a slot.
         self.calls: set[asyncio.Task[None]] = set()
 
     def add_routes(self, app: web.Application) -> None:
-        """Add the calls of docs/BACKENDS.md."""
+        """Add the endpoints of docs/BACKENDS.md."""
         super().add_routes(app)
         app.router.add_route("*", "/{path:.*}", self.answer)
 
     def report(self) -> backend_load.LoadReport:
-        """Return the load of now."""
+        """Return the present load."""
         return backend_load.LoadReport(
             running=self.running,
             waiting=len(self.calls) - self.running,
@@ -94,9 +94,9 @@
     async def answer(self, request: web.Request) -> web.Response:
         """Run a call of any method and path.
 
-        A call that began runs to its end although its connection breaks, as a
-        quote does that is on its way to a client: that is why the system may
-        not send it a second time.
+        A call runs to completion even if its connection breaks, like a quote
+        that is already being sent to a client: that is why the system must not
+        send the call a second time.
         """
         body = await request.read()
         call = self.count(request, body)
@@ -108,19 +108,19 @@
         return self.respond(request, call)
 
     def end(self, task: asyncio.Task[None]) -> None:
-        """Note that a call ended."""
+        """Remove a finished call, and set `idle` after the last one."""
         self.calls.discard(task)
         if not self.calls:
             self.idle.set()
 
     async def stop(self) -> None:
-        """Close the port and all connections; calls that run are lost."""
+        """Close the port and all connections, and cancel unfinished calls."""
         for task in self.calls:
             task.cancel()
         await super().stop()
 
     def count(self, request: web.Request, body: bytes) -> Answer:
-        """Count a call that arrived, and return its answer."""
+        """Count a received call, and return its answer."""
         digest = hashlib.blake2b(body, digest_size=DIGEST_BYTES).hexdigest()
         request_id = request.headers.get(REQUEST_ID, "")
         key = request.headers.get(IDEMPOTENCY_KEY)
@@ -133,7 +133,7 @@
         return Answer(request.method, path, digest, request_id, self.name)
 
     async def run(self, call: Answer) -> None:
-        """Take a slot for as long as a call lasts."""
+        """Run a call in a slot, and count it as completed."""
         async with self.slots:
             self.running += 1
             try:
@@ -147,7 +147,7 @@
         self.sample_load(server.loop_time())
 
     def respond(self, request: web.Request, call: Answer) -> web.Response:
-        """Return the answer, or what the faults make of it."""
+        """Return the response to a call, with the active faults."""
         if self.consume_fault("lose_answers"):
             if request.transport is not None:
                 request.transport.abort()
@@ -163,5 +163,5 @@
 
 
 async def serve(settings: ServiceSettings) -> None:
-    """Run one service until SIGTERM, then finish what runs."""
+    """Run one service until SIGTERM, then finish its running calls."""
     await backend.serve_until_signal(ServiceStandin(settings))
