--- a/src/tealcove/standins/tests/__init__.py
+++ b/src/tealcove/standins/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the standins slice."""
+"""Tests of the stand-ins."""
--- a/src/tealcove/standins/tests/builders.py
+++ b/src/tealcove/standins/tests/builders.py
@@ -1,4 +1,4 @@
-"""Stand-ins that run in a test, and calls to them."""
+"""Helpers that run stand-ins in a test and call them."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 # A block of the prefix cache is 64 tokens of 4 bytes.
 BLOCK = "x" * 256
 TIMEOUT_SECONDS = 20.0
-# Serves the stand-in of the module and the settings that are its arguments.
+# Runs the stand-in of the module and settings given as arguments.
 SERVE_SCRIPT = """
 import asyncio, importlib, sys, typing, msgspec
 module = importlib.import_module(sys.argv[1])
@@ -35,7 +35,7 @@
 
 
 def fast_engine_settings(**fields: object) -> engine_settings.EngineSettings:
-    """Return settings of a fast engine without lags."""
+    """Return the settings of a fast engine without lag."""
     values = {
         "models": {MODEL: "1"},
         "decode_seconds_per_token": 0.002,
@@ -50,7 +50,7 @@
 
 @contextlib.asynccontextmanager
 async def running(standin: backend.BackendStandin) -> AsyncIterator[Caller]:
-    """Run a stand-in and a caller of it."""
+    """Run a stand-in and yield a caller for it."""
     await standin.start()
     async with aiohttp.ClientSession(f"http://127.0.0.1:{standin.port}") as session:
         yield Caller(session, standin)
@@ -58,12 +58,12 @@
 
 
 def running_engine(**fields: object) -> contextlib.AbstractAsyncContextManager[Caller]:
-    """Run an engine."""
+    """Run an engine and yield a caller for it."""
     return running(engine.EngineStandin(fast_engine_settings(**fields)))
 
 
 def running_service(**fields: object) -> contextlib.AbstractAsyncContextManager[Caller]:
-    """Run a plain service."""
+    """Run a plain service and yield a caller for it."""
     settings = service.ServiceSettings(load_lag=0.0, **fields)
     return running(service.ServiceStandin(settings))
 
@@ -72,7 +72,7 @@
 async def process(
     module: str, settings: backend_settings.BackendSettings
 ) -> AsyncIterator[tuple[Caller, asyncio.subprocess.Process]]:
-    """Run a stand-in as a process of its own, and a caller of it."""
+    """Run a stand-in as a separate process, and yield a caller and the process."""
     child = await asyncio.create_subprocess_exec(
         *(sys.executable, "-c", SERVE_SCRIPT, module, msgspec.json.encode(settings)),
         stdout=asyncio.subprocess.PIPE,
@@ -99,7 +99,7 @@
 
 
 class Answer:
-    """A stream as it was read: header, events, and whether it ended in order."""
+    """A stream that was read: its id header, events, and whether it is complete."""
 
     def __init__(self, response: aiohttp.ClientResponse) -> None:
         self.status = response.status
@@ -156,7 +156,7 @@
             return await Answer(response).read(response)
 
     async def complete_or_raise(self, request_id: str, *arguments, **more) -> Answer:
-        """Raise ClientError unless the answer is whole."""
+        """Return a complete answer; raises ClientError for an incomplete one."""
         answer = await self.complete(request_id, *arguments, **more)
         if not answer.is_complete:
             raise aiohttp.ClientPayloadError
--- a/src/tealcove/standins/tests/test_engine.py
+++ b/src/tealcove/standins/tests/test_engine.py
@@ -1,4 +1,4 @@
-"""The engine stand-in does what docs/BACKENDS.md says."""
+"""The engine stand-in behaves as docs/BACKENDS.md describes."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 MODULE = "tealcove.standins.engine"
 
 
-async def test_answers_whole_and_the_same_for_the_same_prompt():
+async def test_answer_is_complete_and_determined_by_the_prompt():
     async with builders.running_engine() as caller:
         answer = await caller.complete("a", "bisque", 40)
         other = await caller.complete("b", "rigging", 40)
@@ -64,13 +64,13 @@
         ({"prompt": 3}, 400),
     ],
 )
-async def test_refuses_what_cannot_run(more, status):
+async def test_invalid_requests_are_refused(more, status):
     async with builders.running_engine() as caller:
         assert (await caller.complete("a", **more)).status == status
         assert caller.counts.dispatches == {}
 
 
-async def test_admits_all_and_runs_as_many_as_it_has_slots():
+async def test_admits_all_requests_and_runs_one_per_slot():
     async with builders.running_engine(slots=2) as caller:
         calls = [caller.post(f"r{n}", "p", LONG) for n in range(5)]
         responses = await asyncio.gather(*calls)
@@ -87,20 +87,20 @@
     assert caller.counts.completed == {}
 
 
-async def test_second_dispatch_runs_again_and_is_counted():
+async def test_second_dispatch_runs_and_is_counted():
     async with builders.running_engine() as caller:
         answers = await asyncio.gather(caller.complete("a"), caller.complete("a"))
         assert all(answer.is_complete for answer in answers)
         assert caller.counts.dispatches == caller.counts.completed == {"a": 2}
 
 
-async def test_prefix_is_cached_until_memory_is_needed():
+async def test_prefix_is_cached_until_it_is_evicted():
     async with builders.running_engine(cache_blocks=4) as caller:
         shared = builders.BLOCK * 3
         assert (await caller.complete("a", shared)).usage["cached_tokens"] == 0
         assert (await caller.complete("b", shared + "y")).usage["cached_tokens"] == 192
         await caller.complete("c", "z" * 512)
-        # The end of the shared prefix made room: its start is worth more.
+        # The end of the shared prefix is evicted before its start.
         assert (await caller.complete("d", shared)).usage["cached_tokens"] == 128
         assert (await caller.call("GET", "/load"))["cached_blocks"] == 4
         report = await caller.call("GET", "/cache-events?after=0")
@@ -134,10 +134,10 @@
 
 
 async def test_broken_answer_is_resumed_without_second_dispatch():
-    """Symptom: half an answer arrives.
+    """Guards against losing a request whose connection breaks.
 
-    The connection breaks after 10 tokens; the caller asks the same engine for
-    the rest. The cause is the network, so the engine has to keep the request.
+    The connection breaks after 10 tokens, and the caller requests the rest from
+    the same engine, which must keep the request, since only the network failed.
     """
     async with builders.running_engine() as caller:
         await caller.set_faults(cut_after_tokens=10)
@@ -152,11 +152,11 @@
         assert caller.counts.dispatches == caller.counts.completed == {"a": 1}
 
 
-async def test_request_nobody_resumes_is_cancelled_and_its_prefill_wasted():
-    """Symptom: an engine goes on computing for a caller that is gone.
+async def test_request_that_is_not_resumed_is_cancelled_and_its_prefill_wasted():
+    """Guards against an engine that keeps computing for a disconnected caller.
 
-    The connection breaks and nobody comes back: after `resume_seconds` the
-    slot has to be free, and the prompt's computation counts as wasted.
+    The connection breaks and nobody resumes the request: after `resume_seconds`
+    the slot must be free, and the computed prompt counts as wasted.
     """
     async with builders.running_engine(resume_seconds=0.05) as caller:
         response = await caller.post("a", builders.BLOCK, LONG)
@@ -168,7 +168,7 @@
         assert (await caller.resume("a", 0)).status == 404
 
 
-async def test_spoilt_streams_show_as_such():
+async def test_faulty_streams_are_recognisable():
     async with builders.running_engine() as caller:
         await caller.set_faults(wrong_id=1)
         wrong = await caller.complete("a")
@@ -189,7 +189,7 @@
         assert (await caller.complete("f")).text == engine.expected_answer("p", 5)
 
 
-async def test_frozen_engine_answers_only_calls_of_tests_and_thaws():
+async def test_frozen_engine_answers_only_control_calls_until_unfrozen():
     running = builders.running_engine
     async with running() as caller, running() as other:
         response = await caller.post("a", "p", LONG)
@@ -206,7 +206,7 @@
         response.close()
 
 
-async def test_closed_port_refuses_and_opens_again():
+async def test_closed_port_refuses_connections_and_reopens():
     async with builders.running_engine() as caller:
         await caller.standin.apply_faults(engine.EngineFaults(refuse_seconds=1000.0))
         with pytest.raises(aiohttp.ClientConnectorError):
@@ -217,7 +217,7 @@
         assert (await caller.complete("a")).is_complete
 
 
-async def test_load_report_goes_stale_and_health_does_not():
+async def test_load_report_becomes_stale_but_health_does_not():
     async with builders.running_engine() as caller:
         await caller.call("GET", "/load")
         await caller.set_faults(stale_load=True, state="leaving")
@@ -235,7 +235,7 @@
 
 
 @pytest.mark.parametrize("checks_fencing", [True, False])
-async def test_orders_set_the_wanted_state(checks_fencing):
+async def test_orders_set_the_desired_state(checks_fencing):
     async with builders.running_engine(checks_fencing=checks_fencing) as caller:
         post = {"method": "POST", "path": "/orders"}
         for body in (order(7, "load_adapter", "jars", "2"), order(7, "set_role")):
@@ -256,11 +256,11 @@
         assert accepted == [True, True, True, not checks_fencing]
 
 
-async def test_marked_prompt_kills_the_engine_which_can_start_again():
-    """Symptom: every answer of an engine breaks at once.
+async def test_marked_prompt_crashes_the_engine_which_can_restart():
+    """Guards against losing the counts of a crashed engine.
 
-    One prompt crashes the engine that starts it; the others that ran there
-    break with it. Its counts have to outlive it: tests judge by them.
+    One prompt crashes the engine that starts it, and all other answers of that
+    engine break too. The counts must survive, since tests check them.
     """
     crashes = []
     settings = builders.fast_engine_settings(crash_marker="poison")
@@ -280,11 +280,11 @@
         assert caller.counts.prefill_wasted >= 64
 
 
-async def test_sigterm_finishes_what_runs():
-    """Symptom: an answer is cut off when an engine is told to stop.
+async def test_sigterm_finishes_running_requests():
+    """Guards against an answer that is cut off when an engine is stopped.
 
-    SIGTERM comes while a request runs; the process has to write the whole
-    answer and exit with 0 only then.
+    SIGTERM arrives while a request runs; the process must write the complete
+    answer before it exits with 0.
     """
     settings = builders.fast_engine_settings(linger_seconds=0.0)
     async with builders.process(MODULE, settings) as (caller, child):
@@ -310,7 +310,7 @@
         assert await child.wait() == engine.CRASH_EXIT_CODE
 
 
-def test_load_report_shows_the_load_of_some_time_ago():
+def test_load_report_lags():
     load = backend_load.LaggingLoad(lag=1.0)
     state = backend_settings.BackendState.SERVING
     reports = [backend_load.LoadReport(n, 0, 8, 0, 0, state) for n in range(4)]
@@ -321,7 +321,7 @@
     assert load.show(4.0) is reports[3]
 
 
-def test_cache_events_come_late_and_lost_ones_use_up_numbers():
+def test_cache_events_are_delayed_and_dropped_ones_use_up_numbers():
     log = engine_cache.EventLog(lag=1.0, gap_share=0.0, seed=0)
     log.record("stored", (1,), 0.0)
     log.dropping = True
@@ -333,7 +333,7 @@
     assert [event.sequence for event in log.report(1, 1.5).events] == [3]
 
 
-async def test_straggler_and_batch_size_slow_a_step():
+async def test_speed_factor_and_batch_size_slow_a_step():
     settings = builders.fast_engine_settings(batch_slowdown=0.5)
     batch = engine.EngineStandin(settings).batch
     alone = batch.step_seconds()
--- a/src/tealcove/standins/tests/test_platform.py
+++ b/src/tealcove/standins/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""The platform's stand-in: faults and the instance list by HTTP, and restarts."""
+"""The platform stand-in: faults and instance list over HTTP, and restarts."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
         assert await listing.listed() == ()
 
 
-async def test_contents_and_port_stay_over_a_restart():
+async def test_data_and_port_are_kept_across_a_restart():
     async with builders.serving() as (standin, connected):
         rows = services.StoreTable(connected)
         done = await rows.commit(builders.put("a"))
@@ -58,11 +58,11 @@
         assert (await rows.read("t", "a")).version == done.version
 
 
-async def test_wrong_address_is_not_taken_for_an_empty_platform():
-    """Symptom: an instance starts with an empty configuration.
+async def test_wrong_address_is_not_mistaken_for_an_empty_platform():
+    """Guards against an instance that starts with an empty configuration.
 
-    Events: the settings name an address at which something else answers 404.
-    Cause: 404 taken for "there is no such row".
+    The settings name the address of another server, which answers 404, and the
+    404 is mistaken for "there is no such row".
     """
     async with builders.serving() as (standin, _):
         elsewhere = store_client.StoreClient(
@@ -77,7 +77,7 @@
             await elsewhere.close()
 
 
-async def test_serve_tells_its_port_and_stops_when_cancelled():
+async def test_serve_reports_its_port_and_stops_when_cancelled():
     started = asyncio.get_running_loop().create_future()
     settings = msgspec.json.decode(
         b'{"weight_rate": 5, "faults": {"down": true}}', type=platform.PlatformSettings
--- a/src/tealcove/standins/tests/test_service.py
+++ b/src/tealcove/standins/tests/test_service.py
@@ -1,4 +1,4 @@
-"""The service stand-in counts calls and never runs one by itself again."""
+"""The service stand-in counts calls and never repeats one by itself."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     assert sorted(counts.calls.values()) == [1, 1]
 
 
-async def test_runs_as_many_as_it_has_slots():
+async def test_runs_one_call_per_slot():
     fields = {"slots": 2, "seconds_per_call": 1000.0}
     async with builders.running_service(**fields) as caller:
         calls = [asyncio.create_task(caller.call("GET", "/x")) for _ in range(5)]
@@ -39,11 +39,11 @@
             call.cancel()
 
 
-async def test_call_whose_answer_is_lost_still_ran():
-    """Symptom: a quote whose caller saw an error has gone out all the same.
+async def test_call_with_a_lost_answer_is_counted_as_completed():
+    """Guards against missing a quote that was sent although its caller saw an error.
 
-    The service runs the call, then the connection breaks; the caller can't
-    tell, so the count of calls that ran has to.
+    The service runs the call, then the connection breaks. The caller can't know
+    that it ran, so the count of completed calls must show it.
     """
     async with builders.running_service() as caller:
         await caller.set_faults(lose_answers=1)
@@ -53,7 +53,7 @@
         await builders.until(lambda: caller.counts.completed == {"a": 1})
 
 
-async def test_failures_wrong_ids_and_leaving():
+async def test_failures_wrong_ids_and_leaving_state():
     async with builders.running_service() as caller:
         headers = {"X-Request-Id": "a"}
         await caller.set_faults(fail_calls=1, wrong_id=1, state="leaving")
@@ -77,10 +77,10 @@
         assert (await pending)["path"] == "/x"
 
 
-async def test_sigterm_finishes_what_runs():
-    """Symptom: a call is cut off when its service is told to stop.
+async def test_sigterm_finishes_running_calls():
+    """Guards against a call that is cut off when its service is stopped.
 
-    SIGTERM comes while the call runs; the process has to answer it first.
+    SIGTERM arrives while the call runs; the process must answer it first.
     """
     settings = service.ServiceSettings(
         seconds_per_call=0.5, linger_seconds=0.0, load_lag=0.0
