--- a/soak/callers.py
+++ b/soak/callers.py
@@ -7,7 +7,7 @@
 
 import aiohttp
 import msgspec
-from tests import platformed
+from tests import platform_site
 
 from soak import calm, deployment
 from tealcove import clock, ids
@@ -31,7 +31,7 @@
 
     request_id: str
     path: str
-    answer: platformed.Answer
+    answer: platform_site.Answer
     # The instance that it was sent to.
     member: str
 
@@ -68,13 +68,13 @@
     def key_at(self, member: deployment.Member, now: ids.Instant) -> str:
         """Return the newest key that must be in force at an instance."""
         if not self.record.is_calm(now, member.name, calm.STORE):
-            return platformed.KEY
+            return platform_site.KEY
         in_force = [
             key
             for key, since in self.running.declared.items()
             if now - since > IN_FORCE_SECONDS
         ]
-        return in_force[-1] if in_force else platformed.KEY
+        return in_force[-1] if in_force else platform_site.KEY
 
     async def send(
         self,
@@ -82,10 +82,10 @@
         member: deployment.Member,
         request_id: str,
         path: str,
-    ) -> platformed.Answer:
+    ) -> platform_site.Answer:
         """Send one request."""
         headers = {
-            "Host": platformed.HOST,
+            "Host": platform_site.HOST,
             names.REQUEST_ID: request_id,
             names.API_KEY: self.key_at(member, clock.now()),
             names.DEADLINE_MS: "3000",
@@ -93,9 +93,9 @@
         url = f"http://{member.listen['callers']}{path}"
         try:
             async with session.post(url, headers=headers, data=b"x") as response:
-                return await platformed.read(response)
+                return await platform_site.read(response)
         except (aiohttp.ClientError, TimeoutError):
-            return platformed.Answer(None, b"", False)
+            return platform_site.Answer(None, b"", False)
 
 
 def broken_promises(running: deployment.Deployment, ended: list[Ended]) -> list[str]:
@@ -119,7 +119,7 @@
     found = []
     if one.path.startswith("/once/") and runs > 1:
         found.append(f"ran {runs} times")
-    has_promise = answer.status in PROMISES and answer.is_whole
+    has_promise = answer.status in PROMISES and answer.is_complete
     if has_promise and runs and one.path.startswith("/once/"):
         found.append(f"answered {answer.status}, and has run")
     if answer.status in (401, 404):
@@ -130,7 +130,7 @@
         if answer.headers.get(names.REQUEST_ID) != one.request_id:
             found.append("another request's answer")
         is_stream = one.path.startswith("/stream/")
-        if is_stream and answer.is_whole and answer.body != WHOLE_STREAM:
+        if is_stream and answer.is_complete and answer.body != WHOLE_STREAM:
             found.append(f"a whole stream that isn't: {answer.body!r}")
         if is_stream and not WHOLE_STREAM.startswith(answer.body):
             found.append(f"events out of order: {answer.body!r}")
--- a/soak/deployment.py
+++ b/soak/deployment.py
@@ -12,7 +12,7 @@
 
 import msgspec
 from tests import deployment as networks
-from tests import platformed
+from tests import platform_site
 
 from soak import proxy
 from tealcove import clock, ids
@@ -88,7 +88,7 @@
 
     def __init__(self, folder: pathlib.Path, members: int, servers: int) -> None:
         self.store = platform.PlatformStandin()
-        self.network, self.network_holder = networks.hold_network()
+        self.network, self.network_socket = networks.reserve_network()
         self.members = [
             Member(f"i-{n}", f"{self.network}.{n + 1}", folder) for n in range(members)
         ]
@@ -117,7 +117,7 @@
         """Start all parts and wait until callers can connect."""
         await self.store.start()
         await self.store.put_row(
-            names.OPERATOR_TABLE, names.CONFIGURATION_KEY, platformed.configuration()
+            names.OPERATOR_TABLE, names.CONFIGURATION_KEY, platform_site.configuration()
         )
         for server in self.servers:
             await self.add(server)
@@ -140,7 +140,7 @@
         for server in self.servers:
             await server.stop()
         await self.store.stop()
-        self.network_holder.close()
+        self.network_socket.close()
 
     async def add(self, server: poolserver.PoolServer) -> None:
         """Start a backend server behind a proxy, and list it."""
@@ -166,8 +166,11 @@
         """Write a configuration that has one key more."""
         key = f"key-{len(self.keys)}"
         self.keys.append(key)
-        own = {"name": platformed.ACCOUNT, "api_keys": [platformed.KEY, *self.keys]}
-        content = platformed.configuration(tenants=[own])
+        own = {
+            "name": platform_site.ACCOUNT,
+            "api_keys": [platform_site.KEY, *self.keys],
+        }
+        content = platform_site.configuration(tenants=[own])
         await self.store.put_row(names.OPERATOR_TABLE, names.CONFIGURATION_KEY, content)
         self.declared[key] = clock.now()
         return key
--- a/src/tealcove/standins/answers.py
+++ b/src/tealcove/standins/answers.py
@@ -16,7 +16,7 @@
 
 
 def token_text(key: bytes, index: int) -> str:
-    """Return the text of the token at the zero-based `index`."""
+    """Return the text of the token at `index`, counted from 0."""
     digest = hashlib.blake2b(index.to_bytes(8), key=key, digest_size=DIGEST_BYTES)
     return digest.hexdigest()[:HEX_DIGITS] + " "
 
--- a/tests/callers.py
+++ b/tests/callers.py
@@ -95,13 +95,15 @@
         line += f" ({found.reason})"
     if found.outcome == "completed":
         line += (
-            ", whole and its own" if is_own(found, prompt, max_tokens) else ", WRONG"
+            ", whole and its own"
+            if is_own_answer(found, prompt, max_tokens)
+            else ", WRONG"
         )
     elif found.text:
         line += ", a fragment that the connection's end gave away"
     return line
 
 
-def is_own(found: Reply, prompt: str, max_tokens: int) -> bool:
+def is_own_answer(found: Reply, prompt: str, max_tokens: int) -> bool:
     """Tell whether an answer is the whole one of this very prompt."""
     return found.text == answers.expected_answer(prompt, max_tokens)
--- a/tests/deployment.py
+++ b/tests/deployment.py
@@ -26,14 +26,14 @@
 T = TypeVar("T")
 
 READY_TIMEOUT = 60.0
-POLL = 0.02
+POLL_SECONDS = 0.02
 HTTP_PORT = 7000
 PEER_PORT = 7001
 OPERATOR_KEY = "operator-key"
 
 # Each deployment gets a loopback network of its own, held by a socket bound in
 # it, so that tests which run side by side can't meet on a port.
-HOLD_PORT = 6999
+RESERVATION_PORT = 6999
 # Where instances listen: the last number of the first one's host by kind of
 # deployment, and all ports.
 FIRST_HOSTS = (1, 150)
@@ -50,10 +50,10 @@
         while True:
             if await check():
                 return
-            await asyncio.sleep(POLL)
+            await asyncio.sleep(POLL_SECONDS)
 
 
-def hold_network() -> tuple[str, socket.socket]:
+def reserve_network() -> tuple[str, socket.socket]:
     """Return the first three numbers of a free network, and what holds it.
 
     Raises LeftoverError when a process of an earlier deployment still listens there:
@@ -61,24 +61,24 @@
     """
     for second, third in itertools.product(range(10, 250), range(1, 250)):
         network = f"127.{second}.{third}"
-        holder = socket.socket()
+        reservation = socket.socket()
         try:
-            holder.bind((f"{network}.254", HOLD_PORT))
+            reservation.bind((f"{network}.254", RESERVATION_PORT))
         except OSError:
-            holder.close()
+            reservation.close()
             continue
-        refuse_leftovers(network, holder)
-        return network, holder
+        check_leftovers(network, reservation)
+        return network, reservation
     raise RuntimeError("no free loopback network")
 
 
-def refuse_leftovers(network: str, holder: socket.socket) -> None:
+def check_leftovers(network: str, reservation: socket.socket) -> None:
     """Raise LeftoverError when something listens where an instance would."""
     hosts = [f"{network}.{first + n}" for first in FIRST_HOSTS for n in range(8)]
     for host, port in itertools.product(hosts, INSTANCE_PORTS):
         with socket.socket() as found:
             if found.connect_ex((host, port)) == 0:
-                holder.close()
+                reservation.close()
                 raise LeftoverError(
                     f"{host}:{port} is taken by a process that an earlier deployment "
                     "left behind; find out which test started it."
@@ -126,13 +126,13 @@
         """Stop it from running, as a long pause does."""
         self.send(signal.SIGSTOP)
 
-    def thaw(self) -> None:
+    def unfreeze(self) -> None:
         """Let it go on."""
         self.send(signal.SIGCONT)
 
     async def end(self) -> None:
         """Kill it and wait until it's gone."""
-        self.thaw()
+        self.unfreeze()
         self.kill()
         if self.process is not None:
             await self.process.wait()
@@ -143,7 +143,7 @@
 
     def __init__(self, folder: pathlib.Path, **platform: object) -> None:
         self.folder = folder
-        self.network, self.network_holder = hold_network()
+        self.network, self.network_socket = reserve_network()
         self.platform = self.standin("platform", "platform", 1, platform)
         self.processes: list[Process] = []
         self.engines: list[Process] = []
@@ -174,7 +174,7 @@
             await process.end()
         await self.session.close()
         await self.client.close()
-        self.network_holder.close()
+        self.network_socket.close()
 
     def write(self, name: str, content: object) -> str:
         """Write a settings file and return its path."""
@@ -183,11 +183,11 @@
         return str(path)
 
     def standin(
-        self, role: str, name: str, number: int, found: dict[str, object]
+        self, role: str, name: str, number: int, settings: dict[str, object]
     ) -> Process:
         """Return a stand-in at its own address."""
         host = f"{self.network}.{number}"
-        path = self.write(name, {"host": host, "port": HTTP_PORT, **found})
+        path = self.write(name, {"host": host, "port": HTTP_PORT, **settings})
         arguments = ["standin", role, "--settings", path]
         return Process(name, arguments, host, HTTP_PORT)
 
@@ -210,26 +210,26 @@
 
         await until(listens)
 
-    async def add_engine(self, **found: object) -> Process:
+    async def add_engine(self, **settings: object) -> Process:
         """Start another model engine."""
         number = len(self.engines)
         name = f"engine-{number}"
         models = {"models": {"m": "1"}}
-        engine = self.standin("engine", name, 50 + number, {**models, **found})
+        engine = self.standin("engine", name, 50 + number, {**models, **settings})
         self.engines.append(engine)
         await self.start(engine)
         return engine
 
-    async def add_service(self, **found: object) -> Process:
+    async def add_service(self, **settings: object) -> Process:
         """Start another plain service."""
         number = len(self.services)
         name = f"service-{number}"
-        service = self.standin("service", name, 100 + number, found)
+        service = self.standin("service", name, 100 + number, settings)
         self.services.append(service)
         await self.start(service)
         return service
 
-    async def add_instance(self, **found: object) -> Process:
+    async def add_instance(self, **settings: object) -> Process:
         """Start another instance of the system."""
         number = len(self.instances)
         name = f"instance-{number}"
@@ -244,7 +244,7 @@
             "operators": [{"name": "ops", "key_hash": bearer.hash_key(OPERATOR_KEY)}],
             "configuration": {"poll_interval": 0.1},
             "shutdown": {"entry_points_ttl": 0.5},
-            **found,
+            **settings,
         }
         path = self.write(name, content)
         arguments = ["serve", "--settings", path]
@@ -343,11 +343,11 @@
         """Run a call in the background."""
         return asyncio.create_task(call)
 
-    async def until_counted(self, process: Process, name: str, least: int) -> None:
+    async def until_counted(self, process: Process, name: str, minimum: int) -> None:
         """Wait until a stand-in has counted so much."""
 
         async def enough() -> bool:
-            return (await self.counts(process))[name] >= least
+            return (await self.counts(process))[name] >= minimum
 
         await until(enough)
 
--- a/tests/embedded.py
+++ b/tests/embedded.py
@@ -59,7 +59,7 @@
     def url(instance: daemon.Instance) -> str:
         return f"http://{HOST}:{instance.http_port}"
 
-    async def add_instance(self, name: str, **found: object) -> daemon.Instance:
+    async def add_instance(self, name: str, **changes: object) -> daemon.Instance:
         """Start an instance that knows those before it."""
         seeds = tuple(str(one.mesh.listen) for one in self.instances.values())
         own = settings.Settings(
@@ -72,7 +72,7 @@
             configuration=settings.Configuration(poll_interval=0.05),
         )
         exporter = in_memory_span_exporter.InMemorySpanExporter()
-        instance = daemon.Instance(msgspec.structs.replace(own, **found), exporter)
+        instance = daemon.Instance(msgspec.structs.replace(own, **changes), exporter)
         await instance.start()
         self.instances[name] = instance
         self.exporters[name] = exporter
@@ -151,7 +151,7 @@
 
 
 @contextlib.asynccontextmanager
-async def pair(**found: object) -> AsyncIterator[Pair]:
+async def pair(**changes: object) -> AsyncIterator[Pair]:
     """Start everything, and stop it in the other order."""
     async with contextlib.AsyncExitStack() as ending:
         running = Pair()
@@ -160,7 +160,7 @@
             ending.push_async_callback(part.stop)
         await running.declare()
         for name in ("i1", "i2"):
-            instance = await running.add_instance(name, **found)
+            instance = await running.add_instance(name, **changes)
             ending.push_async_callback(instance.stop)
         running.session = aiohttp.ClientSession()
         ending.push_async_callback(running.session.close)
--- a/tests/platformed.py
+++ b/tests/platform_site.py
@@ -18,8 +18,8 @@
 HOST = "callers.example"
 KEY = "the-key"
 ACCOUNT = "bakery"
-PATIENCE = 30.0
-POLL = 0.01
+TIMEOUT_SECONDS = 30.0
+POLL_SECONDS = 0.01
 FIRST_PORT = 7000
 
 
@@ -61,10 +61,10 @@
 
 async def until(check: Callable[[], bool]) -> None:
     """Wait until a check holds; the timeout is far beyond any healthy wait."""
-    deadline = asyncio.get_running_loop().time() + PATIENCE
+    deadline = asyncio.get_running_loop().time() + TIMEOUT_SECONDS
     while not check():
         assert asyncio.get_running_loop().time() < deadline
-        await asyncio.sleep(POLL)
+        await asyncio.sleep(POLL_SECONDS)
 
 
 class Answer(msgspec.Struct, frozen=True):
@@ -72,7 +72,7 @@
 
     status: int | None
     body: bytes
-    is_whole: bool
+    is_complete: bool
     headers: dict[str, str] = {}
 
 
@@ -87,7 +87,7 @@
         self.requests = 0
         # A loopback network of its own, so that sites that run side by side can't
         # meet on a port.
-        self.network, self.network_holder = deployment.hold_network()
+        self.network, self.network_socket = deployment.reserve_network()
 
     async def add_server(self, name: str, version: str = "v1") -> poolserver.PoolServer:
         """Start a backend server that is in the store's list."""
@@ -98,7 +98,7 @@
         await self.write(names.SERVERS_TABLE, name, server.entry())
         return server
 
-    async def add_instance(self, is_alone: bool = False) -> instance.Instance:
+    async def add_instance(self, is_isolated: bool = False) -> instance.Instance:
         """Start an instance and wait until it's ready; one alone knows no peer."""
         number = len(self.instances)
         host = f"{self.network}.{number + 1}"
@@ -106,7 +106,7 @@
             *(f"{host}:{port}" for port in range(FIRST_PORT, FIRST_PORT + 4))
         )
         seeds = tuple(one.settings.listen.peers for one in self.instances)
-        seeds = () if is_alone else seeds
+        seeds = () if is_isolated else seeds
         found = settings.FrontSettings(
             instance=f"i-{number}",
             data_centre="dc-1",
@@ -117,7 +117,7 @@
         )
         started = await instance.start(found)
         self.instances.append(started)
-        if not is_alone:
+        if not is_isolated:
             await until(lambda: is_serving(started))
         return started
 
@@ -165,7 +165,7 @@
         for server in self.servers:
             await server.stop()
         await self.store.stop()
-        self.network_holder.close()
+        self.network_socket.close()
 
 
 async def read(response: aiohttp.ClientResponse) -> Answer:
--- a/tests/test_at_most_once.py
+++ b/tests/test_at_most_once.py
@@ -30,7 +30,7 @@
 
     def __init__(self, running: deployment.Deployment) -> None:
         self.running = running
-        self.told: list[tuple[str, Told]] = []
+        self.outcomes: list[tuple[str, Told]] = []
 
     async def prepare(self, instances: int = 2) -> None:
         running = self.running
@@ -79,7 +79,7 @@
         """Send the quote of a key to an instance, and note what came of it."""
         instance = self.running.instances[number]
         found = await self.call(instance, PATH, {"Idempotency-Key": key}, data=body)
-        self.told.append((f"{key} to {instance.name}", found))
+        self.outcomes.append((f"{key} to {instance.name}", found))
         return found
 
     async def complete(self, number: int, key: str) -> Told:
@@ -88,7 +88,7 @@
         extra = {"Idempotency-Key": key, "Tealcove-Idempotent": "no"}
         body = {"model": "m", "prompt": key, "max_tokens": 4}
         found = await self.call(instance, "/v1/completions", extra, json=body)
-        self.told.append((f"{key} to {instance.name}", found))
+        self.outcomes.append((f"{key} to {instance.name}", found))
         return found
 
     async def runs(self) -> dict[str, int]:
@@ -109,19 +109,19 @@
     async def wait_for_row(self, key: str) -> None:
         rows = services.StoreTable(self.running.client)
 
-        async def stands() -> bool:
+        async def exists() -> bool:
             return await rows.read("claims", f"account-high/{key}") is not None
 
-        await deployment.until(stands)
+        await deployment.until(exists)
 
-    async def wait_until_missed(self, number: int, lost: deployment.Process) -> None:
+    async def wait_until_suspected(self, number: int, lost: deployment.Process) -> None:
         """Wait until an instance has noticed that another is silent."""
 
-        async def is_missed() -> bool:
+        async def is_suspected() -> bool:
             names = await self.running.entry_points(self.running.instances[number])
             return lost.name not in names
 
-        await deployment.until(is_missed)
+        await deployment.until(is_suspected)
 
 
 async def test_entry_killed_while_a_call_runs(
@@ -140,9 +140,9 @@
         await session.wait_for_run("k")
         running.instances[0].kill()
         await first
-        await session.wait_until_missed(1, running.instances[0])
+        await session.wait_until_suspected(1, running.instances[0])
         await session.send(1, "k")
-        assert (session.told, await session.runs()) == snapshot
+        assert (session.outcomes, await session.runs()) == snapshot
 
 
 async def test_reply_of_the_platform_lost_at_the_claim(
@@ -159,7 +159,7 @@
         await running.set_faults(running.platform, {"lose_replies": 3})
         await session.send(0, "k")
         await session.send(0, "k", b"another quote")
-        assert (session.told, await session.runs()) == snapshot
+        assert (session.outcomes, await session.runs()) == snapshot
 
 
 async def test_the_same_key_to_two_entries_at_once(
@@ -176,8 +176,8 @@
                 for key in keys
             )
         )
-        told = {key: sorted(pair) for key, pair in zip(keys, pairs, strict=True)}
-        assert (told, sorted((await session.runs()).items())) == snapshot
+        outcomes = {key: sorted(pair) for key, pair in zip(keys, pairs, strict=True)}
+        assert (outcomes, sorted((await session.runs()).items())) == snapshot
 
 
 async def test_a_lost_answer_is_given_again_by_another_entry(
@@ -198,7 +198,7 @@
         await deployment.until(is_recorded)
         await session.send(1, "k")
         await session.send(1, "k", b"another quote")
-        assert (session.told, await session.runs()) == snapshot
+        assert (session.outcomes, await session.runs()) == snapshot
 
 
 async def test_platform_down(
@@ -220,7 +220,7 @@
         await session.send(1, "k")
         await session.complete(1, "generation")
         ran = (await session.runs(), await session.engine_runs())
-        assert (untouched, reply.outcome, session.told, ran) == snapshot
+        assert (untouched, reply.outcome, session.outcomes, ran) == snapshot
 
 
 async def test_entry_frozen_after_its_claim(
@@ -246,8 +246,8 @@
         running.instances[0].freeze()
         await session.wait_for_row("k")
         await running.set_faults(running.platform, {})
-        await session.wait_until_missed(1, running.instances[0])
+        await session.wait_until_suspected(1, running.instances[0])
         await session.send(1, "k")
-        running.instances[0].thaw()
+        running.instances[0].unfreeze()
         await first
-        assert (session.told, await session.runs()) == snapshot
+        assert (session.outcomes, await session.runs()) == snapshot
--- a/tests/test_data_centre_cut.py
+++ b/tests/test_data_centre_cut.py
@@ -15,7 +15,7 @@
 
 LENGTH = 4
 # Nothing listens there.
-NOWHERE = "http://127.0.0.1:1"
+UNREACHABLE_URL = "http://127.0.0.1:1"
 # Peers are forgotten soon, since the test waits for it.
 HEARTBEAT = settings.Heartbeat(interval=0.1, suspect_after=1.0, forget_after=2.0)
 
@@ -30,9 +30,9 @@
         for group, others in ((near, far), (far, near)):
             hidden = {other.mesh.listen for other in others}
             for instance in group:
-                instance.mesh.send = self.sending(instance.mesh.send, hidden)
+                instance.mesh.send = self.wrap_send(instance.mesh.send, hidden)
 
-    def sending(self, send: object, hidden: set[endpoint.Endpoint]) -> object:
+    def wrap_send(self, send: object, hidden: set[endpoint.Endpoint]) -> object:
         """Return a function that sends, except to hidden peers during the cut."""
 
         def send_unless_cut(peer: endpoint.Endpoint, sent: message.Message) -> bool:
@@ -43,15 +43,15 @@
         return send_unless_cut
 
     @contextlib.contextmanager
-    def made(self) -> Iterator[None]:
+    def active(self) -> Iterator[None]:
         """Cut the groups apart for a while."""
-        self.set(True, NOWHERE)
+        self.set_cut(True, UNREACHABLE_URL)
         try:
             yield
         finally:
-            self.set(False, self.platform_url)
+            self.set_cut(False, self.platform_url)
 
-    def set(self, is_cut: bool, url: str) -> None:
+    def set_cut(self, is_cut: bool, url: str) -> None:
         """Begin or end the cut."""
         self.is_cut = is_cut
         for instance in self.far:
@@ -65,20 +65,20 @@
         self.found: dict[str, list[int]] = {}
         for instance in instances:
             seen = self.found.setdefault(instance.settings.instance, [])
-            instance.configuration.copy.subscribe(noting(seen))
+            instance.configuration.copy.subscribe(recorder(seen))
 
-    def only_rise(self) -> bool:
+    def are_increasing(self) -> bool:
         """Tell whether no instance ever went back."""
         return all(sorted(set(seen)) == seen for seen in self.found.values())
 
 
-def noting(seen: list[int]) -> object:
+def recorder(seen: list[int]) -> object:
     """Return a subscriber that notes revisions."""
 
-    def note(previous: copy.Configuration, current: copy.Configuration) -> None:
+    def record(previous: copy.Configuration, current: copy.Configuration) -> None:
         seen.append(current.revision)
 
-    return note
+    return record
 
 
 async def until_members(instances: list[daemon.Instance], count: int) -> None:
@@ -133,7 +133,7 @@
         await until_same_revision(everyone)
         revisions = Revisions(everyone)
         cut = Cut(near, far)
-        with cut.made():
+        with cut.active():
             await until_members(everyone, 2)
             session.append("cut: each side knows two instances")
             await change_tier(near[0], 33.0)
@@ -145,7 +145,7 @@
         await until_members(everyone, 4)
         await until_deadline(everyone, 33.0)
         session.append("joined: four instances, the change in force on all")
-        session.append(f"revisions only rise: {revisions.only_rise()}")
+        session.append(f"revisions only rise: {revisions.are_increasing()}")
         session.append(f"joined: {await ask(pair, far[0])}")
     assert session == snapshot
 
--- a/tests/test_entry_death.py
+++ b/tests/test_entry_death.py
@@ -10,7 +10,7 @@
 from tests import callers, deployment
 
 REQUESTS = 400
-LONGEST = 60
+MAX_LENGTH = 60
 
 
 async def test_entry_killed_and_dispatcher_frozen(tmp_path: pathlib.Path) -> None:
@@ -33,20 +33,20 @@
         await running.wait_for_members()
         frozen = await running.dispatcher("engines/0")
         killed = next(i for i in running.instances if i is not frozen)
-        choose = random.Random(1)
-        lengths = [choose.choice((2, 4, LONGEST)) for _ in range(REQUESTS)]
+        generator = random.Random(1)
+        lengths = [generator.choice((2, 4, MAX_LENGTH)) for _ in range(REQUESTS)]
         targets = [running.instances[n % 6] for n in range(REQUESTS)]
         calls = [
             asyncio.create_task(send(running, n, targets[n], lengths[n]))
             for n in range(REQUESTS)
         ]
         others = [calls[n] for n in range(REQUESTS) if targets[n] is not frozen]
-        await some_done(calls, 40)
+        await wait_for_done(calls, 40)
         frozen.freeze()
-        await some_done(others, 100)
+        await wait_for_done(others, 100)
         killed.kill()
-        await some_done(others, 250)
-        frozen.thaw()
+        await wait_for_done(others, 250)
+        frozen.unfreeze()
         replies = await asyncio.gather(*calls)
         check_replies(replies, targets, lengths, killed)
         assert await dispatches(running) <= {1}
@@ -66,7 +66,7 @@
     )
 
 
-async def some_done(calls: list[asyncio.Task[callers.Reply]], count: int) -> None:
+async def wait_for_done(calls: list[asyncio.Task[callers.Reply]], count: int) -> None:
     """Wait until so many calls are done."""
 
     async def enough() -> bool:
@@ -86,7 +86,7 @@
         if reply.outcome == "cut":
             assert targets[number] is killed
         elif reply.outcome == "completed":
-            assert callers.is_own(reply, f"prompt {number}", lengths[number])
+            assert callers.is_own_answer(reply, f"prompt {number}", lengths[number])
     outcomes = collections.Counter(reply.outcome for reply in replies)
     assert set(outcomes) <= {"completed", "cut"}, outcomes
 
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -16,10 +16,10 @@
 LENGTH = 4
 # So many requests in a row that avoid a server show that it's no longer chosen:
 # it is the faster one of two idle servers.
-ENOUGH = 12
+REQUESTS_IN_A_ROW = 12
 # How long callers hold the address of an instance; far more than it takes the
 # others to hear that it leaves.
-HELD_SECONDS = 4.0
+ADDRESS_SECONDS = 4.0
 
 
 async def test_leaving_backend_servers(
@@ -39,17 +39,17 @@
         instance = await running.add_instance()
         await running.declare()
         await running.wait_until_ready(instance)
-        for name, leave, come_back in (
-            ("health", leave_by_health, come_back_by_health),
-            ("spec", leave_by_spec, come_back_by_spec),
-            ("list", leave_by_list, come_back_by_list),
+        for name, leave, return_to_service in (
+            ("health", leave_by_health, return_by_health),
+            ("spec", leave_by_spec, return_by_spec),
+            ("list", leave_by_list, return_by_list),
         ):
             await until_used(running, instance, fast)
             session.append(f"{name}: the faster engine is used")
             await leave(running, fast)
             await until_avoided(running, instance, fast)
             session.append(f"{name}: the leaving engine gets nothing")
-            await come_back(running, fast)
+            await return_to_service(running, fast)
     assert session == snapshot
 
 
@@ -60,7 +60,7 @@
     await running.set_faults(engine, {"state": "leaving"})
 
 
-async def come_back_by_health(
+async def return_by_health(
     running: deployment.Deployment, engine: deployment.Process
 ) -> None:
     """Let it serve again."""
@@ -74,7 +74,7 @@
     await set_state(running, engine, kinds.ServerState.LEAVING)
 
 
-async def come_back_by_spec(
+async def return_by_spec(
     running: deployment.Deployment, engine: deployment.Process
 ) -> None:
     """Let the operator take it back."""
@@ -115,7 +115,7 @@
     )
 
 
-async def come_back_by_list(
+async def return_by_list(
     running: deployment.Deployment, engine: deployment.Process
 ) -> None:
     """Leave it so: the session ends here."""
@@ -158,7 +158,7 @@
         nonlocal avoided
         used = await dispatched_to(running, instance, engine)
         avoided = 0 if used else avoided + 1
-        return avoided >= ENOUGH
+        return avoided >= REQUESTS_IN_A_ROW
 
     await deployment.until(is_avoided)
 
@@ -180,7 +180,7 @@
         for _ in range(2):
             await running.add_engine(decode_seconds_per_token=0.01)
         for _ in range(3):
-            await running.add_instance(shutdown={"entry_points_ttl": HELD_SECONDS})
+            await running.add_instance(shutdown={"entry_points_ttl": ADDRESS_SECONDS})
         await running.declare()
         for instance in running.instances:
             await running.wait_until_ready(instance)
--- a/tests/test_not_run.py
+++ b/tests/test_not_run.py
@@ -39,19 +39,19 @@
         await running.wait_for_members()
         dispatcher = await running.dispatcher("engines/0")
         others = [i for i in running.instances if i is not dispatcher]
-        choose = random.Random(7)
+        generator = random.Random(7)
         calls = [
-            running.spawn(send(running, choose, number, others))
+            running.spawn(send(running, generator, number, others))
             for number in range(REQUESTS)
         ]
-        await some_done(calls, 30)
+        await wait_for_done(calls, 30)
         await running.set_faults(running.engines[0], {"refuse_seconds": 0.5})
-        await some_done(calls, 80)
+        await wait_for_done(calls, 80)
         dispatcher.freeze()
-        await some_done(calls, 130)
+        await wait_for_done(calls, 130)
         await running.set_faults(running.platform, {"down": True})
         dispatcher.kill()
-        await some_done(calls, 180)
+        await wait_for_done(calls, 180)
         await running.set_faults(running.engines[1], {"refuse_seconds": 0.5})
         await running.set_faults(running.platform, {})
         replies = await asyncio.gather(*calls)
@@ -60,14 +60,14 @@
 
 async def send(
     running: deployment.Deployment,
-    choose: random.Random,
+    generator: random.Random,
     number: int,
     entries: list[deployment.Process],
 ) -> callers.Reply:
     """Send one request of the burst."""
-    tier = choose.choice(("high", "middle", "low"))
-    extra = {"Tealcove-Deadline": choose.choice(DEADLINES)}
-    length = choose.choice(LENGTHS)
+    tier = generator.choice(("high", "middle", "low"))
+    extra = {"Tealcove-Deadline": generator.choice(DEADLINES)}
+    length = generator.choice(LENGTHS)
     if number % 5 == 0:
         extra["Tealcove-Idempotent"] = "no"
         extra["Idempotency-Key"] = f"key-{number}"
@@ -79,7 +79,7 @@
     )
 
 
-async def some_done(calls: list[asyncio.Task[callers.Reply]], count: int) -> None:
+async def wait_for_done(calls: list[asyncio.Task[callers.Reply]], count: int) -> None:
     """Wait until so many calls are done."""
 
     async def enough() -> bool:
@@ -96,13 +96,13 @@
     for engine in running.engines:
         dispatched.update((await running.counts(engine))["dispatches"])
     not_run = [reply for reply in replies if reply.outcome == "not_run"]
-    run_all_the_same = [r for r in not_run if dispatched[r.request_id]]
+    run_anyway = [r for r in not_run if dispatched[r.request_id]]
     outcomes = {reply.outcome for reply in replies}
     allowed = {"completed", "not_run", "interrupted", "unknown"}
     return [
         f"every request has a final answer: {outcomes <= allowed}",
         f"some were not run: {len(not_run) > 0}",
         f"some were completed: {'completed' in outcomes}",
-        f"told not run, but dispatched: {len(run_all_the_same)}",
+        f"told not run, but dispatched: {len(run_anyway)}",
         f"dispatched twice: {sum(n > 1 for n in dispatched.values())}",
     ]
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -29,7 +29,7 @@
         )
         assert [reply.outcome for reply in found] == ["completed"] * 30
         for prompt, reply in zip(prompts, found, strict=True):
-            assert callers.is_own(reply, prompt, 8)
+            assert callers.is_own_answer(reply, prompt, 8)
         counts = [await running.counts(engine) for engine in running.engines]
         dispatches = [n for c in counts for n in c["dispatches"].values()]
         assert dispatches == [1] * 30
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -16,7 +16,7 @@
 
 ENGINES = 6
 INSTANCES = 3
-SENDINGS = 12
+ATTEMPTS = 12
 GOOD_CALLERS = 6
 MARKER = "crash-now"
 BAD = f"a recipe with {MARKER} in it"
@@ -49,12 +49,12 @@
                 reply = await callers.complete(self.running.session, url, prompt, 20)
                 self.replies.append(reply)
                 if reply.outcome == "completed":
-                    assert callers.is_own(reply, prompt, 20)
+                    assert callers.is_own_answer(reply, prompt, 20)
                     return
                 assert reply.outcome in ("interrupted", "not_run"), reply
 
 
-def crashed_engines(folder: pathlib.Path) -> list[engine_counts.EngineCounts]:
+def counts_of_crashed_engines(folder: pathlib.Path) -> list[engine_counts.EngineCounts]:
     """Return what the engines that crashed had counted."""
     found = []
     for number in range(ENGINES):
@@ -64,7 +64,7 @@
     return found
 
 
-async def dispatched_to_the_living(running: deployment.Deployment) -> set[str]:
+async def dispatched_to_survivors(running: deployment.Deployment) -> set[str]:
     """Return the ids of all requests that engines which still run have got."""
     found = set()
     for engine in running.engines:
@@ -102,15 +102,15 @@
                 BAD,
                 extra={"Tealcove-Deadline": "10"},
             )
-            for n in range(SENDINGS)
+            for n in range(ATTEMPTS)
         ]
         traffic.ended.set()
         await asyncio.gather(*good)
-        crashed = crashed_engines(tmp_path)
+        crashed = counts_of_crashed_engines(tmp_path)
         assert len(crashed) == 2
         # An engine may die between the connection and the request, uncounted, so
         # it's those that live on which have to have completed what they got.
-        ran = await dispatched_to_the_living(running)
+        ran = await dispatched_to_survivors(running)
         for reply in traffic.replies:
             assert reply.outcome == "completed" or reply.request_id not in ran, reply
         # The second one ran the suspect alone, so that nothing else was lost.
@@ -118,5 +118,5 @@
             set(counts.dispatches) - set(counts.completed) for counts in crashed
         ]
         assert min(len(runs) for runs in lost_runs) == 1
-        told = [(reply.status, reply.outcome, reply.reason) for reply in session]
-        assert told == snapshot
+        outcomes = [(reply.status, reply.outcome, reply.reason) for reply in session]
+        assert outcomes == snapshot
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -14,7 +14,7 @@
 SECONDS = 6.0
 
 
-def played(load: float, seed: int = 1, found: mix.Mix = mix.LABELS) -> play.Outcome:
+def play_run(load: float, seed: int = 1, found: mix.Mix = mix.LABELS) -> play.Outcome:
     """Return a short run."""
     return play.Play(found, mix.draw(found, load, SECONDS, seed)).run()
 
@@ -25,24 +25,24 @@
 
 
 def test_a_seed_plays_the_same_run_again() -> None:
-    assert summary(played(1.5)) == summary(played(1.5))
-    assert summary(played(1.5)) != summary(played(1.5, seed=2))
+    assert summary(play_run(1.5)) == summary(play_run(1.5))
+    assert summary(play_run(1.5)) != summary(play_run(1.5, seed=2))
 
 
 @pytest.mark.parametrize("found", mix.MIXES.values())
 def test_every_request_ends_and_a_normal_load_is_served(found: mix.Mix) -> None:
-    assert all(caller.end is not None for caller in played(0.7, found=found).callers)
-    outcome = played(0.7, found=mix.calm(found))
+    assert all(caller.end is not None for caller in play_run(0.7, found=found).callers)
+    outcome = play_run(0.7, found=mix.calm(found))
     assert all(caller.end is not None for caller in outcome.callers)
     assert tally.sums(outcome).whole.share() > 0.95
 
 
 def test_overload_costs_the_least_urgent_kind_most() -> None:
-    sums = tally.sums(played(2.2))
+    sums = tally.sums(play_run(2.2))
     shares = [sums.kinds[kind.name].share() for kind in mix.LABELS.kinds]
     assert shares == sorted(shares, reverse=True)
     # Nobody waits in vain for long at 2.2 times the load any more.
-    assert tally.sums(played(4.0)).whole.held > 0.0
+    assert tally.sums(play_run(4.0)).whole.held > 0.0
 
 
 def test_a_caller_that_was_sent_away_does_not_wait() -> None:
@@ -53,7 +53,7 @@
     leaves. Cause: until then it was counted as waiting.
     """
     found = mix.ranked(mix.LABELS)
-    for caller in played(2.2, found=found).callers:
+    for caller in play_run(2.2, found=found).callers:
         wait = caller.request.kind.deadline - caller.held
         assert wait > -1e-6
         assert not (caller.is_away and caller.end is play.End.LEFT)
@@ -88,13 +88,13 @@
     )
     many = mix.Mix("many", kinds, mix.engines(fast=20, slow=10))
     decides = goal.GoalScheduler()
-    looked = counted(decides, "refuse_too_late")
+    call_count = count_calls(decides, "refuse_too_late")
     outcome = play.Play(many, mix.draw(many, 2.2, 2.0, 1), decides).run()
     # 2.1 for each request when each event looked, .5 now.
-    assert looked() < len(outcome.callers)
+    assert call_count() < len(outcome.callers)
 
 
-def counted(decides: goal.GoalScheduler, name: str) -> Callable[[], int]:
+def count_calls(decides: goal.GoalScheduler, name: str) -> Callable[[], int]:
     """Count the calls of one of a scheduler's methods."""
     method = getattr(decides, name)
     calls = itertools.count()
--- a/tests/test_rollouts.py
+++ b/tests/test_rollouts.py
@@ -8,7 +8,7 @@
 
 from tealcove.platform import names
 from tealcove.standins import poolserver
-from tests import platformed
+from tests import platform_site
 
 OLD, NEW = "v1", "v2"
 KEY = names.ROLLOUT_KEY + "pool"
@@ -19,13 +19,13 @@
 WORK_SECONDS = 0.05
 
 
-async def status(running: platformed.Site) -> dict[str, object]:
+async def status(running: platform_site.Site) -> dict[str, object]:
     """Return what the operator reads."""
     row = await running.store.memory.table.read(names.STATUS_TABLE, KEY)
     return {} if row is None else msgspec.json.decode(row.value)
 
 
-async def order(running: platformed.Site, **changes: object) -> None:
+async def order(running: platform_site.Site, **changes: object) -> None:
     """Order a roll-out, and start the servers of the new version."""
     found = {"service": "pool", "to": NEW, "period_s": 3, **changes}
     await running.write(names.OPERATOR_TABLE, KEY, msgspec.json.encode(found))
@@ -36,11 +36,11 @@
 
 
 async def call_until(
-    running: platformed.Site, state: str, faults: bool = False
-) -> list[platformed.Answer]:
+    running: platform_site.Site, state: str, faults: bool = False
+) -> list[platform_site.Answer]:
     """Send requests until a roll-out has come to a state; return their answers."""
-    answers: list[platformed.Answer] = []
-    async with asyncio.timeout(platformed.PATIENCE):
+    answers: list[platform_site.Answer] = []
+    async with asyncio.timeout(platform_site.TIMEOUT_SECONDS):
         while (await status(running)).get("state") != state:
             if faults:
                 for server in of_version(running, NEW):
@@ -50,17 +50,19 @@
     return answers
 
 
-def of_version(running: platformed.Site, version: str) -> list[poolserver.PoolServer]:
+def of_version(
+    running: platform_site.Site, version: str
+) -> list[poolserver.PoolServer]:
     return [server for server in running.servers if server.version == version]
 
 
-def runs(running: platformed.Site, version: str) -> int:
+def runs(running: platform_site.Site, version: str) -> int:
     """Return how many requests the servers of a version have run."""
     return sum(len(server.runs) for server in of_version(running, version))
 
 
 async def test_a_good_version_takes_over():
-    async with platformed.site(servers=SERVERS) as running:
+    async with platform_site.site(servers=SERVERS) as running:
         await order(running)
         answers = await call_until(running, "done")
         assert {answer.status for answer in answers} == {200}
@@ -72,7 +74,7 @@
 
 
 async def test_a_bad_version_is_left():
-    async with platformed.site(servers=SERVERS) as running:
+    async with platform_site.site(servers=SERVERS) as running:
         await order(running, period_s=60)
         answers = await call_until(running, "rolled_back", faults=True)
         seen = runs(running, NEW)
@@ -86,10 +88,10 @@
 
 
 async def test_an_order_that_cannot_be_read_changes_nothing():
-    async with platformed.site(servers=1) as running:
+    async with platform_site.site(servers=1) as running:
         await running.write(names.OPERATOR_TABLE, KEY, b"{")
         await running.add_server("n-0", NEW)
-        async with asyncio.timeout(platformed.PATIENCE):
+        async with asyncio.timeout(platform_site.TIMEOUT_SECONDS):
             while not runs(running, NEW):
                 assert (await running.send("/once/x")).status == 200
         assert await status(running) == {}
--- a/tests/test_secured.py
+++ b/tests/test_secured.py
@@ -125,6 +125,6 @@
             for number, url in enumerate(urls):
                 prompt = f"prompt {number}"
                 reply = await callers.complete(secured.session, url, prompt)
-                assert callers.is_own(reply, prompt, 8)
+                assert callers.is_own_answer(reply, prompt, 8)
             with pytest.raises(aiohttp.ClientError):
                 await secured.get(urls[0].replace("https", "http") + "/readyz")
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -67,7 +67,7 @@
     first = asyncio.create_task(doing.carry_out(doing.kill, 0.0))
     await asyncio.sleep(0.02)
     await asyncio.gather(first, doing.carry_out(doing.terminate, 0.0))
-    running.network_holder.close()
+    running.network_socket.close()
     assert len(started) == 1
     assert doing.done[1] == "nothing for 0.0 s"
 
@@ -105,14 +105,14 @@
 
 
 def test_a_process_left_behind_is_named_at_once() -> None:
-    network, holder = networks.hold_network()
+    network, holder = networks.reserve_network()
     with socket.socket() as left:
         # Connections of an earlier deployment may still be in TIME_WAIT there.
         left.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         left.bind((f"{network}.2", networks.INSTANCE_PORTS[-1]))
         left.listen()
         with pytest.raises(networks.LeftoverError, match="left behind"):
-            networks.refuse_leftovers(network, holder)
+            networks.check_leftovers(network, holder)
 
 
 def test_a_soak_that_is_ended_takes_its_instances_with_it(
@@ -126,7 +126,7 @@
     command = [sys.executable, "-m", "soak", "--seed", "1", "--logs", str(tmp_path)]
     soaking = subprocess.Popen(command, stdout=subprocess.DEVNULL, stderr=None)
     try:
-        wait_for(lambda: len(started_in(tmp_path)) == run.MEMBERS)
+        until(lambda: len(started_in(tmp_path)) == run.MEMBERS)
         soaking.terminate()
         soaking.wait(20)
         assert started_in(tmp_path) == []
@@ -146,7 +146,7 @@
     return found
 
 
-def wait_for(check: Callable[[], bool]) -> None:
+def until(check: Callable[[], bool]) -> None:
     """Wait until a check holds."""
     end = time.monotonic() + 20.0
     while not check():
--- a/tests/test_steward.py
+++ b/tests/test_steward.py
@@ -70,15 +70,15 @@
         # How often the lease has changed hands by then depends on the machine.
         steward = "first" if seen["fencing"] == lowest else "later"
         words = [seen[key] for key in ("order", "name", "version", "role")]
-        said = " ".join(word for word in words if word)
+        text_of_order = " ".join(word for word in words if word)
         verdict = "" if seen["accepted"] else ", refused"
         if seen["running"]:
             verdict += ", UNDER RUNNING REQUESTS"
-        lines.append(f"{steward} number: {said}{verdict}")
+        lines.append(f"{steward} number: {text_of_order}{verdict}")
     return lines
 
 
-async def until_held(
+async def until_loaded(
     running: deployment.Deployment,
     name: str,
     version: str,
@@ -87,11 +87,11 @@
     """Wait until some or all engines hold a model in a version."""
     chosen = running.engines if engines is None else engines
 
-    async def hold() -> bool:
+    async def are_loaded() -> bool:
         held = [await held_models(running.session, e) for e in chosen]
         return all(models.get(name) == version for models in held)
 
-    await deployment.until(hold)
+    await deployment.until(are_loaded)
 
 
 async def held_models(
@@ -103,7 +103,7 @@
 
 
 async def until_ordered(
-    running: deployment.Deployment, least: int
+    running: deployment.Deployment, minimum: int
 ) -> list[deployment.Process]:
     """Wait until so many engines have an order; return them."""
     found = []
@@ -116,7 +116,7 @@
             for engine, seen in zip(running.engines, counts, strict=True)
             if seen["orders"]
         ]
-        return len(found) >= least
+        return len(found) >= minimum
 
     await deployment.until(are_ordered)
     return found
@@ -159,8 +159,8 @@
         ]
         for version in ("2", "3"):
             await declare(running, "m", version)
-            await until_held(running, "m", version)
-        await until_shown(running, "m", "3", 2)
+            await until_loaded(running, "m", version)
+        await until_in_metrics(running, "m", "3", 2)
         one, other = running.servers(running.engines, slots=8)
         one = msgspec.structs.replace(one, role=kinds.EngineRole.DECODE)
         await change_pool(running, servers=(one, other))
@@ -191,25 +191,25 @@
         reply = await callers.complete(running.session, instance.url, prompt, LENGTH)
         lines.append(callers.describe(reply, "request", LENGTH))
         if reply.outcome == "completed":
-            assert callers.is_own(reply, prompt, LENGTH)
+            assert callers.is_own_answer(reply, prompt, LENGTH)
             lines[-1] = "request: completed, whole and its own"
     return lines
 
 
-async def until_shown(
+async def until_in_metrics(
     running: deployment.Deployment, name: str, version: str, count: int
 ) -> None:
     """Wait until the steward's metrics show so many engines with a version."""
     steward = await running.dispatcher("steward/engines")
 
-    async def is_shown() -> bool:
+    async def is_in_metrics() -> bool:
         async with running.session.get(f"{steward.url}/metrics") as response:
             lines = (await response.text()).splitlines()
         found = [line for line in lines if line.startswith("tealcove_orders_servers{")]
         wanted = (f'name="{name}"', f'version="{version}"', f" {float(count)}")
         return any(all(part in line for part in wanted) for line in found)
 
-    await deployment.until(is_shown)
+    await deployment.until(is_in_metrics)
 
 
 async def until_logged(running: deployment.Deployment, text: str) -> None:
@@ -245,8 +245,8 @@
         steward = await running.dispatcher("steward/engines")
         steward.freeze()
         await declare(running, "n", "2")
-        await until_held(running, "n", "2")
-        steward.thaw()
+        await until_loaded(running, "n", "2")
+        steward.unfreeze()
 
         async def has_acted() -> bool:
             # Whatever stops it, it says so.
@@ -255,7 +255,7 @@
 
         await deployment.until(has_acted)
         await declare(running, "n", "3")
-        await until_held(running, "n", "3")
+        await until_loaded(running, "n", "3")
         session = {
             "the first engine": await orders(running, first),
             "the second engine": await orders(running, second),
@@ -289,13 +289,13 @@
         await running.wait_for_port(joined)
         await declare(running, "n", "2")
         await change_pool(running, servers=running.servers(running.engines, slots=8))
-        await until_held(running, "n", "2", [joined])
-        await until_held(running, "n", "2" if checks_fencing else "1", ordered)
+        await until_loaded(running, "n", "2", [joined])
+        await until_loaded(running, "n", "2" if checks_fencing else "1", ordered)
         # By the time of yet another order, any wrong one would have been given.
         await declare(running, "k", "1")
         await change_pool(running, models=("m", "n", "k"))
-        await until_held(running, "k", "1", [joined])
+        await until_loaded(running, "k", "1", [joined])
         if checks_fencing:
-            await until_held(running, "k", "1", ordered)
+            await until_loaded(running, "k", "1", ordered)
         session = [await orders(running, engine) for engine in running.engines]
     assert session == snapshot
--- a/tests/test_tiers.py
+++ b/tests/test_tiers.py
@@ -68,7 +68,7 @@
     return sorted(lines)
 
 
-class Order:
+class CompletionOrder:
     """Notes the order in which requests of two tiers end."""
 
     def __init__(self, high: Calls, low: Calls) -> None:
@@ -76,10 +76,10 @@
         for tier, calls in (("high", high), ("low", low)):
             for call in calls.values():
                 call.add_done_callback(
-                    lambda done, tier=tier: self.note(tier, done.result())
+                    lambda done, tier=tier: self.record(tier, done.result())
                 )
 
-    def note(self, tier: str, reply: callers.Reply) -> None:
+    def record(self, tier: str, reply: callers.Reply) -> None:
         """Note that a request was completed."""
         if reply.outcome == "completed":
             self.ended.append(tier)
@@ -111,7 +111,7 @@
         high = send(
             running, running.instances, "high", SLOTS, HIGH_LENGTH, HIGH_DEADLINE
         )
-        order = Order(high, low)
+        order = CompletionOrder(high, low)
         session = await outcomes(high, HIGH_LENGTH) + await outcomes(low, LOW_LENGTH)
         assert [*session, order.describe()] == snapshot
     finally:
@@ -131,12 +131,12 @@
     running = await start(tmp_path)
     try:
         dispatcher = await running.dispatcher("engines/0")
-        left = [i for i in running.instances if i is not dispatcher]
-        low = send(running, left, "low", LOW_COUNT, LOW_LENGTH)
+        remaining = [i for i in running.instances if i is not dispatcher]
+        low = send(running, remaining, "low", LOW_COUNT, LOW_LENGTH)
         await running.until_dispatched(running.engines[0], SLOTS)
         dispatcher.kill()
-        high = send(running, left, "high", SLOTS, HIGH_LENGTH, HIGH_DEADLINE)
-        order = Order(high, low)
+        high = send(running, remaining, "high", SLOTS, HIGH_LENGTH, HIGH_DEADLINE)
+        order = CompletionOrder(high, low)
         session = await outcomes(high, HIGH_LENGTH) + await outcomes(low, LOW_LENGTH)
         assert [*session, order.describe()] == snapshot
     finally:
@@ -160,7 +160,7 @@
         low = send(running, running.instances, "low", LOW_COUNT, LOW_LENGTH, once)
         await running.until_dispatched(running.engines[0], SLOTS - 1)
         high = send(running, running.instances, "high", 1, HIGH_LENGTH, HIGH_DEADLINE)
-        order = Order(high, low)
+        order = CompletionOrder(high, low)
         session = await outcomes(high, HIGH_LENGTH) + await outcomes(low, LOW_LENGTH)
         assert [*session, order.describe()] == snapshot
     finally:
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -30,23 +30,27 @@
     return found
 
 
-def draw(found: list[tuple[str, sdk_trace.ReadableSpan]], parent: str) -> list[str]:
+def render_tree(
+    found: list[tuple[str, sdk_trace.ReadableSpan]], parent: str
+) -> list[str]:
     """Return the tree below a parent, a line for each span."""
     lines = []
     for role, span in sorted(found, key=lambda one: one[1].start_time):
         if span.parent is None or trace.format_span_id(span.parent.span_id) != parent:
             continue
         assert trace.format_trace_id(span.context.trace_id) == TRACE
-        told = ", ".join(f"{k}={shown(k, v)}" for k, v in span.attributes.items())
+        attributes = ", ".join(
+            f"{k}={stable_value(k, v)}" for k, v in span.attributes.items()
+        )
         events = "".join(f" !{event.name}" for event in span.events)
         status = span.status.description or ""
-        lines.append(f"{span.name} @{role} [{told}]{events} {status}".rstrip())
-        below = draw(found, trace.format_span_id(span.context.span_id))
+        lines.append(f"{span.name} @{role} [{attributes}]{events} {status}".rstrip())
+        below = render_tree(found, trace.format_span_id(span.context.span_id))
         lines.extend(f"  {line}" for line in below)
     return lines
 
 
-def shown(key: str, value: str) -> str:
+def stable_value(key: str, value: str) -> str:
     """Return an attribute's value, alike on every run."""
     return "..." if key.endswith("request_id") else value
 
@@ -74,7 +78,7 @@
         reply = await callers.complete(running.session, url, PROMPT, extra=traced)
         assert reply.outcome == "completed"
         first = spans_of(running)
-        assert len(draw(first, CALLER)) == len(first)
+        assert len(render_tree(first, CALLER)) == len(first)
         # Most of what the tests of parts can't see: nothing of the content or key.
         assert not any(PROMPT in span.to_json() for _, span in first)
         assert not any(callers.CALLER_KEY in span.to_json() for _, span in first)
@@ -92,7 +96,11 @@
         )
         assert refused.reason == "deadline"
         third = spans_of(running)
-        trees = (draw(first, CALLER), draw(second, CALLER), draw(third, CALLER))
+        trees = (
+            render_tree(first, CALLER),
+            render_tree(second, CALLER),
+            render_tree(third, CALLER),
+        )
         assert trees == snapshot
         await callers.complete(
             running.session, url, PROMPT, extra={"traceparent": NOT_SAMPLED}
--- a/tests/test_witness.py
+++ b/tests/test_witness.py
@@ -65,7 +65,7 @@
         counts = [await self.running.counts(e) for e in self.running.engines]
         return sum(sum(found["dispatches"].values()) for found in counts)
 
-    async def judge(self, replies: list[callers.Reply]) -> dict[str, object]:
+    async def summarise(self, replies: list[callers.Reply]) -> dict[str, object]:
         """Return what came of the requests, alike on every run."""
         return {
             "replies": [
@@ -94,8 +94,8 @@
         again = await asyncio.gather(
             *(session.send(1 + number % 2, number) for number in range(REQUESTS))
         )
-        told = {reply.outcome for reply in cut}
-        assert (told, await session.judge(again)) == snapshot
+        outcomes = {reply.outcome for reply in cut}
+        assert (outcomes, await session.summarise(again)) == snapshot
 
 
 async def test_requests_sent_again_while_their_entry_is_frozen(
@@ -114,9 +114,9 @@
         running.instances[0].freeze()
         await tasks.stop(first)
         again = await asyncio.gather(*(session.send(1, n) for n in range(REQUESTS)))
-        running.instances[0].thaw()
+        running.instances[0].unfreeze()
         await running.wait_until_ready(running.instances[0])
-        assert await session.judge(again) == snapshot
+        assert await session.summarise(again) == snapshot
 
 
 async def test_requests_sent_again_when_their_witness_is_dead_too(
@@ -135,4 +135,4 @@
         running.instances[1].kill()
         await asyncio.gather(*first)
         again = await asyncio.gather(*(session.send(2, n) for n in range(REQUESTS)))
-        assert await session.judge(again) == snapshot
+        assert await session.summarise(again) == snapshot
