--- a/tests/callers.py
+++ b/tests/callers.py
@@ -1,4 +1,4 @@
-"""Callers of a deployment, for tests."""
+"""Client calls to a deployment, for tests."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Reply(msgspec.Struct, frozen=True):
-    """What a caller got; `outcome` is "cut" when the connection broke."""
+    """The answer to a caller; `outcome` is "cut" when the connection broke."""
 
     status: int
     outcome: str
@@ -21,7 +21,7 @@
 
 
 def headers(tier: str = "high", **more: str) -> dict[str, str]:
-    """Return the headers of a caller of a tier's account."""
+    """Return the headers of a caller with the account of a tier."""
     key = f"{CALLER_KEY}-{tier}"
     return {"Authorization": f"Bearer {key}", **more}
 
@@ -34,7 +34,7 @@
     tier: str = "high",
     extra: dict[str, str] | None = None,
 ) -> Reply:
-    """Send one buffered completion and return its one final answer."""
+    """Send one buffered completion and return its final answer."""
     body = {"model": "m", "prompt": prompt, "max_tokens": max_tokens}
     try:
         async with session.post(
@@ -53,7 +53,7 @@
     max_tokens: int = 8,
     tier: str = "high",
 ) -> Reply:
-    """Send one streamed completion; it counts only with its closing event."""
+    """Send one streamed completion; it is complete only with its closing event."""
     body = {"model": "m", "prompt": prompt, "max_tokens": max_tokens, "stream": True}
     text = ""
     count = None
@@ -75,7 +75,7 @@
 
 
 def reply(response: aiohttp.ClientResponse, content: dict[str, object]) -> Reply:
-    """Return what a response says."""
+    """Convert a response to a reply."""
     request_id = response.headers.get("X-Request-Id", "")
     if response.status == 200:
         text = content["choices"][0]["text"]
@@ -89,7 +89,7 @@
 
 
 def describe(found: Reply, prompt: str, max_tokens: int) -> str:
-    """Return a line about a reply for a golden file; it is alike on every run."""
+    """Return a line about a reply for a golden file, the same on every run."""
     line = f"{prompt}: {found.outcome}"
     if found.reason:
         line += f" ({found.reason})"
@@ -105,5 +105,5 @@
 
 
 def is_own_answer(found: Reply, prompt: str, max_tokens: int) -> bool:
-    """Tell whether an answer is the whole one of this very prompt."""
+    """Tell whether a reply is the complete answer to this prompt."""
     return found.text == answers.expected_answer(prompt, max_tokens)
--- a/tests/deployment.py
+++ b/tests/deployment.py
@@ -31,21 +31,21 @@
 PEER_PORT = 7001
 OPERATOR_KEY = "operator-key"
 
-# Each deployment gets a loopback network of its own, held by a socket bound in
-# it, so that tests which run side by side can't meet on a port.
+# Each deployment gets its own loopback network, reserved by a socket bound in it,
+# so that concurrent tests can't use the same port.
 RESERVATION_PORT = 6999
-# Where instances listen: the last number of the first one's host by kind of
+# Where instances listen: the last byte of the first one's address by kind of
 # deployment, and all ports.
 FIRST_HOSTS = (1, 150)
 INSTANCE_PORTS = (7000, 7001, 7002, 7003)
 
 
 class LeftoverError(Exception):
-    """A process of an earlier deployment is still there."""
+    """A process of an earlier deployment still runs."""
 
 
 async def until(check: Callable[[], Awaitable[bool]]) -> None:
-    """Wait until a check holds; the timeout is far beyond any healthy wait."""
+    """Wait until a check holds; the timeout far exceeds any normal wait."""
     async with asyncio.timeout(READY_TIMEOUT):
         while True:
             if await check():
@@ -54,10 +54,10 @@
 
 
 def reserve_network() -> tuple[str, socket.socket]:
-    """Return the first three numbers of a free network, and what holds it.
+    """Reserve a free network; return its first three bytes and the bound socket.
 
     Raises LeftoverError when a process of an earlier deployment still listens there:
-    it would join the next one as a member, which then fails far from the cause.
+    it would join the new deployment as a member, which would fail far from the cause.
     """
     for second, third in itertools.product(range(10, 250), range(1, 250)):
         network = f"127.{second}.{third}"
@@ -73,15 +73,15 @@
 
 
 def check_leftovers(network: str, reservation: socket.socket) -> None:
-    """Raise LeftoverError when something listens where an instance would."""
+    """Raise LeftoverError when a process listens on an instance's address."""
     hosts = [f"{network}.{first + n}" for first in FIRST_HOSTS for n in range(8)]
     for host, port in itertools.product(hosts, INSTANCE_PORTS):
         with socket.socket() as found:
             if found.connect_ex((host, port)) == 0:
                 reservation.close()
                 raise LeftoverError(
-                    f"{host}:{port} is taken by a process that an earlier deployment "
-                    "left behind; find out which test started it."
+                    f"{host}:{port} is used by a process that an earlier deployment "
+                    "left behind; find the test that started it."
                 )
 
 
@@ -97,11 +97,11 @@
 
     @property
     def url(self) -> str:
-        """The base URL of its HTTP side."""
+        """The base URL of its HTTP server."""
         return f"http://{self.host}:{self.port}"
 
     async def start(self, log: pathlib.Path) -> None:
-        """Start it; its standard error is appended to a log file."""
+        """Start the process; append its output to a log file."""
         with log.open("ab") as sink:
             self.process = await asyncio.create_subprocess_exec(
                 sys.executable,
@@ -114,24 +114,24 @@
             )
 
     def send(self, number: signal.Signals) -> None:
-        """Send a signal, if the process still runs."""
+        """Send a signal if the process still runs."""
         if self.process is not None and self.process.returncode is None:
             os.kill(self.process.pid, number)
 
     def kill(self) -> None:
-        """End it without any chance to react."""
+        """Send SIGKILL."""
         self.send(signal.SIGKILL)
 
     def freeze(self) -> None:
-        """Stop it from running, as a long pause does."""
+        """Suspend the process, as a long pause of the machine does."""
         self.send(signal.SIGSTOP)
 
     def unfreeze(self) -> None:
-        """Let it go on."""
+        """Resume a suspended process."""
         self.send(signal.SIGCONT)
 
     async def end(self) -> None:
-        """Kill it and wait until it's gone."""
+        """Kill the process and wait until it has exited."""
         self.unfreeze()
         self.kill()
         if self.process is not None:
@@ -139,7 +139,7 @@
 
 
 class Deployment:
-    """Platform, engines, services and instances; use as a context manager."""
+    """A platform, engines, services and instances; use it as a context manager."""
 
     def __init__(self, folder: pathlib.Path, **platform: object) -> None:
         self.folder = folder
@@ -185,20 +185,20 @@
     def standin(
         self, role: str, name: str, number: int, settings: dict[str, object]
     ) -> Process:
-        """Return a stand-in at its own address."""
+        """Return a stand-in with its own address; it isn't started."""
         host = f"{self.network}.{number}"
         path = self.write(name, {"host": host, "port": HTTP_PORT, **settings})
         arguments = ["standin", role, "--settings", path]
         return Process(name, arguments, host, HTTP_PORT)
 
     async def start(self, process: Process) -> None:
-        """Start a process and remember it for the end."""
+        """Start a process, which is killed when the deployment ends."""
         if process not in self.processes:
             self.processes.append(process)
         await process.start(self.folder / f"{process.name}.log")
 
     async def wait_for_port(self, process: Process) -> None:
-        """Wait until something listens at the process's address."""
+        """Wait until a process listens on its address."""
 
         async def listens() -> bool:
             try:
@@ -211,7 +211,7 @@
         await until(listens)
 
     async def add_engine(self, **settings: object) -> Process:
-        """Start another model engine."""
+        """Start an additional model engine."""
         number = len(self.engines)
         name = f"engine-{number}"
         models = {"models": {"m": "1"}}
@@ -221,7 +221,7 @@
         return engine
 
     async def add_service(self, **settings: object) -> Process:
-        """Start another plain service."""
+        """Start an additional plain service."""
         number = len(self.services)
         name = f"service-{number}"
         service = self.standin("service", name, 100 + number, settings)
@@ -230,7 +230,7 @@
         return service
 
     async def add_instance(self, **settings: object) -> Process:
-        """Start another instance of the system."""
+        """Start an additional instance of the system."""
         number = len(self.instances)
         name = f"instance-{number}"
         host = f"{self.network}.{150 + number}"
@@ -264,7 +264,7 @@
         await until(is_ready)
 
     async def wait_for_members(self) -> None:
-        """Wait until every instance names all instances as entry points."""
+        """Wait until every instance lists all instances as entry points."""
 
         async def all_known() -> bool:
             found = [await self.entry_points(i) for i in self.instances]
@@ -273,7 +273,7 @@
         await until(all_known)
 
     async def until_left(self, asked: Process, leaving: Process) -> None:
-        """Wait until an instance no longer names another one to callers."""
+        """Wait until an instance no longer lists another one as entry point."""
 
         async def is_left() -> bool:
             return leaving.name not in await self.entry_points(asked)
@@ -281,7 +281,7 @@
         await until(is_left)
 
     async def entry_points(self, instance: Process) -> list[str]:
-        """Return the names of the instances that one tells callers to use."""
+        """Return the names of the entry points that an instance lists."""
         url = f"{instance.url}/v1/entry-points"
         async with self.session.get(url) as response:
             if response.status != 200:
@@ -290,7 +290,7 @@
         return [point["instance"] for point in found["entry_points"]]
 
     async def put(self, kind: kinds.Kind, name: str, spec: kinds.Spec) -> None:
-        """Write a resource straight into the platform's table."""
+        """Write a resource directly to the platform's table."""
         current = self.resources.current.get(kind, name)
         revision = None if current is None else current.metadata.revision
         change = decision.ChangeRequest(
@@ -305,7 +305,7 @@
     def servers(
         self, processes: list[Process], slots: int
     ) -> tuple[kinds.BackendServerSpec, ...]:
-        """Return the specs of backend servers that run."""
+        """Return the specs of running backend servers."""
         return tuple(
             kinds.BackendServerSpec(
                 name=process.name,
@@ -320,8 +320,8 @@
     async def declare(self, slots: int = 8) -> None:
         """Declare three tiers with an account each, the engines and a rule.
 
-        The engines listen by then: on a busy machine requests may else be served by
-        one of them before another has started.
+        Waits for all engines first: on a busy machine, one of them could otherwise
+        serve requests before another has started.
         """
         for engine in self.engines:
             await self.wait_for_port(engine)
@@ -344,7 +344,7 @@
         return asyncio.create_task(call)
 
     async def until_counted(self, process: Process, name: str, minimum: int) -> None:
-        """Wait until a stand-in has counted so much."""
+        """Wait until a count of a stand-in reaches a minimum."""
 
         async def enough() -> bool:
             return (await self.counts(process))[name] >= minimum
@@ -352,7 +352,7 @@
         await until(enough)
 
     async def until_dispatched(self, engine: Process, count: int) -> None:
-        """Wait until an engine was sent so many requests since its start."""
+        """Wait until an engine has received `count` requests since its start."""
 
         async def enough() -> bool:
             return len((await self.counts(engine))["dispatches"]) >= count
@@ -360,7 +360,7 @@
         await until(enough)
 
     async def until_running(self, engines: list[Process]) -> None:
-        """Wait until engines have work in progress."""
+        """Wait until some engine has a request in progress."""
 
         async def are_busy() -> bool:
             found = [await self.counts(engine) for engine in engines]
@@ -369,13 +369,13 @@
         await until(are_busy)
 
     async def dispatcher(self, cell: str) -> Process:
-        """Return the instance that the ranking names for a cell."""
+        """Return the instance that the ranking puts first for a cell."""
         names = [instance.name for instance in self.instances]
         first = ranking.rank(cell, names)[0]
         return next(i for i in self.instances if i.name == first)
 
     async def list_instance(self, listed: instances.ListedInstance) -> None:
-        """Put an entry on the platform's list."""
+        """Write an entry to the platform's instance list."""
         url = f"{self.platform.url}/standin/instances/{listed.name}"
         body = msgspec.json.encode(listed)
         async with self.session.put(url, data=body) as response:
@@ -391,12 +391,12 @@
         await until(serves)
 
     async def counts(self, process: Process) -> dict[str, object]:
-        """Return what a stand-in counted: the judge of every proof."""
+        """Return the counts of a stand-in, which are the evidence of most tests."""
         async with self.session.get(f"{process.url}/standin/counts") as response:
             return await response.json()
 
     async def set_faults(self, process: Process, faults: dict[str, object]) -> None:
-        """Switch the faults of a stand-in."""
+        """Replace the faults of a stand-in."""
         url = f"{process.url}/standin/faults"
         async with self.session.put(url, json=faults) as response:
             response.raise_for_status()
--- a/tests/embedded.py
+++ b/tests/embedded.py
@@ -1,4 +1,4 @@
-"""Two instances and their stand-ins in the process of the test."""
+"""Two instances and their stand-ins in the test process."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class RecordingService(service.ServiceStandin):
-    """A plain service that keeps the trace headers it got."""
+    """A plain service that records the trace headers it received."""
 
     def __init__(self) -> None:
         super().__init__(service.ServiceSettings(name="s"))
@@ -35,7 +35,7 @@
 
 
 class Pair:
-    """The parts; `entry` is the instance that doesn't hold the engines' cell."""
+    """The deployment; `entry` is the instance without the engines' cell."""
 
     def __init__(self) -> None:
         self.platform = platform.PlatformStandin()
@@ -60,7 +60,7 @@
         return f"http://{HOST}:{instance.http_port}"
 
     async def add_instance(self, name: str, **changes: object) -> daemon.Instance:
-        """Start an instance that knows those before it."""
+        """Start an instance with the earlier ones as seeds."""
         seeds = tuple(str(one.mesh.listen) for one in self.instances.values())
         own = settings.Settings(
             instance=name,
@@ -79,7 +79,7 @@
         return instance
 
     async def declare(self) -> None:
-        """Declare a tier, an account, both pools and their rules."""
+        """Declare a tier, an account, a model, both pools and their rules."""
         engine_spec, service_spec = (
             kinds.BackendServerSpec(
                 name=one.name, host=HOST, port=one.port, data_centre="d"
@@ -134,7 +134,7 @@
             await own.close()
 
     async def until_serving(self) -> None:
-        """Wait until each instance names both as entry points."""
+        """Wait until each instance lists all of them as entry points."""
 
         async def all_known() -> bool:
             for one in self.instances.values():
@@ -152,7 +152,7 @@
 
 @contextlib.asynccontextmanager
 async def pair(**changes: object) -> AsyncIterator[Pair]:
-    """Start everything, and stop it in the other order."""
+    """Start all parts, and stop them in reverse order."""
     async with contextlib.AsyncExitStack() as ending:
         running = Pair()
         for part in (running.platform, running.engine, running.service):
--- a/tests/platform_site.py
+++ b/tests/platform_site.py
@@ -1,4 +1,4 @@
-"""Instances on a stand-in of the users' platform, in one process."""
+"""Instances on a stand-in of the users' platform, in the test process."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def route(name: str, kind: str, **changes: object) -> dict[str, object]:
-    """Return a route as an operator writes it; its prefix is its name."""
+    """Return a route in the operator's format; its prefix is its name."""
     found = {
         "name": name,
         "host": HOST,
@@ -60,7 +60,7 @@
 
 
 async def until(check: Callable[[], bool]) -> None:
-    """Wait until a check holds; the timeout is far beyond any healthy wait."""
+    """Wait until a check holds; the timeout far exceeds any normal wait."""
     deadline = asyncio.get_running_loop().time() + TIMEOUT_SECONDS
     while not check():
         assert asyncio.get_running_loop().time() < deadline
@@ -68,7 +68,7 @@
 
 
 class Answer(msgspec.Struct, frozen=True):
-    """What a caller got; no status means that the connection broke first."""
+    """The answer to a caller; its status is None if the connection broke first."""
 
     status: int | None
     body: bytes
@@ -85,12 +85,12 @@
         self.instances: list[instance.Instance] = []
         self.session: aiohttp.ClientSession | None = None
         self.requests = 0
-        # A loopback network of its own, so that sites that run side by side can't
-        # meet on a port.
+        # Each site has its own loopback network, so that concurrent sites can't
+        # use the same port.
         self.network, self.network_socket = deployment.reserve_network()
 
     async def add_server(self, name: str, version: str = "v1") -> poolserver.PoolServer:
-        """Start a backend server that is in the store's list."""
+        """Start a backend server and write its entry to the store."""
         server = poolserver.PoolServer(name, "pool")
         server.version = version
         await server.start()
@@ -99,7 +99,7 @@
         return server
 
     async def add_instance(self, is_isolated: bool = False) -> instance.Instance:
-        """Start an instance and wait until it's ready; one alone knows no peer."""
+        """Start an instance; unless isolated, it gets seeds and is waited for."""
         number = len(self.instances)
         host = f"{self.network}.{number + 1}"
         listen = settings.Listen(
@@ -122,11 +122,11 @@
         return started
 
     async def write(self, table: str, key: str, value: bytes | None) -> None:
-        """Write a row as the operator or a backend server does."""
+        """Write a row on behalf of the operator or a backend server."""
         await self.store.put_row(table, key, value)
 
     async def declare(self, content: bytes) -> None:
-        """Put a configuration in force on all instances."""
+        """Write a configuration and wait until it is in force on all instances."""
         await self.write(names.OPERATOR_TABLE, names.CONFIGURATION_KEY, content)
         version = self.store.memory.table.last_version
         await until(
@@ -140,7 +140,7 @@
         body: bytes = b"x",
         **headers: str,
     ) -> Answer:
-        """Send a request as a caller does."""
+        """Send a caller's request."""
         self.requests += 1
         chosen = at or self.instances[0]
         sent = {
@@ -158,7 +158,7 @@
             return Answer(None, b"", False)
 
     async def stop(self) -> None:
-        """Stop everything."""
+        """Stop all parts of the site."""
         await self.session.close()
         for one in self.instances:
             await one.stop()
@@ -169,7 +169,7 @@
 
 
 async def read(response: aiohttp.ClientResponse) -> Answer:
-    """Read an answer as far as it comes."""
+    """Read an answer to its end, or until the connection breaks."""
     body = b""
     try:
         async for part in response.content.iter_any():
@@ -180,14 +180,14 @@
 
 
 def is_serving(one: instance.Instance) -> bool:
-    """Tell whether an instance takes requests and knows a server."""
+    """Tell whether an instance accepts requests and knows a backend server."""
     lifecycle = one.members.own.lifecycle
     return lifecycle is messages.Lifecycle.SERVING and bool(one.servers.known)
 
 
 @contextlib.asynccontextmanager
 async def site(servers: int = 2, instances: int = 1) -> AsyncIterator[Site]:
-    """Run a deployment."""
+    """Run a site and stop it at the end."""
     running = Site()
     running.session = aiohttp.ClientSession()
     await running.store.start()
--- a/tests/test_account_limits.py
+++ b/tests/test_account_limits.py
@@ -1,4 +1,4 @@
-"""The limit of a client account over several entries."""
+"""The rate limit of a client account across several entries."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
 PROMPT_BYTES = 128
 COST = PROMPT_BYTES // prefixes.TOKEN_BYTES + OUTPUT
 WANTED = 200
-# Callers at each entry: most of the load comes to one of them.
+# Callers at each entry; one entry receives most of the load.
 CALLERS = (8, 2, 1)
 PAUSE = 0.02
 
 
 async def test_a_limit_holds_over_all_entries_together(tmp_path: pathlib.Path) -> None:
-    """An account that gets its limit from each entry anew.
+    """Guards against an account that gets its full limit at each entry.
 
-    Symptom: an account uses three times its limit. Sequence: its callers use all
-    entries. Cause: each entry counts for itself.
+    An account used three times its limit when its callers used all entries and
+    each entry counted only its own requests.
     """
     async with deployment.Deployment(tmp_path) as running:
         engine = await running.add_engine()
@@ -77,7 +77,7 @@
         await asyncio.gather(*calling, return_exceptions=True)
         dispatched = len((await running.counts(engine))["dispatches"])
         elapsed = time.monotonic() - began
-        # One request on debt and a second's provisional share for each entry.
+        # One request on credit for each entry, and a second of provisional shares.
         slack = INSTANCES * COST + RATE
         assert dispatched * COST <= BURST + RATE * elapsed + slack
         ends = {(reply.status, reply.outcome, reply.reason) for reply in replies}
--- a/tests/test_at_most_once.py
+++ b/tests/test_at_most_once.py
@@ -1,4 +1,4 @@
-"""A non-idempotent request runs at most once, whatever fails meanwhile."""
+"""A non-idempotent request runs at most once, whatever fails in the meantime."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Told(msgspec.Struct, frozen=True, order=True):
-    """What a caller was told; the body is left out, since ids differ by run."""
+    """The answer to a caller, without the body, whose ids differ between runs."""
 
     status: int
     outcome: str
@@ -26,7 +26,7 @@
 
 
 class Session:
-    """A deployment with one service whose calls may not be repeated."""
+    """A deployment with one service whose calls must not be repeated."""
 
     def __init__(self, running: deployment.Deployment) -> None:
         self.running = running
@@ -52,7 +52,7 @@
             await self.wait_for_rule(instance)
 
     async def wait_for_rule(self, instance: deployment.Process) -> None:
-        """Wait until a call without a key is refused for that, and not by 404."""
+        """Wait until a call without a key is refused with 400 instead of 404."""
 
         async def is_in_force() -> bool:
             found = await self.call(instance, PATH, {})
@@ -76,14 +76,14 @@
             return Told(0, "cut")
 
     async def send(self, number: int, key: str, body: bytes = b"quote") -> Told:
-        """Send the quote of a key to an instance, and note what came of it."""
+        """Send the quote of a key to an instance and record the outcome."""
         instance = self.running.instances[number]
         found = await self.call(instance, PATH, {"Idempotency-Key": key}, data=body)
         self.outcomes.append((f"{key} to {instance.name}", found))
         return found
 
     async def complete(self, number: int, key: str) -> Told:
-        """Send a completion that is marked as non-idempotent."""
+        """Send a completion marked as non-idempotent and record the outcome."""
         instance = self.running.instances[number]
         extra = {"Idempotency-Key": key, "Tealcove-Idempotent": "no"}
         body = {"model": "m", "prompt": key, "max_tokens": 4}
@@ -92,11 +92,11 @@
         return found
 
     async def runs(self) -> dict[str, int]:
-        """Return how often each key arrived at the service."""
+        """Return the number of calls by key that the service received."""
         return (await self.running.counts(self.running.services[0]))["keys"]
 
     async def engine_runs(self) -> list[int]:
-        """Return how often each request arrived at the engine."""
+        """Return the number of dispatches of each request to the engine."""
         counts = await self.running.counts(self.running.engines[0])
         return list(counts["dispatches"].values())
 
@@ -115,7 +115,7 @@
         await deployment.until(exists)
 
     async def wait_until_suspected(self, number: int, lost: deployment.Process) -> None:
-        """Wait until an instance has noticed that another is silent."""
+        """Wait until an instance no longer lists a silent one as entry point."""
 
         async def is_suspected() -> bool:
             names = await self.running.entry_points(self.running.instances[number])
@@ -127,11 +127,11 @@
 async def test_entry_killed_while_a_call_runs(
     tmp_path: pathlib.Path, snapshot: assertion.SnapshotAssertion
 ) -> None:
-    """A client receives a quote twice.
+    """Guards against sending a quote twice after the entry was killed.
 
-    Events: the entry is killed while the ledger sends the quote; the caller, whose
-    connection broke, sends again to another entry. Cause: nothing that outlives
-    the entry says that the quote was dispatched.
+    The entry is killed while the ledger sends the quote; the caller, whose
+    connection broke, retries at another entry. The quote would be sent twice if no
+    record of its dispatch outlived the entry.
     """
     async with deployment.Deployment(tmp_path) as running:
         session = Session(running)
@@ -148,10 +148,10 @@
 async def test_reply_of_the_platform_lost_at_the_claim(
     tmp_path: pathlib.Path, snapshot: assertion.SnapshotAssertion
 ) -> None:
-    """A quote isn't sent at all, or twice, since its claim's fate wasn't clear.
+    """Guards against a lost or repeated quote when the claim's outcome is unknown.
 
-    Events: the platform applies the claim and its reply is lost, three times over.
-    Cause: the claim that stands there is taken for another's.
+    The platform applies the claim and its reply is lost, three times in a row. The
+    entry must not mistake its own stored claim for that of another entry.
     """
     async with deployment.Deployment(tmp_path) as running:
         session = Session(running)
@@ -165,7 +165,7 @@
 async def test_the_same_key_to_two_entries_at_once(
     tmp_path: pathlib.Path, snapshot: assertion.SnapshotAssertion
 ) -> None:
-    """A client receives a quote twice, since two entries ran it side by side."""
+    """Guards against sending a quote twice because two entries ran it at once."""
     async with deployment.Deployment(tmp_path) as running:
         session = Session(running)
         await session.prepare()
@@ -183,7 +183,7 @@
 async def test_a_lost_answer_is_given_again_by_another_entry(
     tmp_path: pathlib.Path, snapshot: assertion.SnapshotAssertion
 ) -> None:
-    """A caller whose answer got lost can't learn whether its quote went out."""
+    """Guards against a lost answer that no other entry can repeat."""
     async with deployment.Deployment(tmp_path) as running:
         session = Session(running)
         await session.prepare()
@@ -204,9 +204,9 @@
 async def test_platform_down(
     tmp_path: pathlib.Path, snapshot: assertion.SnapshotAssertion
 ) -> None:
-    """Callers are told "not run" of what was run, or wait for the platform.
+    """Guards against a wrong "not run", and against waiting for the platform.
 
-    Events: the platform is down when a claim is needed, and comes back later.
+    The platform is down when a claim is needed, and is available again later.
     """
     async with deployment.Deployment(tmp_path) as running:
         session = Session(running)
@@ -226,11 +226,11 @@
 async def test_entry_frozen_after_its_claim(
     tmp_path: pathlib.Path, snapshot: assertion.SnapshotAssertion
 ) -> None:
-    """A frozen entry wakes and sends a quote that another has sent meanwhile.
+    """Guards against a frozen entry that resumes and sends a quote a second time.
 
-    Events: the entry is frozen while its claim is written; the caller sends again
-    to another entry; the first one wakes and goes on where it was. Cause: the
-    second entry takes over from one that only seems dead.
+    The entry is frozen while its claim is written; the caller retries at another
+    entry; then the first entry resumes where it stopped. The quote would be sent
+    twice if the second entry took over from one that only seems dead.
     """
     async with deployment.Deployment(tmp_path) as running:
         session = Session(running)
--- a/tests/test_bench.py
+++ b/tests/test_bench.py
@@ -1,4 +1,4 @@
-"""The arithmetic of the measurements."""
+"""The arithmetic of the benchmarks."""
 
 import math
 
--- a/tests/test_callers_leave.py
+++ b/tests/test_callers_leave.py
@@ -1,4 +1,4 @@
-"""Callers that leave before their answer comes."""
+"""Callers that disconnect before they receive their answer."""
 
 from __future__ import annotations
 
@@ -14,18 +14,17 @@
 async def test_a_caller_that_leaves_cancels_its_work(
     tmp_path: pathlib.Path, snapshot: syrupy.SnapshotAssertion
 ) -> None:
-    """Engines work on for callers that are long gone.
+    """Guards against engines that keep working for disconnected callers.
 
-    Symptom: slots stay taken under load although callers gave up.
-    Sequence: a buffered and a streamed caller leave; one of two callers with the
-    same key leaves; the caller of a request to be run once leaves and asks again.
-    Cause: the connection to the engine outlives the one to the caller, or the end
-    of one caller's connection ends what another waits for.
+    A buffered and a streamed caller disconnect; one of two callers with the same
+    key disconnects; the caller of a non-idempotent request disconnects and retries.
+    Slots stay in use if the engine's connection outlives the caller's, and another
+    caller loses its answer if the end of one connection cancels shared work.
     """
     session = []
     async with deployment.Deployment(tmp_path) as running:
         engine = await running.add_engine(decode_seconds_per_token=0.005)
-        # Asked for its counts below, which needs it to listen already.
+        # Its counts are read below, so it must already be listening.
         await running.wait_for_port(engine)
         instance = await running.add_instance()
         await running.declare()
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -20,7 +20,7 @@
 async def read_tier(
     running: deployment.Deployment, instance: deployment.Process
 ) -> dict[str, object]:
-    """Return the tier as one instance shows it."""
+    """Return the tier as one instance reports it."""
     async with running.session.get(instance.url + TIER, headers=OPERATOR) as response:
         return await response.json()
 
@@ -32,7 +32,7 @@
     revision: int,
     key: str,
 ) -> int:
-    """Write the tier and return the answer's status; 0 when it was cut off."""
+    """Write the tier; return the answer's status, or 0 if the connection broke."""
     headers = {**OPERATOR, "If-Match": f'"{revision}"', "Idempotency-Key": key}
     body = {"spec": {"rank": 1, "default_deadline": deadline}}
     try:
@@ -45,7 +45,7 @@
 
 
 async def until_everywhere(running: deployment.Deployment, deadline: float) -> None:
-    """Wait until every instance shows a default deadline."""
+    """Wait until every instance reports a default deadline."""
 
     async def is_everywhere() -> bool:
         found = [await read_tier(running, i) for i in running.instances]
@@ -55,7 +55,7 @@
 
 
 async def start(tmp_path: pathlib.Path) -> deployment.Deployment:
-    """Return a deployment of three instances with resources in force."""
+    """Start a deployment of three instances with resources in force."""
     running = deployment.Deployment(tmp_path)
     await running.__aenter__()
     for _ in range(3):
@@ -71,13 +71,12 @@
 async def test_instances_replaced_during_an_outage(
     tmp_path: pathlib.Path, snapshot: syrupy.SnapshotAssertion
 ) -> None:
-    """A replaced instance serves by an older configuration, or not at all.
+    """Guards against a replaced instance with an older configuration or none.
 
-    Symptom: a key that was taken back works again at some instances.
-    Sequence: a change is accepted; the platform is down for long; all instances
-    are killed and replaced one after the other; the platform comes back.
-    Cause: a starting instance that can't read the platform begins with nothing,
-    or with whatever it finds first.
+    A change is accepted; the platform is down for a long time; all instances are
+    killed and replaced one after the other; the platform is available again. A
+    revoked key would work again at some instances if a starting instance that
+    can't read the platform used no configuration, or the first one it finds.
     """
     session = []
     running = await start(tmp_path)
@@ -115,12 +114,12 @@
 async def test_operators_race_while_replies_are_lost(
     tmp_path: pathlib.Path, snapshot: syrupy.SnapshotAssertion
 ) -> None:
-    """A change is lost, applied twice, or undone by another's.
+    """Guards against a change that is lost, applied twice, or overwritten.
 
-    Symptom: an operator's accepted change is gone without a conflict.
-    Sequence: three writers change one resource through three instances, each on
-    the revision that it read, while the platform loses replies.
-    Cause: a change is written again after a lost reply, over another's.
+    Three writers change one resource through three instances, each based on the
+    revision that it read, while the platform loses replies. An accepted change
+    would vanish without a conflict if a write was repeated after a lost reply,
+    over a change made since.
     """
     running = await start(tmp_path)
     try:
@@ -132,8 +131,8 @@
         stop.set()
         await losing
         await running.set_faults(running.platform, {})
-        # A last change comes after all others in the log, so whoever has it in
-        # force has them too.
+        # The last change follows all others in the log, so an instance that has
+        # it in force has them too.
         await write_until_accepted(running, running.instances[0], 7.0, "last")
         await until_everywhere(running, 7.0)
         after = await read_tier(running, running.instances[2])
@@ -148,14 +147,14 @@
 
 
 async def lose_replies(running: deployment.Deployment, stop: asyncio.Event) -> None:
-    """Let the platform lose a reply again and again."""
+    """Make the platform lose replies until `stop` is set."""
     while not stop.is_set():
         await running.set_faults(running.platform, {"lose_replies": 1})
         await asyncio.sleep(0.02)
 
 
 async def write_many(running: deployment.Deployment, number: int) -> int:
-    """Make some changes, each until it's accepted; return how many were."""
+    """Make some changes, each until it is accepted; return their number."""
     instance = running.instances[number]
     for change in range(CHANGES_EACH):
         deadline = 100.0 + number * CHANGES_EACH + change
@@ -169,13 +168,13 @@
     deadline: float,
     key: str,
 ) -> None:
-    """Make one change, on the newest revision after each conflict."""
+    """Make one change, based on the newest revision after each conflict."""
     for attempt in itertools.count():
         revision = (await read_tier(running, instance))["metadata"]["revision"]
         one = f"{key}-{attempt}"
         code = await write_tier(running, instance, deadline, revision, one)
         while code in (0, 503):
-            # The outcome isn't known: the same key asks what became of it.
+            # The outcome is unknown; a retry with the same key returns it.
             code = await write_tier(running, instance, deadline, revision, one)
         if code == 200:
             return
--- a/tests/test_data_centre_cut.py
+++ b/tests/test_data_centre_cut.py
@@ -1,4 +1,4 @@
-"""A data centre that is cut off and joins again."""
+"""A data centre that is partitioned from the network and rejoins."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 from tests import callers, deployment, embedded
 
 LENGTH = 4
-# Nothing listens there.
+# Nothing listens on this address.
 UNREACHABLE_URL = "http://127.0.0.1:1"
-# Peers are forgotten soon, since the test waits for it.
+# A short `forget_after`, since the test waits until peers are forgotten.
 HEARTBEAT = settings.Heartbeat(interval=0.1, suspect_after=1.0, forget_after=2.0)
 
 
 class Cut:
-    """Lets no message pass between two groups, and hides the platform from one."""
+    """A partition of two groups that also cuts one of them off the platform."""
 
     def __init__(self, near: list[daemon.Instance], far: list[daemon.Instance]) -> None:
         self.is_cut = False
@@ -33,7 +33,7 @@
                 instance.mesh.send = self.wrap_send(instance.mesh.send, hidden)
 
     def wrap_send(self, send: object, hidden: set[endpoint.Endpoint]) -> object:
-        """Return a function that sends, except to hidden peers during the cut."""
+        """Return `send`, wrapped to drop messages to hidden peers during the cut."""
 
         def send_unless_cut(peer: endpoint.Endpoint, sent: message.Message) -> bool:
             if self.is_cut and peer in hidden:
@@ -44,7 +44,7 @@
 
     @contextlib.contextmanager
     def active(self) -> Iterator[None]:
-        """Cut the groups apart for a while."""
+        """Partition the groups while the context is active."""
         self.set_cut(True, UNREACHABLE_URL)
         try:
             yield
@@ -52,14 +52,14 @@
             self.set_cut(False, self.platform_url)
 
     def set_cut(self, is_cut: bool, url: str) -> None:
-        """Begin or end the cut."""
+        """Start or end the cut."""
         self.is_cut = is_cut
         for instance in self.far:
             instance.platform.url = url
 
 
 class Revisions:
-    """Notes every revision that is put in force on an instance."""
+    """Records every revision that comes into force on an instance."""
 
     def __init__(self, instances: list[daemon.Instance]) -> None:
         self.found: dict[str, list[int]] = {}
@@ -68,12 +68,12 @@
             instance.configuration.copy.subscribe(recorder(seen))
 
     def are_increasing(self) -> bool:
-        """Tell whether no instance ever went back."""
+        """Tell whether no instance ever went back to an older revision."""
         return all(sorted(set(seen)) == seen for seen in self.found.values())
 
 
 def recorder(seen: list[int]) -> object:
-    """Return a subscriber that notes revisions."""
+    """Return a subscriber that records revisions."""
 
     def record(previous: copy.Configuration, current: copy.Configuration) -> None:
         seen.append(current.revision)
@@ -82,7 +82,7 @@
 
 
 async def until_members(instances: list[daemon.Instance], count: int) -> None:
-    """Wait until each of some instances knows so many."""
+    """Wait until each instance knows `count` instances, itself included."""
 
     async def all_know() -> bool:
         return all(len(i.members.peers) + 1 == count for i in instances)
@@ -91,7 +91,7 @@
 
 
 async def until_same_revision(instances: list[daemon.Instance]) -> None:
-    """Wait until all instances have the newest configuration of any of them."""
+    """Wait until all instances have the same revision."""
 
     async def is_same() -> bool:
         return len({i.configuration.copy.revision for i in instances}) == 1
@@ -100,7 +100,7 @@
 
 
 async def until_deadline(instances: list[daemon.Instance], deadline: float) -> None:
-    """Wait until a tier's default deadline is in force on some instances."""
+    """Wait until a tier's default deadline is in force on all `instances`."""
 
     async def is_in_force() -> bool:
         found = [deadline_at(instance) for instance in instances]
@@ -110,20 +110,19 @@
 
 
 def deadline_at(instance: daemon.Instance) -> float:
-    """Return the tier's default deadline as it's in force on an instance."""
+    """Return the tier's default deadline in force on an instance."""
     return instance.configuration.copy.current.tiers["high"].spec.default_deadline
 
 
 async def test_a_data_centre_is_cut_off_and_joins_again(
     snapshot: syrupy.SnapshotAssertion,
 ) -> None:
-    """Two halves stay apart for ever, or the older configuration comes back.
+    """Guards against a lasting partition, and a return to an older configuration.
 
-    Symptom: after a cut, some instances serve by an older configuration, or don't
-    know those of the other data centre any more.
-    Sequence: two instances of a data centre lose the platform and the two of the
+    Two instances of a data centre lose the platform and the two instances of the
     other one for longer than peers are remembered; a change is made; the cut ends.
-    Cause: forgotten peers that nobody greets again; a copy that goes back.
+    Afterwards some instances could use an older configuration if a copy went back,
+    or not know the other data centre if nobody contacted forgotten peers again.
     """
     session = []
     async with embedded.pair(heartbeat=HEARTBEAT) as pair, started_far(pair) as far:
@@ -152,7 +151,7 @@
 
 @contextlib.asynccontextmanager
 async def started_far(pair: embedded.Pair) -> AsyncIterator[list[daemon.Instance]]:
-    """Start two instances of another data centre, and stop them at the end."""
+    """Run two instances of another data centre."""
     found = []
     try:
         for name in ("far-1", "far-2"):
@@ -178,7 +177,7 @@
 
 
 async def ask(pair: embedded.Pair, instance: daemon.Instance) -> str:
-    """Send a request through an instance and describe what came back."""
+    """Send a request through an instance and describe the reply."""
     prompt = f"through {instance.settings.data_centre}"
     async with aiohttp.ClientSession() as session:
         reply = await callers.complete(session, pair.url(instance), prompt, LENGTH)
--- a/tests/test_entry_death.py
+++ b/tests/test_entry_death.py
@@ -1,4 +1,4 @@
-"""Entries and dispatchers that die or freeze under load."""
+"""Entries and dispatchers that crash or freeze under load."""
 
 from __future__ import annotations
 
@@ -14,13 +14,12 @@
 
 
 async def test_entry_killed_and_dispatcher_frozen(tmp_path: pathlib.Path) -> None:
-    """Every request gets one whole answer of its own, or its connection is cut.
+    """Guards against lost, mixed-up and repeated requests after a crash.
 
-    Symptom: callers wait for ever, get another's answer, or an engine runs a
-    request twice, after an instance dies.
-    Sequence: requests of all tiers flow through six instances; the dispatcher of
-    the cell is frozen, another instance is killed, the frozen one goes on.
-    Cause: tickets and grants in the memory of the frozen or dead instance.
+    Requests of all tiers run through six instances; the dispatcher of the cell is
+    frozen, another instance is killed, the frozen one resumes. Tickets and grants
+    are in the memory of the frozen or dead instance; still, no caller may wait
+    forever or get another's answer, and no engine may run a request twice.
     """
     async with deployment.Deployment(tmp_path) as running:
         for _ in range(6):
@@ -58,7 +57,7 @@
     target: deployment.Process,
     length: int,
 ) -> callers.Reply:
-    """Send one of the many requests."""
+    """Send one of the requests, after a delay that depends on its number."""
     tier = ("high", "middle", "low")[number % 3]
     await asyncio.sleep(number * 0.01)
     return await callers.complete(
@@ -67,7 +66,7 @@
 
 
 async def wait_for_done(calls: list[asyncio.Task[callers.Reply]], count: int) -> None:
-    """Wait until so many calls are done."""
+    """Wait until `count` calls are done."""
 
     async def enough() -> bool:
         return sum(call.done() for call in calls) >= count
@@ -81,7 +80,7 @@
     lengths: list[int],
     killed: deployment.Process,
 ) -> None:
-    """Check that only callers of the killed instance were cut off."""
+    """Check that only callers of the killed instance lost their connection."""
     for number, reply in enumerate(replies):
         if reply.outcome == "cut":
             assert targets[number] is killed
@@ -92,7 +91,7 @@
 
 
 async def dispatches(running: deployment.Deployment) -> set[int]:
-    """Return how often single requests were dispatched, over all engines."""
+    """Return the distinct dispatch counts of single requests over all engines."""
     total: collections.Counter[str] = collections.Counter()
     for engine in running.engines:
         counts = await running.counts(engine)
--- a/tests/test_knownred.py
+++ b/tests/test_knownred.py
@@ -1,4 +1,4 @@
-"""The list of tests that are passed over."""
+"""The list of known failures, which are skipped."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
     )
 
 
-def test_a_passed_over_test_leaves_its_snapshot_in_use(tmp_path: pathlib.Path) -> None:
-    """A run in which every test passes fails.
+def test_a_skipped_test_leaves_its_snapshot_in_use(tmp_path: pathlib.Path) -> None:
+    """Guards against a failed run in which every test has passed.
 
-    Symptom: "530 passed", "1 snapshot unused", exit code 1. Sequence: a test that
-    compares with a snapshot is on the list. Cause: it was deselected, and its
-    snapshot counted as one that no test uses any more.
+    A run ended with "530 passed", "1 snapshot unused" and exit code 1: a test with a
+    snapshot was on the list and was deselected instead of skipped, so that its
+    snapshot counted as unused.
     """
     (tmp_path / "test_it.py").write_text(
         "def test_one(snapshot):\n    assert 1 == snapshot\n"
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -14,23 +14,23 @@
 from tests import callers, deployment
 
 LENGTH = 4
-# So many requests in a row that avoid a server show that it's no longer chosen:
+# Consecutive requests that must avoid a server to show that it's no longer chosen;
 # it is the faster one of two idle servers.
 REQUESTS_IN_A_ROW = 12
-# How long callers hold the address of an instance; far more than it takes the
-# others to hear that it leaves.
+# Time for which callers keep using an instance's address; far longer than the other
+# instances take to learn that it is leaving.
 ADDRESS_SECONDS = 4.0
 
 
 async def test_leaving_backend_servers(
     tmp_path: pathlib.Path, snapshot: syrupy.SnapshotAssertion
 ) -> None:
-    """A server that leaves goes on getting work until it's gone.
+    """Guards against work for a leaving server until it stops.
 
-    Symptom: requests end as `interrupted` whenever a server is replaced.
-    Sequence: the faster of two engines is told to leave: by its own health, by
-    the pool's spec, by the platform's list; requests go on.
-    Cause: only one of the three is looked at, or the lagging load report.
+    The faster of two engines is marked as leaving while requests continue: by its
+    own health, by the pool's spec, and by the platform's list. Requests would end
+    as `interrupted` at each replacement of a server if only one of the three was
+    read, or only the lagging load report.
     """
     session = []
     async with deployment.Deployment(tmp_path) as running:
@@ -56,28 +56,28 @@
 async def leave_by_health(
     running: deployment.Deployment, engine: deployment.Process
 ) -> None:
-    """Let the engine itself say that it leaves."""
+    """Make the engine report that it is leaving."""
     await running.set_faults(engine, {"state": "leaving"})
 
 
 async def return_by_health(
     running: deployment.Deployment, engine: deployment.Process
 ) -> None:
-    """Let it serve again."""
+    """Make the engine report that it is serving."""
     await running.set_faults(engine, {"state": "serving"})
 
 
 async def leave_by_spec(
     running: deployment.Deployment, engine: deployment.Process
 ) -> None:
-    """Let the operator say so."""
+    """Mark the engine as leaving in the pool's spec."""
     await set_state(running, engine, kinds.ServerState.LEAVING)
 
 
 async def return_by_spec(
     running: deployment.Deployment, engine: deployment.Process
 ) -> None:
-    """Let the operator take it back."""
+    """Mark the engine as serving in the pool's spec."""
     await set_state(running, engine, kinds.ServerState.SERVING)
 
 
@@ -86,7 +86,7 @@
     engine: deployment.Process,
     state: kinds.ServerState,
 ) -> None:
-    """Write the pool with one server's state changed."""
+    """Write the pool with a changed state of one server."""
     pool = running.resources.current.pool("engines").spec
     servers = tuple(
         msgspec.structs.replace(server, state=state)
@@ -101,7 +101,7 @@
 async def leave_by_list(
     running: deployment.Deployment, engine: deployment.Process
 ) -> None:
-    """Let the platform's list say so."""
+    """Mark the engine as leaving in the platform's list."""
     await running.list_instance(
         instances.ListedInstance(
             name=engine.name,
@@ -118,7 +118,7 @@
 async def return_by_list(
     running: deployment.Deployment, engine: deployment.Process
 ) -> None:
-    """Leave it so: the session ends here."""
+    """Do nothing, since this is the last step of the test."""
 
 
 async def dispatched_to(
@@ -126,7 +126,7 @@
     instance: deployment.Process,
     engine: deployment.Process,
 ) -> bool:
-    """Send a request and tell whether the engine got it."""
+    """Send a request and tell whether the engine received it."""
     before = len((await running.counts(engine))["dispatches"])
     reply = await callers.complete(running.session, instance.url, "p", LENGTH)
     assert reply.outcome == "completed"
@@ -138,7 +138,7 @@
     instance: deployment.Process,
     engine: deployment.Process,
 ) -> None:
-    """Wait until the engine gets a request."""
+    """Wait until the engine receives a request."""
 
     async def is_used() -> bool:
         return await dispatched_to(running, instance, engine)
@@ -151,7 +151,7 @@
     instance: deployment.Process,
     engine: deployment.Process,
 ) -> None:
-    """Wait until many requests in a row avoid the engine."""
+    """Wait until `REQUESTS_IN_A_ROW` requests avoid the engine."""
     avoided = 0
 
     async def is_avoided() -> bool:
@@ -166,14 +166,13 @@
 async def test_graceful_shutdown_of_every_part(
     tmp_path: pathlib.Path, snapshot: syrupy.SnapshotAssertion
 ) -> None:
-    """Requests in progress are cut off when a part is replaced.
-
-    Symptom: callers see broken connections at each roll-out.
-    Sequence: requests run through three instances; the dispatcher of the cell,
-    then another entry, then an engine get SIGTERM, each with work in progress.
-    Callers that were told an instance's address go on using it for a while.
-    Cause: a process that exits before its work is handed over or done, or that
-    closes its port while callers still hold its address.
+    """Guards against connections that break when a process is replaced.
+
+    Requests run through three instances; the dispatcher of the cell, another entry
+    and an engine receive SIGTERM in turn, each with work in progress. Callers that
+    know an instance's address keep using it for a while. Connections would break
+    if a process exited before its work was handed over or done, or closed its port
+    while callers still use its address.
     """
     session = []
     async with deployment.Deployment(tmp_path) as running:
@@ -211,7 +210,7 @@
 def start_requests(
     running: deployment.Deployment, instance: deployment.Process, name: str
 ) -> list[tuple[str, asyncio.Task[callers.Reply]]]:
-    """Send six requests that take about a second each."""
+    """Start six requests that take about a second each."""
     prompts = [f"{name}, {number}" for number in range(6)]
     return [
         (p, running.spawn(callers.complete(running.session, instance.url, p, 100)))
--- a/tests/test_not_run.py
+++ b/tests/test_not_run.py
@@ -1,4 +1,4 @@
-"""When a caller is told that a request was not run, it truly was not run."""
+"""A request whose answer is `not_run` was never run."""
 
 from __future__ import annotations
 
@@ -19,14 +19,13 @@
 async def test_a_burst_amid_failures(
     tmp_path: pathlib.Path, snapshot: syrupy.SnapshotAssertion
 ) -> None:
-    """A request that was told `not_run` was run all the same.
-
-    Symptom: a caller sends a quote by hand after `not_run`, and its client gets
-    it twice.
-    Sequence: a burst of all tiers with short deadlines over three instances;
-    engines refuse connections for a while, one is killed, the dispatcher is
-    frozen and killed, the platform is down for non-idempotent requests.
-    Cause: a refusal and a grant, or a refusal and a dispatch, cross each other.
+    """Guards against a request that is run although its answer is `not_run`.
+
+    After `not_run` a caller sends its quote by hand, so its client would receive it
+    twice. The test sends a burst of all tiers with short deadlines to three
+    instances; engines refuse connections for a while, the dispatcher is frozen and
+    killed, and the platform is down for non-idempotent requests. A refusal may race
+    with a grant or a dispatch.
     """
     async with deployment.Deployment(tmp_path) as running:
         for _ in range(3):
@@ -80,7 +79,7 @@
 
 
 async def wait_for_done(calls: list[asyncio.Task[callers.Reply]], count: int) -> None:
-    """Wait until so many calls are done."""
+    """Wait until `count` calls are done."""
 
     async def enough() -> bool:
         return sum(call.done() for call in calls) >= count
@@ -91,7 +90,7 @@
 async def describe(
     running: deployment.Deployment, replies: list[callers.Reply]
 ) -> list[str]:
-    """Return what was found, in lines that are alike on every run."""
+    """Summarise the replies in lines that are the same on every run."""
     dispatched: collections.Counter[str] = collections.Counter()
     for engine in running.engines:
         dispatched.update((await running.counts(engine))["dispatches"])
--- a/tests/test_outage.py
+++ b/tests/test_outage.py
@@ -1,4 +1,4 @@
-"""The platform is down for long, and more goes wrong meanwhile."""
+"""A long outage of the platform with further failures."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     extra: dict[str, str] | None = None,
     tier: str = "high",
 ) -> list[str]:
-    """Send ten requests over some entries; return what became of them, sorted."""
+    """Send ten requests through some entries; return their sorted outcomes."""
     prompts = [f"{name}, {number}" for number in range(10)]
     calls = []
     for number, prompt in enumerate(prompts):
@@ -43,12 +43,11 @@
 async def test_routing_goes_on_without_the_platform(
     tmp_path: pathlib.Path, snapshot: syrupy.SnapshotAssertion
 ) -> None:
-    """Requests fail because a store is down that they don't need.
+    """Guards against requests that fail because of a store that they don't need.
 
-    Symptom: labels can't be printed for as long as the platform has an outage.
-    Sequence: the platform goes down; then the cell's dispatcher is killed, an
-    engine becomes a straggler, another is killed; the platform comes back.
-    Cause: a decision on the way of a request that reads or writes the table.
+    The platform goes down; then the cell's dispatcher is killed and an engine
+    becomes a straggler; the platform is available again. Labels couldn't be printed
+    during the whole outage if the handling of a request read or wrote the table.
     """
     session = []
     async with deployment.Deployment(tmp_path) as running:
@@ -82,7 +81,7 @@
 async def send_until_run(
     running: deployment.Deployment, entries: list[deployment.Process]
 ) -> list[str]:
-    """Wait until a non-idempotent request is run, then send ten more."""
+    """Wait until a non-idempotent request is completed, then send ten more."""
 
     async def is_run() -> bool:
         headers = {**ONCE, "Idempotency-Key": "first after the outage"}
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -1,4 +1,4 @@
-"""The whole path through separate processes."""
+"""The path of requests through separate processes."""
 
 from __future__ import annotations
 
--- a/tests/test_platformed.py
+++ b/tests/test_platformed.py
@@ -1,4 +1,4 @@
-"""The whole path on the users' platform, against its stand-ins."""
+"""The path of requests on the users' platform, against its stand-ins."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from tests import platform_site
 
 Fault = poolserver.Fault
-# Longer than any test waits.
+# Longer than any wait in the tests.
 LONG_TIMEOUT_MS = 10 * int(1000 * platform_site.TIMEOUT_SECONDS)
 COMPLETE_STREAM = b"".join(
     f"id: {number}\ndata: piece {number}\n\n".encode() for number in range(1, 6)
@@ -22,7 +22,7 @@
 
 
 def fail_next(running: platform_site.Site, fault: Fault, servers: int = 9) -> None:
-    """Let the next request at each of some servers meet a fault."""
+    """Queue a fault for the next request at each of the first servers."""
     for server in running.servers[:servers]:
         server.faults.append(fault)
 
@@ -31,7 +31,7 @@
     return [run for server in running.servers for run in server.runs]
 
 
-async def test_a_request_is_passed_on_and_its_answer_unchanged():
+async def test_a_request_is_forwarded_and_its_answer_unchanged():
     async with platform_site.site() as running:
         answer = await running.send(
             "/safe/a%2Fb?c=d",
@@ -44,7 +44,7 @@
         assert answer.body.startswith(b"from s-")
         assert answer.headers[names.SIGNATURE].startswith("signed by s-")
         assert run.target == "/safe/a%2Fb?c=d"
-        # What is the system's to set is set by it alone, and the key stays here.
+        # Only the system sets its own headers, and the key is not forwarded.
         assert run.account == platform_site.ACCOUNT
         assert run.headers["X-Own"] == "1"
         assert "Kv-From" not in run.headers
@@ -52,12 +52,11 @@
         assert 0 < int(run.deadline_ms) <= 2500
 
 
-async def test_a_coded_body_goes_on_as_it_came():
-    """A backend server gets another body than the caller's.
+async def test_a_compressed_body_is_forwarded_unchanged():
+    """Guards against a backend server that receives a different body.
 
-    Symptom: the server's signature isn't of what the caller sent. Sequence: a
-    caller sends a compressed body. Cause: the HTTP library undoes the coding while
-    the header that names it goes on.
+    The server's signature didn't match a compressed body, since the HTTP library
+    decompressed the body while its Content-Encoding header was forwarded.
     """
     coded = gzip.compress(b"recipe " * 100)
     async with platform_site.site() as running:
@@ -68,7 +67,7 @@
         assert run.body == coded
 
 
-async def test_streams_pass_on_whole():
+async def test_streams_are_forwarded_completely():
     async with platform_site.site() as running:
         answer = await running.send("/stream/1")
         assert (answer.status, answer.body, answer.is_complete) == (
@@ -80,7 +79,7 @@
         assert rest.body == COMPLETE_STREAM[COMPLETE_STREAM.index(b"id: 4") :]
 
 
-async def test_what_is_not_declared_is_refused():
+async def test_undeclared_requests_are_refused():
     async with platform_site.site() as running:
         assert (await running.send("/nowhere/1")).status == 404
         assert (await running.send("/safe/1", Api_Key="wrong")).status == 401
@@ -89,12 +88,12 @@
         assert runs(running) == []
 
 
-async def test_a_lost_answer_is_final_for_what_may_run_once():
-    """A request that may run once runs twice, or is said not to have run.
+async def test_a_lost_answer_of_a_non_idempotent_request_is_final():
+    """Guards against running a non-idempotent request twice, or reporting `not_run`.
 
-    Symptom: two runs of one request, or a 503 for one that has run. Sequence: the
-    server runs it and resets the connection. Cause: a lost answer taken for one
-    that wasn't sent.
+    The server runs the request and resets the connection. The request would run
+    twice, or be answered with 503 although it ran, if the lost answer was mistaken
+    for a request that was never sent.
     """
     async with platform_site.site() as running:
         fail_next(running, Fault.RESET)
@@ -102,7 +101,7 @@
         assert len(runs(running)) == 1
 
 
-async def test_a_lost_answer_is_made_good_for_what_may_repeat():
+async def test_an_idempotent_request_is_retried_after_a_lost_answer():
     async with platform_site.site() as running:
         fail_next(running, Fault.RESET, 1)
         assert (await running.send("/safe/1")).status == 200
@@ -110,10 +109,10 @@
         assert (await running.send("/safe/2")).status == 200
 
 
-async def test_a_failed_answer_is_passed_on_when_the_second_server_fails_too(
+async def test_a_failed_answer_is_forwarded_if_the_second_server_fails_too(
     monkeypatch: pytest.MonkeyPatch,
 ):
-    # However slow this process is, both servers are reached and may take their time.
+    # Both servers must be reached and may be slow, however slow this process is.
     monkeypatch.setattr(engines, "CONNECT_TIMEOUT", platform_site.TIMEOUT_SECONDS)
     monkeypatch.setattr(exchange, "LEAST_SILENCE", platform_site.TIMEOUT_SECONDS)
     async with platform_site.site() as running:
@@ -124,15 +123,15 @@
         assert [len(server.runs) for server in running.servers] == [1, 1]
 
 
-async def test_the_first_server_is_tried_again_where_the_second_is_out_of_reach(
+async def test_the_first_server_is_retried_if_the_second_is_unreachable(
     monkeypatch: pytest.MonkeyPatch,
 ):
-    """A caller gets a success although the server before has failed the request.
+    """Documents that a retry at the server that failed is allowed.
 
-    Symptom: 200 from the server that has answered 500. Sequence: the first server
-    fails, and no connection to the second one stands in time; a process that stands
-    still for 0.3 s while it connects is enough. Cause: none; it's allowed, since the
-    request may repeat and ran twice at the most.
+    A caller may get 200 from the server that answered 500 before: the first server
+    fails and no connection to the second one is made in time, for which a pause of
+    0.3 s of the process while connecting suffices. This is allowed, since the request
+    is idempotent and runs at most twice.
     """
     monkeypatch.setattr(exchange, "LEAST_SILENCE", platform_site.TIMEOUT_SECONDS)
     async with platform_site.site() as running:
@@ -155,11 +154,11 @@
         assert runs(running) == []
 
 
-async def test_no_answer_of_another_request_is_passed_on():
-    """A caller gets another caller's answer.
+async def test_no_answer_of_another_request_is_forwarded():
+    """Guards against a caller that receives another caller's answer.
 
-    Symptom: an answer whose id is another request's. Sequence: a faulty server
-    sends an answer that belongs elsewhere. Cause: the echoed id isn't compared.
+    A faulty server sends the answer to another request, with that request's id. It
+    would be forwarded if the echoed id wasn't compared.
     """
     async with platform_site.site() as running:
         fail_next(running, Fault.WRONG_ID)
@@ -168,11 +167,11 @@
         assert b"from" not in answer.body
 
 
-async def test_an_answer_that_is_reset_is_not_taken_for_whole():
-    """A caller takes a part of an answer for the whole.
+async def test_an_answer_that_is_reset_is_not_mistaken_for_complete():
+    """Guards against a 200 with half a body.
 
-    Symptom: a 200 with half a body. Sequence: an answer without a length is reset
-    on the way. Cause: the HTTP library takes a reset for the end of such an answer.
+    An answer without a length is reset midway, and the HTTP library treats the reset
+    as the end of the answer.
     """
     async with platform_site.site() as running:
         fail_next(running, Fault.UNFRAMED)
@@ -181,20 +180,20 @@
         assert b"half" not in answer.body
 
 
-async def test_a_broken_stream_goes_on_at_another_server():
+async def test_a_broken_stream_continues_at_another_server():
     async with platform_site.site() as running:
         fail_next(running, Fault.CUT, 1)
         running.servers[1].faults.append(Fault.CUT)
         answer = await running.send("/stream/1")
         assert [run.last_event for run in runs(running)] == [None, "2"]
-        # The second server breaks off as well, at the same event.
+        # The second server breaks the connection too, at the same event.
         assert answer.body == COMPLETE_STREAM[: COMPLETE_STREAM.index(b"id: 3")]
         assert not answer.is_complete
         again = await running.send("/stream/1", Last_Event_Id="2")
         assert answer.body + again.body == COMPLETE_STREAM
 
 
-async def test_a_stream_never_leaves_an_event_out():
+async def test_a_stream_never_omits_an_event():
     async with platform_site.site() as running:
         fail_next(running, Fault.SKIPPED_EVENT)
         answer = await running.send("/stream/brief/1")
@@ -202,19 +201,19 @@
         assert answer.body == COMPLETE_STREAM[: COMPLETE_STREAM.index(b"id: 3")]
 
 
-async def test_a_silent_server_is_left_at_the_routes_time():
+async def test_a_silent_server_is_abandoned_at_the_routes_timeout():
     async with platform_site.site() as running:
         fail_next(running, Fault.NO_ANSWER)
         answer = await running.send("/stream/brief/1")
         assert answer.status == 504
 
 
-async def test_a_lost_answer_is_not_waited_for_to_the_end():
-    """Callers of requests that may repeat wait for an answer that never comes.
+async def test_a_lost_answer_is_not_awaited_until_the_timeout():
+    """Guards against idempotent requests that wait for an answer that never arrives.
 
-    Symptom: no answer until the route's time is over. Sequence: a server runs the
-    request and loses its answer without closing the connection. Cause: only a
-    broken connection leads to another server.
+    A server runs the request and loses its answer without closing the connection.
+    The caller would wait until the route's timeout if only a broken connection led
+    to a retry at another server.
     """
     async with platform_site.site() as running:
         fail_next(running, Fault.NO_ANSWER, 1)
@@ -223,7 +222,7 @@
         assert len(runs(running)) == 3
 
 
-async def test_a_caller_that_leaves_ends_its_run():
+async def test_a_caller_that_disconnects_ends_its_run():
     async with platform_site.site() as running:
         fail_next(running, Fault.NO_ANSWER)
         sending = asyncio.create_task(running.send("/safe/1"))
@@ -233,7 +232,7 @@
         assert (await running.send("/safe/1")).status == 200 or runs(running)
 
 
-async def test_a_leaving_server_gets_nothing_more():
+async def test_a_leaving_server_gets_no_more_requests():
     async with platform_site.site() as running:
         first, second = running.servers
         entry = first.entry("draining")
@@ -248,12 +247,12 @@
         assert len(second.runs) == 6
 
 
-async def test_a_server_that_starts_again_under_its_name_has_free_slots():
-    """Requests wait for a server that is idle.
+async def test_a_server_restarted_under_its_name_has_free_slots():
+    """Guards against requests that wait although the server is idle.
 
-    Symptom: nothing is sent to a restarted server until callers leave. Sequence: all
-    slots of the only server are taken; it starts again under its name, and the old
-    connections stay silent. Cause: runs of its old start hold slots of the new one.
+    All slots of the only server are in use; it restarts under its name, and the old
+    connections stay silent. Nothing was sent to the restarted server until callers
+    disconnected, since runs of the old process occupied slots of the new one.
     """
     async with platform_site.site(servers=1) as running:
         (server,) = running.servers
@@ -275,12 +274,12 @@
         await asyncio.gather(*lost, return_exceptions=True)
 
 
-async def test_a_row_that_is_no_entry_leaves_the_other_servers_in_use():
-    """One row of another writer stops all requests.
+async def test_an_invalid_row_leaves_the_other_servers_in_use():
+    """Guards against one invalid row that disturbs all requests.
 
-    Symptom: requests go to an address of which nobody has written whole. Sequence: rows
-    of other bytes and with fields missing come into the servers' table. Cause: what is
-    missing is filled in by a guess.
+    Rows with invalid bytes or missing fields are written to the servers' table.
+    Requests would go to the address of an incomplete entry if missing fields were
+    filled with guesses.
     """
     async with platform_site.site(servers=1) as running:
         address = f"127.0.0.1:{running.servers[0].port}"
@@ -294,12 +293,12 @@
         assert (await running.send("/safe/1")).status == 200
 
 
-async def test_an_address_that_another_server_has_runs_nothing():
-    """A request is run by a server of another service.
+async def test_a_reused_address_of_another_server_runs_nothing():
+    """Guards against a request that is run by a server of another service.
 
-    Symptom: a run at a service that no route leads to. Sequence: a server dies, and
-    its address is given to another one before its entry is gone. Cause: the
-    request doesn't name the server that it's meant for.
+    A server dies, and its address is assigned to another server before its entry is
+    removed. A service without a route would run requests if they didn't name the
+    server that they are meant for.
     """
     async with platform_site.site() as running:
         for server in running.servers:
@@ -308,7 +307,7 @@
         assert runs(running) == []
 
 
-async def test_a_limit_holds_over_all_instances():
+async def test_a_limit_holds_across_all_instances():
     async with platform_site.site(instances=2) as running:
         limited = {"rate_per_s": 10, "burst": 1000, "plain_tokens": 200}
         account = {"name": platform_site.ACCOUNT, "api_keys": [platform_site.KEY]}
@@ -328,12 +327,12 @@
         assert all(float(answer.headers["Retry-After"]) > 0 for answer in refused)
 
 
-async def test_an_instance_that_the_store_turns_away_learns_from_its_peers():
-    """An instance goes on with a key that was taken away.
+async def test_an_instance_that_the_store_refuses_learns_from_its_peers():
+    """Guards against an instance that still accepts a revoked key.
 
-    Symptom: requests with an old key are served for as long as the store turns
-    one instance away. Sequence: the store refuses that instance's calls; keys
-    change. Cause: only the store is asked for the configuration.
+    The store refuses the calls of one instance, and keys change. The instance would
+    serve requests with an old key as long as the store refuses it, if only the store
+    was asked for the configuration.
     """
     async with platform_site.site(instances=2) as running:
         refused_instance = running.instances[1]
@@ -350,18 +349,17 @@
         ).status == 200
 
 
-async def test_requests_go_on_while_the_store_is_down():
+async def test_requests_are_served_while_the_store_is_down():
     async with platform_site.site() as running:
         running.store.memory.faults.down = True
         assert (await running.send("/once/1")).status == 200
 
 
-async def test_an_instance_without_a_configuration_promises_nothing():
-    """Callers are told that a route doesn't exist, and never come back.
+async def test_an_instance_without_a_configuration_answers_503():
+    """Guards against 404 or 401 right after a restart, after which callers give up.
 
-    Symptom: 404 or 401 right after a restart. Sequence: an instance starts while
-    the store is down and answers before it knows any route. Cause: no
-    configuration taken for an empty one.
+    An instance starts while the store is down and answers before it knows any route.
+    A missing configuration must not be mistaken for an empty one.
     """
     async with platform_site.site() as running:
         running.store.memory.faults.down = True
@@ -370,7 +368,7 @@
         assert answer.status == 503
 
 
-async def test_a_leaving_instance_ends_what_it_has_and_refuses_the_rest():
+async def test_a_leaving_instance_finishes_its_requests_and_refuses_new_ones():
     async with platform_site.site() as running:
         one = running.instances[0]
         running.servers[0].event_interval = running.servers[1].event_interval = 0.15
@@ -393,11 +391,11 @@
         await leaving
 
 
-async def test_an_instance_ends_although_a_stream_does_not():
-    """An instance that leaves is killed, and nobody hears its farewell.
+async def test_an_instance_stops_although_a_stream_still_runs():
+    """Guards against a leaving instance that is killed before it announces its end.
 
-    Symptom: processes are still there at the end of the grace time. Sequence: SIGTERM
-    while a stream runs that is longer than that. Cause: the HTTP server waits up to
+    An instance receives SIGTERM while a stream runs that outlasts the grace time.
+    Its process still ran at the end of that time, since the HTTP server waits up to
     60 s for its handlers before anything else is stopped.
     """
     async with platform_site.site(instances=2) as running:
@@ -421,6 +419,6 @@
 def is_gone(
     seen_by: platform_site.instance.Instance, one: platform_site.instance.Instance
 ):
-    """Tell whether an instance has heard another one's farewell."""
+    """Tell whether an instance knows that another one is gone."""
     known = seen_by.members.find(one.name)
     return known is None or known.lifecycle is messages.Lifecycle.GONE
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -39,12 +39,12 @@
         if span.parent is None or trace.format_span_id(span.parent.span_id) != parent:
             continue
         assert trace.format_trace_id(span.context.trace_id) == TRACE
-        attributes = ", ".join(
+        pairs = ", ".join(
             f"{k}={stable_value(k, v)}" for k, v in span.attributes.items()
         )
         events = "".join(f" !{event.name}" for event in span.events)
         status = span.status.description or ""
-        lines.append(f"{span.name} @{role} [{attributes}]{events} {status}".rstrip())
+        lines.append(f"{span.name} @{role} [{pairs}]{events} {status}".rstrip())
         below = render_tree(found, trace.format_span_id(span.context.span_id))
         lines.extend(f"  {line}" for line in below)
     return lines
