--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -1,4 +1,4 @@
-"""A request that crashes backend servers, sent again and again."""
+"""A request that crashes backend servers and is retried repeatedly."""
 
 from __future__ import annotations
 
@@ -23,14 +23,14 @@
 
 
 class Crashed(msgspec.Struct):
-    """The line that an engine prints when a prompt has crashed it."""
+    """The line that an engine prints when a prompt crashes it."""
 
     event: str
     counts: engine_counts.EngineCounts
 
 
 class GoodTraffic:
-    """Callers who send prompts of their own, and again what was interrupted."""
+    """Callers that send their own prompts and retry interrupted ones."""
 
     def __init__(self, running: deployment.Deployment) -> None:
         self.running = running
@@ -55,7 +55,7 @@
 
 
 def counts_of_crashed_engines(folder: pathlib.Path) -> list[engine_counts.EngineCounts]:
-    """Return what the engines that crashed had counted."""
+    """Return the counts of the engines that crashed."""
     found = []
     for number in range(ENGINES):
         for line in (folder / f"engine-{number}.log").read_bytes().splitlines():
@@ -65,7 +65,7 @@
 
 
 async def dispatched_to_survivors(running: deployment.Deployment) -> set[str]:
-    """Return the ids of all requests that engines which still run have got."""
+    """Return the ids of all requests that the surviving engines received."""
     found = set()
     for engine in running.engines:
         with contextlib.suppress(aiohttp.ClientConnectionError):
@@ -76,11 +76,11 @@
 async def test_one_bad_request_costs_two_of_six_engines(
     tmp_path: pathlib.Path, snapshot: syrupy.SnapshotAssertion
 ) -> None:
-    """One request that kills every engine.
+    """Guards against one request that crashes every engine within a minute.
 
-    Symptom: engine after engine dies within a minute. Sequence: a prompt crashes
-    the engine that runs it; its caller is told that it's safe to send again, and
-    does so, each time to another entry. Cause: no entry knows what the others saw.
+    A prompt crashes the engine that runs it; its caller is told that a retry is
+    safe, and retries, each time at another entry. One engine after another would
+    crash, since no entry knows what the others have seen.
     """
     async with deployment.Deployment(tmp_path) as running:
         for _ in range(ENGINES):
@@ -108,12 +108,12 @@
         await asyncio.gather(*good)
         crashed = counts_of_crashed_engines(tmp_path)
         assert len(crashed) == 2
-        # An engine may die between the connection and the request, uncounted, so
-        # it's those that live on which have to have completed what they got.
+        # An engine may crash between connection and request, without counting it, so
+        # only the surviving engines must have completed what they received.
         ran = await dispatched_to_survivors(running)
         for reply in traffic.replies:
             assert reply.outcome == "completed" or reply.request_id not in ran, reply
-        # The second one ran the suspect alone, so that nothing else was lost.
+        # The second engine ran the suspect alone, so that no other request was lost.
         lost_runs = [
             set(counts.dispatches) - set(counts.completed) for counts in crashed
         ]
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -1,4 +1,4 @@
-"""The tool that plays mixes of requests against the dispatcher's decisions."""
+"""The tool that simulates mixes of requests with the dispatcher's decisions."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def play_run(load: float, seed: int = 1, found: mix.Mix = mix.LABELS) -> play.Outcome:
-    """Return a short run."""
+    """Simulate a short run."""
     return play.Play(found, mix.draw(found, load, SECONDS, seed)).run()
 
 
@@ -24,7 +24,7 @@
     return [(caller.number, caller.end) for caller in outcome.callers]
 
 
-def test_a_seed_plays_the_same_run_again() -> None:
+def test_a_seed_reproduces_its_run() -> None:
     assert summary(play_run(1.5)) == summary(play_run(1.5))
     assert summary(play_run(1.5)) != summary(play_run(1.5, seed=2))
 
@@ -41,16 +41,16 @@
     sums = tally.sums(play_run(2.2))
     shares = [sums.kinds[kind.name].share() for kind in mix.LABELS.kinds]
     assert shares == sorted(shares, reverse=True)
-    # Nobody waits in vain for long at 2.2 times the load any more.
+    # At 2.2 times the load no request waits long without being served.
     assert tally.sums(play_run(4.0)).whole.held > 0.0
 
 
-def test_a_caller_that_was_sent_away_does_not_wait() -> None:
-    """The time that callers wait in vain is told as three times what it was.
+def test_a_refused_caller_does_not_wait() -> None:
+    """Guards against a useless waiting time that is reported three times too long.
 
-    Symptom: 0.6 to 0.8 of a kind's worth waited in vain, though it was refused early.
-    Sequence: a caller is refused, told to come back later than it has time for, and
-    leaves. Cause: until then it was counted as waiting.
+    A caller is refused with a retry time beyond its deadline and gives up. It was
+    counted as waiting until then, so that 0.6 to 0.8 of a kind's worth seemed to wait
+    in vain, although it was refused early.
     """
     found = mix.ranked(mix.LABELS)
     for caller in play_run(2.2, found=found).callers:
@@ -75,12 +75,12 @@
         assert 0 < found <= run.batches[name].engine.slots
 
 
-def test_a_long_line_is_not_looked_through_at_each_event() -> None:
-    """The dispatcher of many servers comes late with everything under overload.
+def test_a_long_queue_is_not_scanned_at_each_event() -> None:
+    """Guards against a dispatcher of many servers that is slow under overload.
 
-    Symptom: tickets are answered late or not at all, slots are given up as untold.
-    Sequence: 30 servers, 2.2 times their load. Cause: each of thousands of events a
-    second played the whole line through, 0.57 of a core.
+    With 30 servers at 2.2 times their load, tickets were answered late or not at all,
+    and slots were given up because nothing was heard of them: each of thousands of
+    events per second scanned the whole queue, which used 0.57 of a core.
     """
     kinds = tuple(
         msgspec.structs.replace(kind, per_second=5 * kind.per_second)
@@ -90,12 +90,12 @@
     decides = goal.GoalScheduler()
     call_count = count_calls(decides, "refuse_too_late")
     outcome = play.Play(many, mix.draw(many, 2.2, 2.0, 1), decides).run()
-    # 2.1 for each request when each event looked, .5 now.
+    # 2.1 calls for each request if each event scans the queue, .5 without.
     assert call_count() < len(outcome.callers)
 
 
 def count_calls(decides: goal.GoalScheduler, name: str) -> Callable[[], int]:
-    """Count the calls of one of a scheduler's methods."""
+    """Wrap a scheduler's method, and return a function that returns its call count."""
     method = getattr(decides, name)
     calls = itertools.count()
 
@@ -107,74 +107,77 @@
     return lambda: next(calls)
 
 
-def test_callers_that_cannot_be_served_are_told_so_early() -> None:
-    """Callers wait in vain through most of their time, and can't go elsewhere.
+def test_callers_that_cannot_be_served_are_refused_early() -> None:
+    """Guards against callers that wait in vain for most of their deadline.
 
-    Symptom: under overload, requests of lower ranks are refused only when their caller
-    is about to leave. Sequence: at 2.2 times the load, more urgent requests keep coming
-    and go first. Cause: the forecast counted only those that were there already, so
-    that each waiting one seemed to be next.
+    Under an overload of 2.2 times the load, more urgent requests keep arriving and
+    are served first. Requests of lower ranks were refused only when their callers were
+    about to give up, too late to go elsewhere, since the forecast counted only the
+    requests already queued, so that each waiting one seemed to be next.
     """
     requests = mix.draw(mix.LABELS, 2.2, 2 * SECONDS, 3)
     sums = tally.sums(play.Play(mix.LABELS, requests).run())
-    # .144 without the arrivals, .041 with them; all together earn as much as before.
+    # .144 without the arrivals in the forecast, .041 with them; the total worth is
+    # the same.
     assert sums.kinds["notes"].held / sums.kinds["notes"].owed < 0.1
     assert sums.whole.share() > 0.84
 
 
 def test_slow_engines_do_not_hide_an_overload() -> None:
-    """Callers of lower ranks wait in vain where some engines are slow.
+    """Guards against lower ranks that wait in vain if some engines are slow.
 
-    Symptom: at 1.9 times the load, a twelfth of all worth waits for seconds and is
-    refused then. Sequence: more urgent requests take all that the engines can do.
-    Cause: the forecast reckoned with what each of them takes at the fastest engine,
-    and so with slots that would never be free.
+    At 1.9 times the load, more urgent requests use the engines' whole capacity, and a
+    twelfth of all worth waited for seconds before it was refused. The forecast used
+    the duration of each request at the fastest engine, and thus slots that would
+    never be free.
     """
     found = mix.ranked(mix.LABELS)
     sums = tally.sums(play.Play(found, mix.draw(found, 1.9, 30.0, 1)).run())
-    # .074 with the fastest engine's time, .037 with that of all; .62 earned both ways.
+    # .074 with the time of the fastest engine, .037 with that of all; .62 is earned
+    # either way.
     assert sums.whole.held / sums.whole.owed < 0.05
     assert sums.whole.share() > 0.6
 
 
 def overloaded(seed: int) -> tally.Sums:
-    """Return the sums of a run of short goals at 1.25 times what can be served."""
+    """Return the sums of a run with short goals at 1.25 times the capacity."""
     requests = mix.draw(mix.STATEMENTS, 1.25, 34.0, seed)
     return tally.sums(play.Play(mix.STATEMENTS, requests).run())
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_requests_that_take_little_are_not_shut_out(seed: int) -> None:
-    """Callers of the least urgent kind are refused for as long as the load lasts.
+def test_short_requests_are_not_starved(seed: int) -> None:
+    """Guards against a least urgent kind that is refused as long as the load lasts.
 
-    Symptom: a kind that holds a slot for a fifth of the others' time is served in one
-    case of twenty. Sequence: all accounts are of one tier; more urgent kinds ask for
-    more than all slots. Cause: the line goes strictly by urgency.
+    All accounts are of one tier, and more urgent kinds need more than all slots. A
+    kind that occupies a slot for a fifth of the others' time was served in one case
+    of twenty, since the queue was strictly ordered by urgency.
     """
     sums = overloaded(seed)
-    # In aim: .04 to .06 by urgency alone, .43 to .47 by parts that are due.
+    # Served in time: .04 to .06 by urgency alone, .43 to .47 by fair shares.
     assert sums.kinds["tag"].part(play.End.IN_AIM) > 0.35
     # More urgent kinds are served at least as well.
     shares = [sums.kinds[kind.name].share() for kind in mix.STATEMENTS.kinds]
     assert shares[0] > shares[1] > shares[2] - 0.05
-    # Whatever their length: .20 and less of each by urgency alone.
+    # Whatever their length; at most .20 of each by urgency alone.
     for name in ("letter, largest", "tag, largest", "review, largest"):
         assert sums.sizes[name].share() > 0.2
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_slots_go_to_those_whose_goals_are_in_reach(seed: int) -> None:
-    """Most answers come late, and each is late because of others.
+def test_slots_go_to_requests_whose_goals_can_be_met(seed: int) -> None:
+    """Guards against answers that are late because of other late ones.
 
-    Symptom: one answer in three comes after its goal. Sequence: at 1.25 times the load
-    requests are refused and come again, with new ids. Cause: they're taken for fresh
-    ones and served first, late for their callers, in place of fresh ones in reach.
+    At 1.25 times the load, requests are refused and retried with new ids. One answer
+    in three missed its goal, since retries were mistaken for first attempts and served
+    first, too late for their callers, instead of first attempts that could be in time.
     """
     sums = overloaded(seed)
     served = sums.whole.ends[play.End.IN_AIM] + sums.whole.ends[play.End.LATE]
-    # .30 to .38 of what is served by ranks alone, .20 to .22 with first tries known.
+    # Of the served ones, .30 to .38 by ranks alone, .20 to .22 if first attempts are
+    # known.
     assert sums.whole.ends[play.End.LATE] / served < 0.25
-    # .51 to .55 of all worth before, .63 to .66 now.
+    # Of all worth, .51 to .55 by ranks alone, .63 to .66 if first attempts are known.
     assert sums.whole.share() > 0.58
-    # Nobody is kept for nothing: .012 to .014 of the worth before, .011 to .012 now.
+    # Worth that waits in vain: .012 to .014 by ranks alone, .011 to .012 otherwise.
     assert sums.whole.held / sums.whole.owed < 0.02
--- a/tests/test_rollouts.py
+++ b/tests/test_rollouts.py
@@ -1,4 +1,4 @@
-"""Roll-outs by the operator's order, against the platform's stand-ins."""
+"""Roll-outs ordered by the operator, against the platform's stand-ins."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
 OLD, NEW = "v1", "v2"
 KEY = names.ROLLOUT_KEY + "pool"
 SERVERS = 3
-# Seconds between two requests, and for which each is worked on: as much as other work
-# on the machine may add, so that no version seems slow by it.
+# Seconds between two requests, and the duration of each: as long as the delay that
+# other work on the machine may add, so that no version seems slow because of it.
 PAUSE = 0.005
 WORK_SECONDS = 0.05
 
 
 async def status(running: platform_site.Site) -> dict[str, object]:
-    """Return what the operator reads."""
+    """Return the roll-out's status that the operator reads."""
     row = await running.store.memory.table.read(names.STATUS_TABLE, KEY)
     return {} if row is None else msgspec.json.decode(row.value)
 
 
 async def order(running: platform_site.Site, **changes: object) -> None:
-    """Order a roll-out, and start the servers of the new version."""
+    """Order a roll-out and start the servers of the new version."""
     found = {"service": "pool", "to": NEW, "period_s": 3, **changes}
     await running.write(names.OPERATOR_TABLE, KEY, msgspec.json.encode(found))
     for number in range(SERVERS):
@@ -38,7 +38,7 @@
 async def call_until(
     running: platform_site.Site, state: str, faults: bool = False
 ) -> list[platform_site.Answer]:
-    """Send requests until a roll-out has come to a state; return their answers."""
+    """Send requests until a roll-out reaches a state; return their answers."""
     answers: list[platform_site.Answer] = []
     async with asyncio.timeout(platform_site.TIMEOUT_SECONDS):
         while (await status(running)).get("state") != state:
@@ -57,7 +57,7 @@
 
 
 def runs(running: platform_site.Site, version: str) -> int:
-    """Return how many requests the servers of a version have run."""
+    """Return the number of requests that the servers of a version have run."""
     return sum(len(server.runs) for server in of_version(running, version))
 
 
@@ -73,7 +73,7 @@
         assert runs(running, OLD) == before
 
 
-async def test_a_bad_version_is_left():
+async def test_a_bad_version_is_rolled_back():
     async with platform_site.site(servers=SERVERS) as running:
         await order(running, period_s=60)
         answers = await call_until(running, "rolled_back", faults=True)
@@ -87,7 +87,7 @@
         assert "failed" in found["reason"]
 
 
-async def test_an_order_that_cannot_be_read_changes_nothing():
+async def test_an_unreadable_order_changes_nothing():
     async with platform_site.site(servers=1) as running:
         await running.write(names.OPERATOR_TABLE, KEY, b"{")
         await running.add_server("n-0", NEW)
--- a/tests/test_secured.py
+++ b/tests/test_secured.py
@@ -1,4 +1,4 @@
-"""Instances with TLS towards callers and CURVE between each other."""
+"""Instances with TLS for callers and CURVE between peers."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 from tealcove.commands import keys
 from tests import callers, deployment
 
-# Heartbeats that a stranger tried to send before its failure counts: 20 for each seed.
+# Dropped heartbeats of a stranger before its failure is established: 20 per seed.
 MANY_BEATS = 140
 
 
 def make_certificate(folder: pathlib.Path, hosts: list[str]) -> dict[str, str]:
-    """Write a certificate for IP numbers that is its own authority."""
+    """Write a self-signed certificate for IP addresses; return the files' paths."""
     key = ec.generate_private_key(ec.SECP256R1())
     name = x509.Name([x509.NameAttribute(oid.NameOID.COMMON_NAME, "tealcove test")])
     now = datetime.datetime.now(datetime.UTC)
@@ -50,7 +50,7 @@
 
 
 class Secured:
-    """A deployment whose instances speak HTTPS, and a caller that trusts them."""
+    """A deployment whose instances use HTTPS, and a client that trusts them."""
 
     def __init__(self, running: deployment.Deployment, folder: pathlib.Path) -> None:
         self.running = running
@@ -83,14 +83,14 @@
             return await response.text()
 
     async def counted(self, url: str, name: str) -> float:
-        """Return how many messages to peers were sent, or dropped."""
+        """Return the number of messages to peers that were sent or dropped."""
         shown = await self.get(f"{url}/metrics")
         return float(
             re.search(rf"^tealcove_mesh_{name}_total\S* (\S+)$", shown, re.M)[1]
         )
 
     async def members(self, url: str) -> list[str]:
-        """Return the addresses that an instance names."""
+        """Return the sorted URLs of the entry points that an instance lists."""
         async with self.session.get(f"{url}/v1/entry-points") as response:
             if response.status != 200:
                 return []
--- a/tests/test_slopes.py
+++ b/tests/test_slopes.py
@@ -1,4 +1,4 @@
-"""The arithmetic that leads from measured sizes to the full one."""
+"""The arithmetic that extrapolates from measured sizes to the full one."""
 
 import pytest
 from bench.slopes import size, watch
@@ -16,13 +16,13 @@
     return watch.Sample(at, at / 10, 3 * watch.MIB, 5, found)
 
 
-def test_a_line_goes_on_beyond_the_measured_sizes() -> None:
+def test_a_line_extends_beyond_the_measured_sizes() -> None:
     line = size.fit([4, 8, 16], [11.0, 19.0, 35.0])
     assert line.slope == pytest.approx(2.0)
     assert line.at(580) == pytest.approx(1163.0)
 
 
-def test_distance_says_how_far_a_figure_is_extrapolated() -> None:
+def test_distance_shows_how_far_a_figure_is_extrapolated() -> None:
     assert size.distance(580, [4, 8, 16]) == 36.25
     assert size.distance(10, [4, 8, 16]) == 1.0
 
@@ -40,5 +40,5 @@
     assert watch.between(first, sample(12.0, 300, 5)).sent == 150.0
 
 
-def test_a_result_is_printed_with_its_ends() -> None:
+def test_a_result_is_printed_with_its_range() -> None:
     assert size.text(size.summary([3.0, 1.0, 2.0])) == "2.0 (1.0 - 3.0)"
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""Short seeded soaks; each seed that ever failed stays here with its cause."""
+"""Short seeded soak tests; a seed that failed stays here with its cause."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class EndedProcess:
-    """A process that has ended, as far as a soak looks at one."""
+    """A stand-in for an exited process, with the attributes that a soak uses."""
 
     returncode = 0
     pid = 0
@@ -30,8 +30,8 @@
         return self.returncode
 
 
-# With how many seconds of faults each is run. Servers that leave and new keys are
-# watched from 2 s on.
+# Seconds of faults for each seed. Leaving servers and new keys are checked only
+# after 2 s.
 SEEDS = {1: 3.0, 2: 3.0, 3: 10.0}
 
 
@@ -45,12 +45,12 @@
 async def test_a_fault_while_a_member_starts_leaves_no_second_process(
     tmp_path: pathlib.Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A test fails because a stranger is among its instances.
+    """Guards against a leftover process that joins a later deployment.
 
-    Symptom: a deployment that starts later in the same network counts one member
-    too many. Sequence: a soak kills an instance and starts it again; while its new
-    process is being made, the soak kills the same instance. Cause: both started a
-    process, and only the last one was ended with the soak.
+    A soak kills an instance and restarts it; while the new process is being created,
+    the soak kills the same instance again. Both faults started a process, and only
+    the last one was ended with the soak, so that a later deployment in the same
+    network counted one member too many.
     """
     started = []
 
@@ -85,7 +85,7 @@
 
 
 async def test_a_soak_that_is_ended_ends_its_faults() -> None:
-    """A fault that goes on starts an instance when the deployment has ended."""
+    """Guards against a fault that starts an instance after the deployment's end."""
     begun = asyncio.Event()
 
     @contextlib.asynccontextmanager
@@ -107,7 +107,7 @@
 def test_a_process_left_behind_is_named_at_once() -> None:
     network, holder = networks.reserve_network()
     with socket.socket() as left:
-        # Connections of an earlier deployment may still be in TIME_WAIT there.
+        # Connections of an earlier deployment may still be in TIME_WAIT.
         left.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         left.bind((f"{network}.2", networks.INSTANCE_PORTS[-1]))
         left.listen()
@@ -118,10 +118,10 @@
 def test_a_soak_that_is_ended_takes_its_instances_with_it(
     tmp_path: pathlib.Path,
 ) -> None:
-    """Instances of a soak live on after it, and join the next test's.
+    """Guards against instances that outlive a soak and join a later deployment.
 
-    Symptom: a deployment in the same network counts members that it didn't start.
-    Sequence: a soak gets SIGTERM. Cause: it died without ending its instances.
+    A soak that received SIGTERM exited without ending its instances, and a later
+    deployment in the same network counted members that it hadn't started.
     """
     command = [sys.executable, "-m", "soak", "--seed", "1", "--logs", str(tmp_path)]
     soaking = subprocess.Popen(command, stdout=subprocess.DEVNULL, stderr=None)
@@ -137,7 +137,7 @@
 
 
 def started_in(folder: pathlib.Path) -> list[psutil.Process]:
-    """Return the processes whose settings are in a folder."""
+    """Return the instance processes whose settings are in a folder."""
     found = []
     for process in psutil.process_iter(["cmdline"]):
         arguments = process.info["cmdline"] or []
--- a/tests/test_steward.py
+++ b/tests/test_steward.py
@@ -1,4 +1,4 @@
-"""Stewards: a change of version under load, frozen ones, killed ones."""
+"""Stewards: version changes under load, and frozen and killed stewards."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 from tealcove.resources import kinds
 from tests import callers, deployment
 
-# A lease so short that a successor takes over soon. The longest order takes far
-# longer than a test: no engine with an order on its way is ever waited out.
+# A short lease, so that a successor takes over soon. The longest order takes far
+# longer than a test, so no steward waits until an order in transit has expired.
 ORDERS = {"lease_seconds": 3.0, "longest_seconds": 600.0}
 CALLERS = 6
 LENGTH = 20
@@ -42,7 +42,7 @@
 
 
 async def change_pool(running: deployment.Deployment, **changes: object) -> None:
-    """Write the pool of engines with some fields changed."""
+    """Write the pool of engines with some changed fields."""
     pool = running.resources.current.pool("engines").spec
     changed = msgspec.structs.replace(pool, **changes)
     await running.put(kinds.Kind.ENGINE_POOL, "engines", changed)
@@ -51,7 +51,7 @@
 async def declare(
     running: deployment.Deployment, name: str, version: str, size: int = 0
 ) -> None:
-    """Write a model's version."""
+    """Write the version of a model."""
     spec = kinds.ModelSpec(version=version, weight_bytes=size)
     await running.put(kinds.Kind.MODEL, name, spec)
 
@@ -59,7 +59,7 @@
 async def orders(
     running: deployment.Deployment, engine: deployment.Process
 ) -> list[str]:
-    """Return the orders that an engine got, a line each."""
+    """Return the orders that an engine received, one line each."""
     everywhere = [(await running.counts(e))["orders"] for e in running.engines]
     lowest = min(seen["fencing"] for found in everywhere for seen in found)
     found = everywhere[running.engines.index(engine)]
@@ -67,7 +67,7 @@
     assert numbers == sorted(numbers), "an old order was carried out"
     lines = []
     for seen in found:
-        # How often the lease has changed hands by then depends on the machine.
+        # The number of earlier lease changes depends on the machine.
         steward = "first" if seen["fencing"] == lowest else "later"
         words = [seen[key] for key in ("order", "name", "version", "role")]
         text_of_order = " ".join(word for word in words if word)
@@ -84,7 +84,7 @@
     version: str,
     engines: list[deployment.Process] | None = None,
 ) -> None:
-    """Wait until some or all engines hold a model in a version."""
+    """Wait until the given or all engines have loaded a version of a model."""
     chosen = running.engines if engines is None else engines
 
     async def are_loaded() -> bool:
@@ -97,7 +97,7 @@
 async def held_models(
     session: aiohttp.ClientSession, engine: deployment.Process
 ) -> dict[str, str]:
-    """Return the models of an engine."""
+    """Return the versions of an engine's models by name."""
     async with session.get(f"{engine.url}/state") as response:
         return (await response.json())["models"]
 
@@ -105,7 +105,7 @@
 async def until_ordered(
     running: deployment.Deployment, minimum: int
 ) -> list[deployment.Process]:
-    """Wait until so many engines have an order; return them."""
+    """Wait until at least `minimum` engines have received an order; return them."""
     found = []
 
     async def are_ordered() -> bool:
@@ -123,11 +123,11 @@
 
 
 async def until_settled(running: deployment.Deployment, pool: str) -> None:
-    """Wait until no order of a pool may still be carried out.
+    """Wait until no order of a pool is open, that is, can still be carried out.
 
-    An engine that checks no numbers is left alone for as long as the longest order
-    takes, here ten minutes, when its steward is lost between the order and the row
-    that says how it ended.
+    If a steward is lost between an order and the row with its result, an engine that
+    checks no fencing numbers gets no order for the duration of the longest order,
+    here ten minutes.
     """
 
     async def is_settled() -> bool:
@@ -140,14 +140,13 @@
 async def test_version_change_leaves_no_request_without_a_server(
     tmp_path: pathlib.Path, snapshot: syrupy.SnapshotAssertion
 ) -> None:
-    """Requests fail while a model's version is changed.
-
-    Symptom: callers get `no_backend_server` or errors at each new version.
-    Sequence: callers send requests all the time; the model's version changes,
-    twice, and one engine's role; then the pool has one engine only, and the
-    version changes again.
-    Cause: engines that are changed all at once, or with work on them, or the
-    second one before dispatchers use the first again; the last one as well.
+    """Guards against requests that fail while a model's version is changed.
+
+    Callers send requests continuously; the model's version changes twice, and one
+    engine's role; then the pool is reduced to one engine, and the version changes
+    again. Callers would receive `no_backend_server` or errors if engines were changed
+    all at once, or with requests running, or the second one before dispatchers use
+    the first again, or if the last engine was changed.
     """
     session = []
     async with deployment.Deployment(tmp_path) as running:
@@ -173,7 +172,7 @@
         await until_logged(running, "the last server of what it serves")
         stopping.set()
         replies = [reply for call in calls for reply in await call]
-        # Each caller has sent requests; how many of them depends on the machine.
+        # Callers have sent requests; how many depends on the machine.
         assert len(replies) > CALLERS
         session.extend(sorted(set(replies)))
         held = await held_models(running.session, last)
@@ -184,7 +183,7 @@
 async def call_until(
     running: deployment.Deployment, prompt: str, stopping: asyncio.Event
 ) -> list[str]:
-    """Send one request after the other; return a line about each answer."""
+    """Send requests one after the other; return a line about each reply."""
     instance = running.instances[0]
     lines = []
     while not stopping.is_set():
@@ -199,7 +198,7 @@
 async def until_in_metrics(
     running: deployment.Deployment, name: str, version: str, count: int
 ) -> None:
-    """Wait until the steward's metrics show so many engines with a version."""
+    """Wait until the steward's metrics show `count` engines with a version."""
     steward = await running.dispatcher("steward/engines")
 
     async def is_in_metrics() -> bool:
@@ -213,7 +212,7 @@
 
 
 async def until_logged(running: deployment.Deployment, text: str) -> None:
-    """Wait until an instance has written a line with a text."""
+    """Wait until an instance has logged a text."""
 
     async def is_logged() -> bool:
         logs = [running.folder / f"{i.name}.log" for i in running.instances]
@@ -226,13 +225,13 @@
 async def test_frozen_steward_that_wakes_gives_no_order(
     tmp_path: pathlib.Path, snapshot: syrupy.SnapshotAssertion, checks_fencing: bool
 ) -> None:
-    """An engine goes back to an older version, long after it got a newer one.
+    """Guards against an engine that goes back from a newer version to an older one.
 
-    Symptom: one engine of the pool answers with the version before.
-    Sequence: the steward waits for its turn to load version 1 into the second
-    engine and is frozen; version 2 is declared, and its successor loads it into
-    both; the first steward wakes, its turn long there; version 3 is declared.
-    Cause: it goes on where it was, without another look at its lease.
+    The steward is frozen while it waits for its turn to load version 1 into the second
+    engine; version 2 is declared, and its successor loads it into both; the first
+    steward resumes after its turn has come; version 3 is declared. One engine of the
+    pool would answer with an older version if the first steward continued without
+    checking its lease again.
     """
     async with deployment.Deployment(tmp_path, weight_rate=1000.0) as running:
         await start(running, checks_fencing)
@@ -249,7 +248,7 @@
         steward.unfreeze()
 
         async def has_acted() -> bool:
-            # Whatever stops it, it says so.
+            # The steward logs what stops it.
             log = (running.folder / f"{steward.name}.log").read_text()
             return f"{second.name}: " in log
 
@@ -267,15 +266,15 @@
 async def test_successor_of_killed_steward_settles_open_orders(
     tmp_path: pathlib.Path, snapshot: syrupy.SnapshotAssertion, checks_fencing: bool
 ) -> None:
-    """An order of a dead steward is carried out after its successor's.
+    """Guards against an order of a dead steward that is carried out late.
 
-    Symptom: one engine of the pool answers with the version before.
-    Sequence: the steward orders both engines to load version 1, which takes
-    long, and is killed; version 2 is declared; a successor takes over.
-    Cause: it knows nothing of the orders on their way, and orders at once.
+    The steward orders both engines to load version 1, which takes long, and is killed;
+    version 2 is declared; a successor takes over. One engine of the pool would answer
+    with the older version if the successor sent its orders at once, without regard to
+    the orders in transit.
 
-    Engines that check numbers are made to refuse the earlier ones, and go on.
-    Others are left alone, and only an engine that has just joined is ordered.
+    Engines that check fencing numbers are made to refuse earlier ones before the next
+    order. Others get no orders; only an engine that has just joined does.
     """
     async with deployment.Deployment(tmp_path) as running:
         await start(running, checks_fencing, load_seconds=2.0)
@@ -291,7 +290,7 @@
         await change_pool(running, servers=running.servers(running.engines, slots=8))
         await until_loaded(running, "n", "2", [joined])
         await until_loaded(running, "n", "2" if checks_fencing else "1", ordered)
-        # By the time of yet another order, any wrong one would have been given.
+        # By the time of another order, any wrong one would have been sent.
         await declare(running, "k", "1")
         await change_pool(running, models=("m", "n", "k"))
         await until_loaded(running, "k", "1", [joined])
--- a/tests/test_tiers.py
+++ b/tests/test_tiers.py
@@ -1,4 +1,4 @@
-"""A higher tier is never shed while a lower tier's work is being served."""
+"""A higher tier is never shed while a lower tier is being served."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from tests import callers, deployment
 
 SLOTS = 4
-# At 20 ms a token: low-tier work of 5 s, high-tier work of 1 s that has to end
-# in 3.5 s, so that it can't wait for any of the low tier's to end by itself.
+# At 20 ms a token: low-tier requests of 5 s, and high-tier requests of 1 s with a
+# deadline of 3.5 s, which can't wait until a low-tier request ends by itself.
 LOW_LENGTH = 250
 HIGH_LENGTH = 50
 HIGH_DEADLINE = {"Tealcove-Deadline": "3.5"}
@@ -21,7 +21,7 @@
 
 
 async def start(tmp_path: pathlib.Path) -> deployment.Deployment:
-    """Return a deployment of one engine and three instances."""
+    """Start a deployment of one engine and three instances."""
     running = deployment.Deployment(tmp_path)
     await running.__aenter__()
     await running.add_engine(
@@ -44,7 +44,7 @@
     length: int,
     extra: dict[str, str] | None = None,
 ) -> Calls:
-    """Send requests of a tier through all entries in turn."""
+    """Start requests of a tier through all entries in turn."""
     calls = {}
     for number in range(count):
         prompt = f"{tier} {number}"
@@ -60,7 +60,7 @@
 
 
 async def outcomes(calls: Calls, length: int) -> list[str]:
-    """Return what became of requests, without telling which of them it was."""
+    """Return the sorted outcomes of requests, without their numbers."""
     lines = []
     for prompt, call in calls.items():
         line = callers.describe(await call, prompt, length)
@@ -69,7 +69,7 @@
 
 
 class CompletionOrder:
-    """Notes the order in which requests of two tiers end."""
+    """Records the order in which requests of two tiers are completed."""
 
     def __init__(self, high: Calls, low: Calls) -> None:
         self.ended: list[str] = []
@@ -80,15 +80,15 @@
                 )
 
     def record(self, tier: str, reply: callers.Reply) -> None:
-        """Note that a request was completed."""
+        """Record a request that was completed."""
         if reply.outcome == "completed":
             self.ended.append(tier)
 
     def describe(self) -> str:
         """Tell whether the high tier was served first.
 
-        An engine that is given more than it can start at once serves the high
-        tier's requests too, but behind the low tier's.
+        An engine that receives more requests than it has slots serves the high tier's
+        requests too, but after the low tier's.
         """
         first = self.ended[: self.ended.count("high")]
         return f"high tier served before low tier: {set(first) == {'high'}}"
@@ -97,12 +97,12 @@
 async def test_preemption_across_entries(
     tmp_path: pathlib.Path, snapshot: syrupy.SnapshotAssertion
 ) -> None:
-    """High-tier requests are refused while low-tier work runs on.
+    """Guards against refused high-tier requests while low-tier requests run.
 
-    Symptom: printers of the largest customer wait while a batch goes on.
-    Sequence: low-tier work from three entries holds all slots and waits; then
-    high-tier requests come that have no time to wait.
-    Cause: engines know no priorities, and each entry sees only its own work.
+    Low-tier requests from three entries occupy all slots and the queue; then high-tier
+    requests arrive that have no time to wait. Printers of the largest customer would
+    wait for a batch, since engines have no priorities and each entry sees only its
+    own requests.
     """
     running = await start(tmp_path)
     try:
@@ -121,12 +121,11 @@
 async def test_preemption_after_a_takeover(
     tmp_path: pathlib.Path, snapshot: syrupy.SnapshotAssertion
 ) -> None:
-    """A new dispatcher doesn't know what runs, and sheds the wrong tier.
+    """Guards against a new dispatcher that sheds the wrong tier.
 
-    Symptom: after an instance dies, high-tier requests are refused.
-    Sequence: low-tier work holds all slots; the cell's dispatcher is killed;
-    high-tier requests come at once through the entries that are left.
-    Cause: the queue and the running work were in the dead instance's memory.
+    Low-tier requests occupy all slots; the cell's dispatcher is killed; high-tier
+    requests arrive at once through the remaining entries. They would be refused, since
+    the queue and the running requests were in the dead instance's memory.
     """
     running = await start(tmp_path)
     try:
@@ -146,13 +145,11 @@
 async def test_room_beside_work_that_cannot_be_stopped(
     tmp_path: pathlib.Path, snapshot: syrupy.SnapshotAssertion
 ) -> None:
-    """Low-tier work that may not be stopped takes every slot.
+    """Guards against low-tier requests that occupy every slot and can't be preempted.
 
-    Symptom: a high-tier request can neither wait nor preempt, and is shed.
-    Sequence: non-idempotent low-tier requests fill the engine; then a high-tier
-    request comes that has no time to wait.
-    Cause: slots are given to whatever waits, without a thought of what can be
-    taken back.
+    Non-idempotent low-tier requests fill the engine; then a high-tier request arrives
+    that has no time to wait. It could neither wait nor preempt and would be shed if
+    slots were granted without regard to what can be preempted.
     """
     running = await start(tmp_path)
     try:
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -1,4 +1,4 @@
-"""One trace and a few metrics for each request, over instances."""
+"""The trace and the metrics of each request across instances."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def spans_of(running: embedded.Pair) -> list[tuple[str, sdk_trace.ReadableSpan]]:
-    """Return all spans with the role of the instance that made each."""
+    """Return all new spans, each with the role of its instance."""
     found = []
     for name, exporter in running.exporters.items():
         instance = running.instances[name]
@@ -33,7 +33,7 @@
 def render_tree(
     found: list[tuple[str, sdk_trace.ReadableSpan]], parent: str
 ) -> list[str]:
-    """Return the tree below a parent, a line for each span."""
+    """Return the tree of spans below a parent, one line for each."""
     lines = []
     for role, span in sorted(found, key=lambda one: one[1].start_time):
         if span.parent is None or trace.format_span_id(span.parent.span_id) != parent:
@@ -51,7 +51,7 @@
 
 
 def stable_value(key: str, value: str) -> str:
-    """Return an attribute's value, alike on every run."""
+    """Return an attribute's value, or "..." where it differs between runs."""
     return "..." if key.endswith("request_id") else value
 
 
@@ -61,7 +61,7 @@
 
 
 def names(text: str) -> list[str]:
-    """Return the families and labels of our own metrics."""
+    """Return the families and labels of the system's own metrics."""
     found = set()
     for line in text.splitlines():
         if match := re.match(r"(tealcove_\w+)(?:\{(.*)\})? ", line):
@@ -79,11 +79,11 @@
         assert reply.outcome == "completed"
         first = spans_of(running)
         assert len(render_tree(first, CALLER)) == len(first)
-        # Most of what the tests of parts can't see: nothing of the content or key.
+        # No span contains the prompt or the key, which tests of parts can't check.
         assert not any(PROMPT in span.to_json() for _, span in first)
         assert not any(callers.CALLER_KEY in span.to_json() for _, span in first)
         headers = callers.headers(**traced)
-        # Non-idempotent, so that a claim goes before it.
+        # Non-idempotent, so that a claim precedes the call.
         headers |= {"Tealcove-Idempotent": "no", "Idempotency-Key": "k"}
         async with running.session.get(f"{url}/prices/1", headers=headers) as response:
             assert response.status == 200
--- a/tests/test_whole_answers.py
+++ b/tests/test_whole_answers.py
@@ -1,4 +1,4 @@
-"""Every caller receives the whole answer to its own request."""
+"""Every caller receives the complete answer to its own request."""
 
 from __future__ import annotations
 
@@ -28,12 +28,12 @@
 async def test_faulty_streams(
     tmp_path: pathlib.Path, snapshot: syrupy.SnapshotAssertion
 ) -> None:
-    """A fragment, a jumble or another's answer is passed on as the answer.
+    """Guards against forwarding an incomplete, corrupt or foreign answer.
 
-    Symptom: a label lacks its last lines, or shows another firm's recipe.
-    Sequence: one engine's streams break, come doubled, out of order, with gaps,
-    or with another request's id, while callers wait, buffered and streamed.
-    Cause: chunks are passed on as they come, and the end isn't checked.
+    One engine's streams break, or have events that are duplicated, out of order,
+    missing, or of another request, for buffered and streamed callers. A label would
+    lack its last lines, or show another firm's recipe, if chunks were forwarded as
+    received and the end wasn't checked.
     """
     session = []
     async with deployment.Deployment(tmp_path) as running:
@@ -55,12 +55,11 @@
 async def test_engine_dies_in_the_middle(
     tmp_path: pathlib.Path, snapshot: syrupy.SnapshotAssertion
 ) -> None:
-    """A caller takes a fragment for the whole answer.
+    """Guards against a caller that mistakes a fragment for the complete answer.
 
-    Symptom: a streamed answer ends early and no error is seen.
-    Sequence: the engine is killed after the first tokens; streamed callers have
-    some text, buffered ones none.
-    Cause: an HTTP stream that is closed in order although it isn't whole.
+    The engine is killed after the first tokens; streamed callers have received some
+    text, buffered ones none. A streamed answer would end early without an error if
+    the HTTP stream was closed normally although it is incomplete.
     """
     session = []
     async with deployment.Deployment(tmp_path) as running:
--- a/tests/test_witness.py
+++ b/tests/test_witness.py
@@ -1,4 +1,4 @@
-"""A caller that sends again after its entry's death gets the run that it paid for."""
+"""A caller that retries after its entry crashed gets the result of its first run."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 REQUESTS = 8
 TOKENS = 120
-# Generous, so that a busy machine doesn't change what is found.
+# Long, so that a busy machine doesn't change the results.
 WITNESS = {"dispatch": {"witness_timeout": 2.0}}
 RESUME_SECONDS = 60.0
 
 
 class Session:
-    """Three instances before two engines, and callers whose requests have keys."""
+    """Three instances, two engines, and callers whose requests have keys."""
 
     def __init__(self, running: deployment.Deployment) -> None:
         self.running = running
@@ -39,7 +39,7 @@
         await running.wait_for_members()
 
     async def send(self, to: int, number: int) -> callers.Reply:
-        """Send the request with a number and a key of its own."""
+        """Send the request with a number, which has its own key."""
         url = self.running.instances[to].url
         extra = {"Idempotency-Key": f"key {number}"}
         prompt = f"prompt {number}"
@@ -47,13 +47,13 @@
         return await callers.complete(session, url, prompt, TOKENS, extra=extra)
 
     async def send_all(self, to: int) -> list[asyncio.Task[callers.Reply]]:
-        """Send all requests to an instance, and wait until they are dispatched."""
+        """Start all requests at an instance, and wait until they are dispatched."""
         sent = [self.running.spawn(self.send(to, n)) for n in range(REQUESTS)]
         await self.until_dispatched(REQUESTS)
         return sent
 
     async def until_dispatched(self, count: int) -> None:
-        """Wait until all engines together were sent so many requests."""
+        """Wait until all engines together have received `count` requests."""
 
         async def enough() -> bool:
             return await self.dispatches() >= count
@@ -61,12 +61,12 @@
         await deployment.until(enough)
 
     async def dispatches(self) -> int:
-        """Return how many requests were sent to the engines."""
+        """Return the number of requests that the engines received."""
         counts = [await self.running.counts(e) for e in self.running.engines]
         return sum(sum(found["dispatches"].values()) for found in counts)
 
     async def summarise(self, replies: list[callers.Reply]) -> dict[str, object]:
-        """Return what came of the requests, alike on every run."""
+        """Summarise the replies, the same on every run."""
         return {
             "replies": [
                 callers.describe(reply, f"prompt {number}", TOKENS)
@@ -79,11 +79,11 @@
 async def test_requests_sent_again_after_their_entry_was_killed(
     tmp_path: pathlib.Path, snapshot: assertion.SnapshotAssertion
 ) -> None:
-    """Each request is dispatched twice, although its first run goes on.
+    """Guards against a second dispatch of requests whose first run continues.
 
-    Symptom: engines do the prefill of a request twice. Sequence: an entry is killed
-    while its requests run; their callers send them again to another entry at once.
-    Cause: nobody but the dead entry knew where they run.
+    An entry is killed while its requests run; their callers retry them at other
+    entries at once. Engines would do the prefill of each request twice if only the
+    dead entry knew where it runs.
     """
     async with deployment.Deployment(tmp_path) as running:
         session = Session(running)
@@ -101,11 +101,12 @@
 async def test_requests_sent_again_while_their_entry_is_frozen(
     tmp_path: pathlib.Path, snapshot: assertion.SnapshotAssertion
 ) -> None:
-    """A pause of the entry costs a second run, or two entries fight over the first.
+    """Guards against a second run because of a paused entry.
 
-    Sequence: an entry is frozen, its callers leave and send again to another one;
-    once that has answered, the first wakes. Cause: the frozen entry still counts as
-    the one that has the run, or spoils what was taken from it.
+    An entry is frozen, its callers disconnect and retry at another one; once that has
+    answered, the first resumes. There would be a second run if the frozen entry still
+    counted as owner of the run, or two entries would compete for the first run if the
+    frozen one disturbed what was taken over from it.
     """
     async with deployment.Deployment(tmp_path) as running:
         session = Session(running)
@@ -122,10 +123,10 @@
 async def test_requests_sent_again_when_their_witness_is_dead_too(
     tmp_path: pathlib.Path, snapshot: assertion.SnapshotAssertion
 ) -> None:
-    """A caller waits for ever, or isn't served, since nobody has the record.
+    """Guards against a caller that waits forever or isn't served without a record.
 
-    Sequence: an entry dies together with the witness of some of its requests.
-    Only these are dispatched a second time; the others' witness is alive.
+    An entry dies together with the witness of some of its requests. Only these are
+    dispatched a second time; the others' witness is alive.
     """
     async with deployment.Deployment(tmp_path) as running:
         session = Session(running)
