--- a/soak/callers.py
+++ b/soak/callers.py
@@ -9,7 +9,7 @@
 import msgspec
 from tests import platform_site
 
-from soak import calm, deployment
+from soak import deployment, disturbances
 from tealcove import clock, ids
 from tealcove.platform import names
 
@@ -20,13 +20,13 @@
 # Seconds after which a declared key is known everywhere.
 IN_FORCE_SECONDS = 2.0
 # These say that a request has not run, and never will.
-PROMISES = (408, 421, 429, 503)
-WHOLE_STREAM = b"".join(
+NOT_RUN_STATUSES = (408, 421, 429, 503)
+COMPLETE_STREAM = b"".join(
     f"id: {number}\ndata: piece {number}\n\n".encode() for number in range(1, 6)
 )
 
 
-class Ended(msgspec.Struct, frozen=True):
+class CallResult(msgspec.Struct, frozen=True):
     """One request as its caller saw it."""
 
     request_id: str
@@ -40,12 +40,15 @@
     """Send requests until told to stop."""
 
     def __init__(
-        self, running: deployment.Deployment, record: calm.Record, seed: int
+        self,
+        running: deployment.Deployment,
+        log: disturbances.DisturbanceLog,
+        seed: int,
     ) -> None:
         self.running = running
-        self.record = record
+        self.disturbances = log
         self.random = random.Random(seed)
-        self.ended: list[Ended] = []
+        self.results: list[CallResult] = []
         self.count = 0
         self.is_stopping = False
 
@@ -62,12 +65,12 @@
             path = self.random.choice(PATHS)
             member = self.random.choice(self.running.members)
             answer = await self.send(session, member, request_id, path)
-            self.ended.append(Ended(request_id, path, answer, member.name))
+            self.results.append(CallResult(request_id, path, answer, member.name))
             await asyncio.sleep(PAUSE)
 
     def key_at(self, member: deployment.Member, now: ids.Instant) -> str:
         """Return the newest key that must be in force at an instance."""
-        if not self.record.is_calm(now, member.name, calm.STORE):
+        if not self.disturbances.is_undisturbed(now, member.name, disturbances.STORE):
             return platform_site.KEY
         in_force = [
             key
@@ -98,7 +101,9 @@
             return platform_site.Answer(None, b"", False)
 
 
-def broken_promises(running: deployment.Deployment, ended: list[Ended]) -> list[str]:
+def find_violations(
+    running: deployment.Deployment, ended: list[CallResult]
+) -> list[str]:
     """Return what callers and backend servers saw that must never be."""
     runs: dict[str, int] = {}
     for server in running.servers:
@@ -107,20 +112,22 @@
     found = []
     for one in ended:
         count = runs.get(one.request_id, 0)
-        found.extend(f"{one.request_id} {one.path}: {x}" for x in wrongs(one, count))
+        found.extend(
+            f"{one.request_id} {one.path}: {x}" for x in violations(one, count)
+        )
     known = {one.request_id for one in ended}
     found.extend(f"{name}: run, but nobody sent it" for name in set(runs) - known)
     return found
 
 
-def wrongs(one: Ended, runs: int) -> list[str]:
+def violations(one: CallResult, runs: int) -> list[str]:
     """Return what is wrong with one request, which ran so many times."""
     answer = one.answer
     found = []
     if one.path.startswith("/once/") and runs > 1:
         found.append(f"ran {runs} times")
-    has_promise = answer.status in PROMISES and answer.is_complete
-    if has_promise and runs and one.path.startswith("/once/"):
+    is_not_run = answer.status in NOT_RUN_STATUSES and answer.is_complete
+    if is_not_run and runs and one.path.startswith("/once/"):
         found.append(f"answered {answer.status}, and has run")
     if answer.status in (401, 404):
         found.append(f"answered {answer.status} for what is declared")
@@ -130,8 +137,8 @@
         if answer.headers.get(names.REQUEST_ID) != one.request_id:
             found.append("another request's answer")
         is_stream = one.path.startswith("/stream/")
-        if is_stream and answer.is_complete and answer.body != WHOLE_STREAM:
+        if is_stream and answer.is_complete and answer.body != COMPLETE_STREAM:
             found.append(f"a whole stream that isn't: {answer.body!r}")
-        if is_stream and not WHOLE_STREAM.startswith(answer.body):
+        if is_stream and not COMPLETE_STREAM.startswith(answer.body):
             found.append(f"events out of order: {answer.body!r}")
     return found
--- a/soak/deployment.py
+++ b/soak/deployment.py
@@ -22,7 +22,7 @@
 READY_SECONDS = 30.0
 LISTENERS = ("callers", "ready", "directory", "peers")
 FIRST_PORT = 7000
-GRACE = 3.0
+GRACE_SECONDS = 3.0
 
 
 class Member:
@@ -46,7 +46,7 @@
             "listen": self.listen,
             "store": {"address": store},
             "seeds": seeds,
-            "leaving": {"directory_ttl_seconds": 0.3, "grace_seconds": GRACE},
+            "leaving": {"directory_ttl_seconds": 0.3, "grace_seconds": GRACE_SECONDS},
         }
         self.path.write_bytes(msgspec.json.encode(found))
 
@@ -125,9 +125,9 @@
         for member in self.members:
             # Each instance has a way to the store of its own, so that one can be
             # turned away while the others are served.
-            between = proxy.Proxy("127.0.0.1", self.store.port)
-            self.store_proxies.append(between)
-            member.write(await between.start(), seeds)
+            forwarder = proxy.Proxy("127.0.0.1", self.store.port)
+            self.store_proxies.append(forwarder)
+            member.write(await forwarder.start(), seeds)
             await member.start()
         await self.until_ready()
 
@@ -135,8 +135,8 @@
         """End the members, then the stand-ins."""
         for member in self.members:
             await member.end()
-        for between in (*self.store_proxies, *self.server_proxies):
-            await between.stop()
+        for forwarder in (*self.store_proxies, *self.server_proxies):
+            await forwarder.stop()
         for server in self.servers:
             await server.stop()
         await self.store.stop()
@@ -146,9 +146,9 @@
         """Start a backend server behind a proxy, and list it."""
         server.event_interval = 0.01
         await server.start()
-        between = proxy.Proxy("127.0.0.1", server.port)
-        self.server_proxies.append(between)
-        self.addresses[server.name] = await between.start()
+        forwarder = proxy.Proxy("127.0.0.1", server.port)
+        self.server_proxies.append(forwarder)
+        self.addresses[server.name] = await forwarder.start()
         await self.list_server(server, "ready")
 
     async def list_server(
--- a/soak/calm.py
+++ b/soak/disturbances.py
@@ -11,7 +11,7 @@
 from tealcove import clock, ids
 
 # Seconds after a disturbance within which nothing is asked of its part.
-SETTLED_SECONDS = 3.0
+SETTLE_SECONDS = 3.0
 # The part that is disturbed when the store is, for everybody.
 STORE = "store"
 
@@ -24,25 +24,25 @@
     ended: ids.Instant = ids.Instant(math.inf)
 
 
-class Record:
+class DisturbanceLog:
     """All disturbances of a soak."""
 
     def __init__(self) -> None:
-        self.found: list[Disturbance] = []
+        self.disturbances: list[Disturbance] = []
 
     @contextlib.contextmanager
     def disturbed(self, part: str) -> Iterator[None]:
         """Note that a part is disturbed for as long as the context lasts."""
         one = Disturbance(part, clock.now())
-        self.found.append(one)
+        self.disturbances.append(one)
         try:
             yield
         finally:
             one.ended = clock.now()
 
-    def is_calm(self, at: ids.Instant, *parts: str) -> bool:
+    def is_undisturbed(self, at: ids.Instant, *parts: str) -> bool:
         """Tell whether parts were undisturbed then and for long enough before."""
         return not any(
-            one.part in parts and one.began <= at < one.ended + SETTLED_SECONDS
-            for one in self.found
+            one.part in parts and one.began <= at < one.ended + SETTLE_SECONDS
+            for one in self.disturbances
         )
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -10,23 +10,23 @@
 
 import msgspec
 
-from soak import calm, deployment, proxy
+from soak import deployment, disturbances, proxy
 from tealcove import clock, ids, tasks
 from tealcove.standins import poolserver
 
 # Seconds that a fault lasts, and between the beginnings of two; they overlap.
-SHORTEST, LONGEST = 0.3, 2.5
-PAUSE = 0.6
+MIN_SECONDS, MAX_SECONDS = 0.3, 2.5
+MEAN_PAUSE_SECONDS = 0.6
 
 # Seconds for which a server goes on serving after it has left.
 LEAVING_SECONDS = 4.0
 
 Step = Callable[[], Awaitable[None]]
 NETWORK = (
-    proxy.Trouble.DELAYED,
-    proxy.Trouble.SILENT,
-    proxy.Trouble.ONE_WAY,
-    proxy.Trouble.REFUSED,
+    proxy.ProxyFault.DELAYED,
+    proxy.ProxyFault.SILENT,
+    proxy.ProxyFault.ONE_WAY,
+    proxy.ProxyFault.REFUSED,
 )
 
 
@@ -38,16 +38,16 @@
     until: ids.Instant
 
 
-class Faults:
+class FaultInjector:
     """Draws faults and carries them out; `done` tells what was done, in order."""
 
     def __init__(self, running: deployment.Deployment, seed: int) -> None:
         self.running = running
         self.random = random.Random(seed)
         self.done: list[str] = []
-        self.record = calm.Record()
+        self.disturbances = disturbances.DisturbanceLog()
         self.leaves: list[Leave] = []
-        self.has_leaving = False
+        self.is_server_leaving = False
         self.kinds = (
             self.kill,
             self.freeze,
@@ -64,37 +64,37 @@
         """Begin faults again and again, then wait until all are undone."""
         loop = asyncio.get_running_loop()
         end = loop.time() + seconds
-        open_ones: set[asyncio.Task[None]] = set()
+        active: set[asyncio.Task[None]] = set()
         try:
             while loop.time() < end:
                 kind = self.random.choice(self.kinds)
-                lasts = self.random.uniform(SHORTEST, LONGEST)
-                open_ones.add(asyncio.create_task(self.carry_out(kind, lasts)))
-                await asyncio.sleep(self.random.uniform(0.0, 2 * PAUSE))
-            await asyncio.gather(*open_ones)
+                duration = self.random.uniform(MIN_SECONDS, MAX_SECONDS)
+                active.add(asyncio.create_task(self.inject(kind, duration)))
+                await asyncio.sleep(self.random.uniform(0.0, 2 * MEAN_PAUSE_SECONDS))
+            await asyncio.gather(*active)
         finally:
             # One that went on would start an instance after the deployment has ended.
-            await tasks.stop(open_ones)
+            await tasks.stop(active)
 
-    async def carry_out(self, kind: Callable[..., object], lasts: float) -> None:
+    async def inject(self, kind: Callable[..., object], duration: float) -> None:
         """Do one thing, wait, and undo it."""
         async with kind() as what:
-            self.done.append(f"{what} for {lasts:.1f} s")
-            await asyncio.sleep(lasts)
+            self.done.append(f"{what} for {duration:.1f} s")
+            await asyncio.sleep(duration)
 
-    def member(self) -> deployment.Member:
+    def random_member(self) -> deployment.Member:
         """Draw an instance."""
         return self.random.choice(self.running.members)
 
     @contextlib.asynccontextmanager
     async def kill(self) -> AsyncIterator[str]:
         """Kill an instance, and start it again."""
-        member = self.member()
+        member = self.random_member()
         if member.is_stopping:
             yield "nothing"
             return
         member.is_stopping = True
-        with self.record.disturbed(member.name):
+        with self.disturbances.disturbed(member.name):
             await member.end()
             yield f"kill {member.name}"
             await member.start()
@@ -102,8 +102,8 @@
     @contextlib.asynccontextmanager
     async def freeze(self) -> AsyncIterator[str]:
         """Stop an instance from running, and let it go on."""
-        member = self.member()
-        with self.record.disturbed(member.name):
+        member = self.random_member()
+        with self.disturbances.disturbed(member.name):
             member.send(signal.SIGSTOP)
             yield f"freeze {member.name}"
             member.send(signal.SIGCONT)
@@ -111,16 +111,16 @@
     @contextlib.asynccontextmanager
     async def terminate(self) -> AsyncIterator[str]:
         """Let an instance leave, and start it again."""
-        member = self.member()
+        member = self.random_member()
         if member.is_stopping:
             yield "nothing"
             return
         member.is_stopping = True
-        with self.record.disturbed(member.name):
+        with self.disturbances.disturbed(member.name):
             member.send(signal.SIGTERM)
             yield f"terminate {member.name}"
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(member.process.wait(), deployment.GRACE)
+                await asyncio.wait_for(member.process.wait(), deployment.GRACE_SECONDS)
             await member.end()
             await member.start()
 
@@ -128,31 +128,31 @@
     async def cut_store(self) -> AsyncIterator[str]:
         """Trouble one instance's way to the store."""
         members = [member.name for member in self.running.members]
-        async with self.troubled(self.running.store_proxies, members) as what:
+        async with self.proxy_fault(self.running.store_proxies, members) as what:
             yield f"store {what}"
 
     @contextlib.asynccontextmanager
     async def cut_server(self) -> AsyncIterator[str]:
         """Trouble the way to one backend server."""
         servers = [server.name for server in self.running.servers]
-        async with self.troubled(self.running.server_proxies, servers) as what:
+        async with self.proxy_fault(self.running.server_proxies, servers) as what:
             yield f"server {what}"
 
     @contextlib.asynccontextmanager
-    async def troubled(
-        self, among: list[proxy.Proxy], parts: list[str]
+    async def proxy_fault(
+        self, proxies: list[proxy.Proxy], parts: list[str]
     ) -> AsyncIterator[str]:
         """Trouble one proxy, before the part of the same place."""
-        number = self.random.randrange(len(among))
-        chosen = among[number]
-        trouble = self.random.choice(NETWORK)
+        number = self.random.randrange(len(proxies))
+        chosen = proxies[number]
+        fault = self.random.choice(NETWORK)
         chosen.delay = self.random.uniform(0.01, 0.3)
-        chosen.trouble = trouble
+        chosen.fault = fault
         if self.random.random() < 0.5:
             chosen.reset_all()
-        with self.record.disturbed(parts[number]):
-            yield f"{number} {trouble.value}"
-            chosen.trouble = proxy.Trouble.NONE
+        with self.disturbances.disturbed(parts[number]):
+            yield f"{number} {fault.value}"
+            chosen.fault = proxy.ProxyFault.NONE
             # What was held back is lost, as after a cut.
             chosen.reset_all()
 
@@ -167,7 +167,7 @@
             faults.slow = 0.3
         else:
             await self.running.store.memory.table.forget_history()
-        with self.record.disturbed(calm.STORE):
+        with self.disturbances.disturbed(disturbances.STORE):
             yield f"store is {what}"
             faults.down = False
             faults.slow = 0.0
@@ -189,10 +189,10 @@
     @contextlib.asynccontextmanager
     async def server_leaves(self) -> AsyncIterator[str]:
         """Let a backend server leave, with or without a word, and come back."""
-        if self.has_leaving:
+        if self.is_server_leaving:
             yield "nothing"
             return
-        self.has_leaving = True
+        self.is_server_leaving = True
         server = self.random.choice(self.running.servers)
         state = self.random.choice(("draining", None))
         await self.running.list_server(server, state)
@@ -201,4 +201,4 @@
         await asyncio.sleep(LEAVING_SECONDS)
         self.leaves.append(Leave(server.name, since, clock.now()))
         await self.running.list_server(server, "ready")
-        self.has_leaving = False
+        self.is_server_leaving = False
--- a/soak/leaving.py
+++ b/soak/leaving.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from soak import callers, calm, deployment, faults
+from soak import callers, deployment, disturbances, faults
 from tealcove import ids
 
 # Seconds after the store's word on it from which a server that leaves gets nothing.
@@ -10,7 +10,9 @@
 
 
 def late_arrivals(
-    running: deployment.Deployment, doing: faults.Faults, ended: list[callers.Ended]
+    running: deployment.Deployment,
+    injector: faults.FaultInjector,
+    ended: list[callers.CallResult],
 ) -> tuple[int, list[str]]:
     """Return how many requests were looked at, and what is wrong with which.
 
@@ -22,23 +24,33 @@
     for server in running.servers:
         for run in server.runs:
             member = members.get(run.request_id, "")
-            if not doing.record.is_calm(run.arrived_at, member, calm.STORE):
+            if not injector.disturbances.is_undisturbed(
+                run.arrived_at, member, disturbances.STORE
+            ):
                 continue
             over = [
-                leave for leave in doing.leaves if is_over(leave, doing, run.arrived_at)
+                leave
+                for leave in injector.leaves
+                if is_over(leave, injector, run.arrived_at)
             ]
             watched += bool(over)
-            is_calm_way = doing.record.is_calm(run.arrived_at, server.name)
+            is_undisturbed_path = injector.disturbances.is_undisturbed(
+                run.arrived_at, server.name
+            )
             found.extend(
                 f"{run.request_id} of {member} reached {server.name} "
                 f"{run.arrived_at - leave.since:.2f} s after it had left"
                 for leave in over
-                if leave.server == server.name and is_calm_way
+                if leave.server == server.name and is_undisturbed_path
             )
     return watched, found
 
 
-def is_over(leave: faults.Leave, doing: faults.Faults, at: ids.Instant) -> bool:
+def is_over(
+    leave: faults.Leave, injector: faults.FaultInjector, at: ids.Instant
+) -> bool:
     """Tell whether a server had left for so long that it may get nothing."""
-    is_acknowledged = doing.record.is_calm(leave.since, calm.STORE)
+    is_acknowledged = injector.disturbances.is_undisturbed(
+        leave.since, disturbances.STORE
+    )
     return is_acknowledged and leave.since + DRAIN_SECONDS < at < leave.until
--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -6,12 +6,12 @@
 import contextlib
 import enum
 
-PART_BYTES = 64 * 1024
+CHUNK_BYTES = 64 * 1024
 # Seconds between two looks at whether a silenced connection may go on.
-LOOK_SECONDS = 0.02
+POLL_SECONDS = 0.02
 
 
-class Trouble(enum.Enum):
+class ProxyFault(enum.Enum):
     """What the proxy does to its connections."""
 
     NONE = "none"
@@ -24,18 +24,18 @@
 
 
 class Proxy:
-    """Stands before one address; `trouble` may be changed at any time."""
+    """Stands before one address; `fault` may be changed at any time."""
 
     def __init__(self, host: str, port: int) -> None:
         self.target = (host, port)
-        self.trouble = Trouble.NONE
+        self.fault = ProxyFault.NONE
         self.delay = 0.0
         self.server: asyncio.Server | None = None
         self.writers: set[asyncio.StreamWriter] = set()
 
     async def start(self) -> str:
         """Listen; return the address to use in place of the target's."""
-        self.server = await asyncio.start_server(self.connect, "127.0.0.1", 0)
+        self.server = await asyncio.start_server(self.handle_connection, "127.0.0.1", 0)
         host, port = self.server.sockets[0].getsockname()[:2]
         return f"{host}:{port}"
 
@@ -50,19 +50,19 @@
         for writer in list(self.writers):
             writer.transport.abort()
 
-    async def connect(
+    async def handle_connection(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         """Carry one connection."""
         self.writers.add(writer)
         try:
-            if self.trouble is Trouble.REFUSED:
+            if self.fault is ProxyFault.REFUSED:
                 return
             there_reader, there = await asyncio.open_connection(*self.target)
             self.writers.add(there)
             await asyncio.gather(
-                self.carry(reader, there, answers=False),
-                self.carry(there_reader, writer, answers=True),
+                self.forward(reader, there, answers=False),
+                self.forward(there_reader, writer, answers=True),
             )
         except OSError:
             return
@@ -72,7 +72,7 @@
                     self.writers.discard(one)
                     one.transport.abort()
 
-    async def carry(
+    async def forward(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
@@ -80,8 +80,8 @@
     ) -> None:
         """Carry one direction until it ends."""
         with contextlib.suppress(OSError):
-            while part := await reader.read(PART_BYTES):
-                if self.trouble is Trouble.DELAYED:
+            while part := await reader.read(CHUNK_BYTES):
+                if self.fault is ProxyFault.DELAYED:
                     await asyncio.sleep(self.delay)
                 await self.wait_while_held(answers)
                 writer.write(part)
@@ -92,12 +92,12 @@
     async def wait_while_held(self, answers: bool) -> None:
         """Return once bytes of a direction may pass."""
         while True:
-            if not self.holds(answers):
+            if not self.is_held(answers):
                 return
-            await asyncio.sleep(LOOK_SECONDS)
+            await asyncio.sleep(POLL_SECONDS)
 
-    def holds(self, answers: bool) -> bool:
+    def is_held(self, answers: bool) -> bool:
         """Tell whether bytes of a direction are held back."""
-        if self.trouble is Trouble.SILENT:
+        if self.fault is ProxyFault.SILENT:
             return True
-        return answers and self.trouble is Trouble.ONE_WAY
+        return answers and self.fault is ProxyFault.ONE_WAY
--- a/soak/run.py
+++ b/soak/run.py
@@ -15,7 +15,7 @@
 # which they are watched then.
 RECOVERY_SECONDS = 5.0
 WATCHED_SECONDS = 2.0
-SERVED_PART = 0.9
+MIN_SERVED_SHARE = 0.9
 
 
 class Verdict(msgspec.Struct, frozen=True):
@@ -36,30 +36,30 @@
 async def soak(folder: pathlib.Path, seed: int, seconds: float) -> Verdict:
     """Run one soak; its logs stay in the folder."""
     async with deployment.Deployment(folder, MEMBERS, SERVERS) as running:
-        doing = faults.Faults(running, seed)
-        calling = callers.Callers(running, doing.record, seed)
+        injector = faults.FaultInjector(running, seed)
+        calling = callers.Callers(running, injector.disturbances, seed)
         task = asyncio.create_task(calling.run())
-        await doing.run(seconds)
+        await injector.run(seconds)
         for server in running.servers:
             server.faults.clear()
         await running.until_ready()
         await asyncio.sleep(RECOVERY_SECONDS)
-        before = len(calling.ended)
+        before = len(calling.results)
         await asyncio.sleep(WATCHED_SECONDS)
-        after = calling.ended[before:]
+        after = calling.results[before:]
         calling.is_stopping = True
         await task
-        broken = callers.broken_promises(running, calling.ended)
-        watched, late = leaving.late_arrivals(running, doing, calling.ended)
+        broken = callers.find_violations(running, calling.results)
+        watched, late = leaving.late_arrivals(running, injector, calling.results)
         broken.extend(late)
     served_after = sum(one.answer.status == 200 for one in after)
-    if served_after < SERVED_PART * len(after) or not after:
+    if served_after < MIN_SERVED_SHARE * len(after) or not after:
         broken.append(f"{served_after} of {len(after)} served after the recovery")
     return Verdict(
         seed=seed,
-        faults=tuple(doing.done),
-        requests=len(calling.ended),
-        served=sum(one.answer.status == 200 for one in calling.ended),
+        faults=tuple(injector.done),
+        requests=len(calling.results),
+        served=sum(one.answer.status == 200 for one in calling.results),
         served_after=served_after,
         sent_after=len(after),
         watched=watched,
--- a/src/tealcove/peers/tests/test_mesh.py
+++ b/src/tealcove/peers/tests/test_mesh.py
@@ -181,13 +181,13 @@
     way = endpoint.parse(await between.start())
     await until(lambda: one.send(way, builders.Note(text="before")))
     await wait_for(received, "one: before")
-    between.trouble = proxy.Trouble.SILENT
+    between.fault = proxy.ProxyFault.SILENT
     # More than all buffers hold, or the proxy would acknowledge everything.
     for _ in range(mesh.HIGH_WATER_MARK):
         one.send(way, builders.Note(text="x" * 20_000))
     silent = set(between.writers)
     await until(lambda: bool(between.writers - silent))
-    between.trouble = proxy.Trouble.NONE
+    between.fault = proxy.ProxyFault.NONE
     await until(lambda: one.send(way, builders.Note(text="after")))
     await wait_for(received, "one: after")
     await between.stop()
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -63,13 +63,13 @@
     running = deployment.Deployment(tmp_path, 1, 0)
     running.members[0].write("127.0.0.1:1", [])
     running.members[0].process = EndedProcess()
-    doing = faults.Faults(running, 1)
-    first = asyncio.create_task(doing.carry_out(doing.kill, 0.0))
+    injector = faults.FaultInjector(running, 1)
+    first = asyncio.create_task(injector.inject(injector.kill, 0.0))
     await asyncio.sleep(0.02)
-    await asyncio.gather(first, doing.carry_out(doing.terminate, 0.0))
+    await asyncio.gather(first, injector.inject(injector.terminate, 0.0))
     running.network_socket.close()
     assert len(started) == 1
-    assert doing.done[1] == "nothing for 0.0 s"
+    assert injector.done[1] == "nothing for 0.0 s"
 
 
 def test_a_signal_to_a_process_that_was_just_reaped_ends_no_soak(
@@ -94,10 +94,10 @@
         await asyncio.Event().wait()
         yield "nothing"
 
-    doing = faults.Faults(None, 1)
-    doing.kinds = (endless,)
+    injector = faults.FaultInjector(None, 1)
+    injector.kinds = (endless,)
     before = asyncio.all_tasks()
-    task = asyncio.create_task(doing.run(100.0))
+    task = asyncio.create_task(injector.run(100.0))
     await begun.wait()
     task.cancel()
     await asyncio.wait([task])
