--- a/soak/__init__.py
+++ b/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A randomized soak: real instances, faults from outside, promises checked."""
+"""A randomised soak test of real instances under external faults."""
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -14,7 +14,7 @@
 
 
 async def one(folder: pathlib.Path, seed: int, seconds: float) -> run.Verdict:
-    """Run one soak; SIGTERM ends it together with the instances it has started."""
+    """Run one soak; SIGTERM ends it and the instances that it started."""
     current = asyncio.current_task()
     loop = asyncio.get_running_loop()
     loop.add_signal_handler(signal.SIGTERM, current.cancel)
@@ -22,7 +22,7 @@
 
 
 def main() -> int:
-    """Run the soaks; 1 if any broke a promise."""
+    """Run the soaks; return 1 if any found a violation."""
     parser = argparse.ArgumentParser(prog="soak", description=__doc__)
     parser.add_argument("--seed", type=int, default=1, help="the first seed")
     parser.add_argument("--count", type=int, default=1, help="so many seeds")
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers who check what they are promised."""
+"""Callers that check the guarantees of the system."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 CALLERS = 6
 PAUSE = 0.03
 TIMEOUT = aiohttp.ClientTimeout(total=4.0, sock_connect=1.0)
-# Seconds after which a declared key is known everywhere.
+# Seconds after which a declared key must be in force at all instances.
 IN_FORCE_SECONDS = 2.0
-# These say that a request has not run, and never will.
+# Statuses which state that a request has not run, and never will.
 NOT_RUN_STATUSES = (408, 421, 429, 503)
 COMPLETE_STREAM = b"".join(
     f"id: {number}\ndata: piece {number}\n\n".encode() for number in range(1, 6)
@@ -27,7 +27,7 @@
 
 
 class CallResult(msgspec.Struct, frozen=True):
-    """One request as its caller saw it."""
+    """A finished request, as its caller saw it."""
 
     request_id: str
     path: str
@@ -37,7 +37,7 @@
 
 
 class Callers:
-    """Send requests until told to stop."""
+    """Sends requests from several callers until `is_stopping` is set."""
 
     def __init__(
         self,
@@ -53,12 +53,12 @@
         self.is_stopping = False
 
     async def run(self) -> None:
-        """Let all callers call until `is_stopping` is set."""
+        """Run all callers until `is_stopping` is set."""
         async with aiohttp.ClientSession(timeout=TIMEOUT) as session:
             await asyncio.gather(*(self.call(session) for _ in range(CALLERS)))
 
     async def call(self, session: aiohttp.ClientSession) -> None:
-        """Be one caller, who takes whichever instance comes."""
+        """Run one caller, which sends each request to a random instance."""
         while not self.is_stopping:
             self.count += 1
             request_id = f"r-{self.count}"
@@ -104,7 +104,7 @@
 def find_violations(
     running: deployment.Deployment, ended: list[CallResult]
 ) -> list[str]:
-    """Return what callers and backend servers saw that must never be."""
+    """Return all violations that callers and backend servers have observed."""
     runs: dict[str, int] = {}
     for server in running.servers:
         for run in server.runs:
@@ -116,21 +116,23 @@
             f"{one.request_id} {one.path}: {x}" for x in violations(one, count)
         )
     known = {one.request_id for one in ended}
-    found.extend(f"{name}: run, but nobody sent it" for name in set(runs) - known)
+    found.extend(
+        f"{name}: run, but not sent by any caller" for name in set(runs) - known
+    )
     return found
 
 
 def violations(one: CallResult, runs: int) -> list[str]:
-    """Return what is wrong with one request, which ran so many times."""
+    """Return the violations of one request, which ran `runs` times."""
     answer = one.answer
     found = []
     if one.path.startswith("/once/") and runs > 1:
         found.append(f"ran {runs} times")
     is_not_run = answer.status in NOT_RUN_STATUSES and answer.is_complete
     if is_not_run and runs and one.path.startswith("/once/"):
-        found.append(f"answered {answer.status}, and has run")
+        found.append(f"answered {answer.status}, but has run")
     if answer.status in (401, 404):
-        found.append(f"answered {answer.status} for what is declared")
+        found.append(f"answered {answer.status} for a declared route and key")
     if answer.status == 200:
         if names.SIGNATURE not in answer.headers:
             found.append("a success without a signature")
@@ -138,7 +140,7 @@
             found.append("another request's answer")
         is_stream = one.path.startswith("/stream/")
         if is_stream and answer.is_complete and answer.body != COMPLETE_STREAM:
-            found.append(f"a whole stream that isn't: {answer.body!r}")
+            found.append(f"a complete stream with missing events: {answer.body!r}")
         if is_stream and not COMPLETE_STREAM.startswith(answer.body):
             found.append(f"events out of order: {answer.body!r}")
     return found
--- a/soak/deployment.py
+++ b/soak/deployment.py
@@ -1,4 +1,4 @@
-"""The deployment under soak: instances as processes, stand-ins behind proxies."""
+"""The deployment of a soak: instance processes, and stand-ins behind proxies."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class Member:
-    """One instance: its settings file, its addresses, its process."""
+    """An instance with its settings file, addresses and process."""
 
     def __init__(self, name: str, host: str, folder: pathlib.Path) -> None:
         self.name = name
@@ -39,7 +39,7 @@
         self.is_stopping = False
 
     def write(self, store: str, seeds: list[str]) -> None:
-        """Write the settings."""
+        """Write the settings file."""
         found = {
             "instance": self.name,
             "data_centre": "dc-1",
@@ -64,19 +64,19 @@
                 stdout=sink,
                 stderr=sink,
             )
-        # Only now: a fault that came while the process was being made would end the
-        # old one, and the new one would be left behind, beating to its network.
+        # Cleared only now: a fault during the creation of the process would end the
+        # old one, and the new one would be left running and send heartbeats.
         self.is_stopping = False
 
     def send(self, number: signal.Signals) -> None:
         """Send a signal to this process, which the soak started."""
         if self.process is not None and self.process.returncode is None:
-            # It may have been reaped a moment ago, with its code still on the way.
+            # The process may just have been reaped, with its exit code not yet set.
             with contextlib.suppress(ProcessLookupError):
                 os.kill(self.process.pid, number)
 
     async def end(self) -> None:
-        """Kill it and wait until it's gone."""
+        """Kill the process and wait until it has exited."""
         self.send(signal.SIGCONT)
         self.send(signal.SIGKILL)
         if self.process is not None:
@@ -84,7 +84,7 @@
 
 
 class Deployment:
-    """All parts; use as a context manager."""
+    """All parts of the deployment; use it as a context manager."""
 
     def __init__(self, folder: pathlib.Path, members: int, servers: int) -> None:
         self.store = platform.PlatformStandin()
@@ -95,9 +95,9 @@
         self.servers = [poolserver.PoolServer(f"s-{n}", "pool") for n in range(servers)]
         self.store_proxies: list[proxy.Proxy] = []
         self.server_proxies: list[proxy.Proxy] = []
-        # Where instances reach each server.
+        # The proxy's address of each server, by name.
         self.addresses: dict[str, str] = {}
-        # Keys that were declared beside the first, and when the store had them.
+        # Declared keys besides the first, and the time at which the store had each.
         self.keys: list[str] = []
         self.declared: dict[str, ids.Instant] = {}
 
@@ -105,7 +105,7 @@
         try:
             await self.start()
         except BaseException:
-            # Members left behind would join the next deployment in this network.
+            # Leftover members would join the next deployment in this network.
             await self.stop()
             raise
         return self
@@ -123,8 +123,8 @@
             await self.add(server)
         seeds = [member.listen["peers"] for member in self.members[:2]]
         for member in self.members:
-            # Each instance has a way to the store of its own, so that one can be
-            # turned away while the others are served.
+            # Each instance has its own proxy to the store, so that one can be cut
+            # off while the others are served.
             forwarder = proxy.Proxy("127.0.0.1", self.store.port)
             self.store_proxies.append(forwarder)
             member.write(await forwarder.start(), seeds)
@@ -132,7 +132,7 @@
         await self.until_ready()
 
     async def stop(self) -> None:
-        """End the members, then the stand-ins."""
+        """Stop the members, then the stand-ins."""
         for member in self.members:
             await member.end()
         for forwarder in (*self.store_proxies, *self.server_proxies):
@@ -143,7 +143,7 @@
         self.network_socket.close()
 
     async def add(self, server: poolserver.PoolServer) -> None:
-        """Start a backend server behind a proxy, and list it."""
+        """Start a backend server behind a proxy and write its row."""
         server.event_interval = 0.01
         await server.start()
         forwarder = proxy.Proxy("127.0.0.1", server.port)
@@ -154,7 +154,7 @@
     async def list_server(
         self, server: poolserver.PoolServer, state: str | None
     ) -> None:
-        """Write a server's row, or drop it."""
+        """Write a server's row, or delete it if `state` is None."""
         content = None
         if state is not None:
             entry = msgspec.json.decode(server.entry(state))
@@ -163,7 +163,7 @@
         await self.store.put_row(names.SERVERS_TABLE, server.name, content)
 
     async def declare_key(self) -> str:
-        """Write a configuration that has one key more."""
+        """Write a configuration with an additional key; return the key."""
         key = f"key-{len(self.keys)}"
         self.keys.append(key)
         own = {
@@ -185,7 +185,7 @@
 
 
 def listens(address: str) -> bool:
-    """Tell whether something listens at an address of loopback."""
+    """Tell whether a process listens on a loopback address."""
     host, _, port = address.partition(":")
     with socket.socket() as probe:
         return probe.connect_ex((host, int(port))) == 0
--- a/soak/disturbances.py
+++ b/soak/disturbances.py
@@ -1,4 +1,4 @@
-"""When which parts of a deployment were undisturbed, as far as rules with bounds go."""
+"""The times at which parts of a deployment were disturbed by faults."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 from tealcove import clock, ids
 
-# Seconds after a disturbance within which nothing is asked of its part.
+# Seconds after a disturbance within which its part isn't checked.
 SETTLE_SECONDS = 3.0
-# The part that is disturbed when the store is, for everybody.
+# The store as a part, which is disturbed for all instances at once.
 STORE = "store"
 
 
 class Disturbance(msgspec.Struct):
-    """A part that something was done to, and when."""
+    """The period in which a part was disturbed."""
 
     part: str
     began: ids.Instant
@@ -25,14 +25,14 @@
 
 
 class DisturbanceLog:
-    """All disturbances of a soak."""
+    """Records all disturbances of a soak."""
 
     def __init__(self) -> None:
         self.disturbances: list[Disturbance] = []
 
     @contextlib.contextmanager
     def disturbed(self, part: str) -> Iterator[None]:
-        """Note that a part is disturbed for as long as the context lasts."""
+        """Record a part as disturbed while the context is active."""
         one = Disturbance(part, clock.now())
         self.disturbances.append(one)
         try:
@@ -41,7 +41,7 @@
             one.ended = clock.now()
 
     def is_undisturbed(self, at: ids.Instant, *parts: str) -> bool:
-        """Tell whether parts were undisturbed then and for long enough before."""
+        """Tell whether parts were undisturbed and had settled at a time."""
         return not any(
             one.part in parts and one.began <= at < one.ended + SETTLE_SECONDS
             for one in self.disturbances
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -1,4 +1,4 @@
-"""Faults by seed: what is done to the deployment, and how it's undone."""
+"""Faults that are drawn from a seed, injected and removed again."""
 
 from __future__ import annotations
 
@@ -14,11 +14,12 @@
 from tealcove import clock, ids, tasks
 from tealcove.standins import poolserver
 
-# Seconds that a fault lasts, and between the beginnings of two; they overlap.
+# Duration of a fault, and mean time between the starts of two, in seconds; faults
+# overlap.
 MIN_SECONDS, MAX_SECONDS = 0.3, 2.5
 MEAN_PAUSE_SECONDS = 0.6
 
-# Seconds for which a server goes on serving after it has left.
+# Seconds for which a server that left keeps serving before it is listed again.
 LEAVING_SECONDS = 4.0
 
 Step = Callable[[], Awaitable[None]]
@@ -31,7 +32,7 @@
 
 
 class Leave(msgspec.Struct, frozen=True):
-    """A server that has left, from the store's word on it until it was back."""
+    """The period from the store's row of a leaving server until its return."""
 
     server: str
     since: ids.Instant
@@ -39,7 +40,7 @@
 
 
 class FaultInjector:
-    """Draws faults and carries them out; `done` tells what was done, in order."""
+    """Draws and injects faults; `done` lists the injected ones in order."""
 
     def __init__(self, running: deployment.Deployment, seed: int) -> None:
         self.running = running
@@ -61,7 +62,7 @@
         )
 
     async def run(self, seconds: float) -> None:
-        """Begin faults again and again, then wait until all are undone."""
+        """Inject faults for some seconds, then wait until all are removed."""
         loop = asyncio.get_running_loop()
         end = loop.time() + seconds
         active: set[asyncio.Task[None]] = set()
@@ -73,22 +74,22 @@
                 await asyncio.sleep(self.random.uniform(0.0, 2 * MEAN_PAUSE_SECONDS))
             await asyncio.gather(*active)
         finally:
-            # One that went on would start an instance after the deployment has ended.
+            # A remaining fault would start an instance after the deployment's end.
             await tasks.stop(active)
 
     async def inject(self, kind: Callable[..., object], duration: float) -> None:
-        """Do one thing, wait, and undo it."""
+        """Inject one fault, wait, and remove it."""
         async with kind() as what:
             self.done.append(f"{what} for {duration:.1f} s")
             await asyncio.sleep(duration)
 
     def random_member(self) -> deployment.Member:
-        """Draw an instance."""
+        """Return a random instance."""
         return self.random.choice(self.running.members)
 
     @contextlib.asynccontextmanager
     async def kill(self) -> AsyncIterator[str]:
-        """Kill an instance, and start it again."""
+        """Kill an instance and restart it."""
         member = self.random_member()
         if member.is_stopping:
             yield "nothing"
@@ -101,7 +102,7 @@
 
     @contextlib.asynccontextmanager
     async def freeze(self) -> AsyncIterator[str]:
-        """Stop an instance from running, and let it go on."""
+        """Suspend an instance and resume it."""
         member = self.random_member()
         with self.disturbances.disturbed(member.name):
             member.send(signal.SIGSTOP)
@@ -110,7 +111,7 @@
 
     @contextlib.asynccontextmanager
     async def terminate(self) -> AsyncIterator[str]:
-        """Let an instance leave, and start it again."""
+        """Stop an instance with SIGTERM and restart it."""
         member = self.random_member()
         if member.is_stopping:
             yield "nothing"
@@ -126,14 +127,14 @@
 
     @contextlib.asynccontextmanager
     async def cut_store(self) -> AsyncIterator[str]:
-        """Trouble one instance's way to the store."""
+        """Disturb the connections of one instance to the store."""
         members = [member.name for member in self.running.members]
         async with self.proxy_fault(self.running.store_proxies, members) as what:
             yield f"store {what}"
 
     @contextlib.asynccontextmanager
     async def cut_server(self) -> AsyncIterator[str]:
-        """Trouble the way to one backend server."""
+        """Disturb the connections to one backend server."""
         servers = [server.name for server in self.running.servers]
         async with self.proxy_fault(self.running.server_proxies, servers) as what:
             yield f"server {what}"
@@ -142,7 +143,7 @@
     async def proxy_fault(
         self, proxies: list[proxy.Proxy], parts: list[str]
     ) -> AsyncIterator[str]:
-        """Trouble one proxy, before the part of the same place."""
+        """Set a fault of one proxy, whose part has the same index in `parts`."""
         number = self.random.randrange(len(proxies))
         chosen = proxies[number]
         fault = self.random.choice(NETWORK)
@@ -153,12 +154,12 @@
         with self.disturbances.disturbed(parts[number]):
             yield f"{number} {fault.value}"
             chosen.fault = proxy.ProxyFault.NONE
-            # What was held back is lost, as after a cut.
+            # Bytes that were held back are lost, as after a network cut.
             chosen.reset_all()
 
     @contextlib.asynccontextmanager
     async def store_fault(self) -> AsyncIterator[str]:
-        """Let the store be down or slow, or forget its history."""
+        """Make the store unavailable or slow, or discard its change history."""
         faults = self.running.store.memory.faults
         what = self.random.choice(("down", "slow", "forget"))
         if what == "down":
@@ -174,13 +175,13 @@
 
     @contextlib.asynccontextmanager
     async def change_configuration(self) -> AsyncIterator[str]:
-        """Write the configuration anew, with a key more."""
+        """Write the configuration with an additional key."""
         key = await self.running.declare_key()
         yield f"configuration with {key}"
 
     @contextlib.asynccontextmanager
     async def server_faults(self) -> AsyncIterator[str]:
-        """Let a backend server's next requests fail in some way."""
+        """Queue a random fault for the next requests of a backend server."""
         server = self.random.choice(self.running.servers)
         fault = self.random.choice(list(poolserver.Fault))
         server.faults.extend([fault] * self.random.randrange(1, 5))
@@ -188,7 +189,7 @@
 
     @contextlib.asynccontextmanager
     async def server_leaves(self) -> AsyncIterator[str]:
-        """Let a backend server leave, with or without a word, and come back."""
+        """Mark a backend server as leaving or delete its row, and list it again."""
         if self.is_server_leaving:
             yield "nothing"
             return
--- a/soak/leaving.py
+++ b/soak/leaving.py
@@ -1,11 +1,11 @@
-"""Looks for requests that reached a server long after it had left."""
+"""Finds requests that reached a server too long after it had left."""
 
 from __future__ import annotations
 
 from soak import callers, deployment, disturbances, faults
 from tealcove import ids
 
-# Seconds after the store's word on it from which a server that leaves gets nothing.
+# Seconds after the store's row from which a leaving server must get no requests.
 DRAIN_SECONDS = 2.0
 
 
@@ -14,9 +14,10 @@
     injector: faults.FaultInjector,
     ended: list[callers.CallResult],
 ) -> tuple[int, list[str]]:
-    """Return how many requests were looked at, and what is wrong with which.
+    """Return the number of checked requests, and the violations among them.
 
-    Only those count that an undisturbed instance sent on over an undisturbed way.
+    Only requests are checked that an undisturbed instance forwarded over an
+    undisturbed path.
     """
     members = {one.request_id: one.member for one in ended}
     watched = 0
@@ -49,7 +50,7 @@
 def is_over(
     leave: faults.Leave, injector: faults.FaultInjector, at: ids.Instant
 ) -> bool:
-    """Tell whether a server had left for so long that it may get nothing."""
+    """Tell whether a server had left so long ago that it must get no requests."""
     is_acknowledged = injector.disturbances.is_undisturbed(
         leave.since, disturbances.STORE
     )
--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -7,24 +7,24 @@
 import enum
 
 CHUNK_BYTES = 64 * 1024
-# Seconds between two looks at whether a silenced connection may go on.
+# Seconds between two checks whether held-back bytes may be forwarded.
 POLL_SECONDS = 0.02
 
 
 class ProxyFault(enum.Enum):
-    """What the proxy does to its connections."""
+    """The fault that a proxy injects into its connections."""
 
     NONE = "none"
     DELAYED = "delayed"
-    # Nothing passes in either direction, and nobody is told.
+    # No bytes are forwarded in either direction, and connections stay open.
     SILENT = "silent"
-    # What is sent arrives; what is answered doesn't.
+    # Requests are forwarded, answers aren't.
     ONE_WAY = "one_way"
     REFUSED = "refused"
 
 
 class Proxy:
-    """Stands before one address; `fault` may be changed at any time."""
+    """Forwards connections to one address; `fault` can be changed at any time."""
 
     def __init__(self, host: str, port: int) -> None:
         self.target = (host, port)
@@ -34,13 +34,13 @@
         self.writers: set[asyncio.StreamWriter] = set()
 
     async def start(self) -> str:
-        """Listen; return the address to use in place of the target's."""
+        """Start listening; return the address to use instead of the target's."""
         self.server = await asyncio.start_server(self.handle_connection, "127.0.0.1", 0)
         host, port = self.server.sockets[0].getsockname()[:2]
         return f"{host}:{port}"
 
     async def stop(self) -> None:
-        """Close everything, also when it was never started."""
+        """Close the port and all connections, also if never started."""
         if self.server is not None:
             self.server.close()
         self.reset_all()
@@ -53,7 +53,7 @@
     async def handle_connection(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Carry one connection."""
+        """Forward one connection to the target."""
         self.writers.add(writer)
         try:
             if self.fault is ProxyFault.REFUSED:
@@ -78,7 +78,7 @@
         writer: asyncio.StreamWriter,
         answers: bool,
     ) -> None:
-        """Carry one direction until it ends."""
+        """Forward one direction of a connection until it ends."""
         with contextlib.suppress(OSError):
             while part := await reader.read(CHUNK_BYTES):
                 if self.fault is ProxyFault.DELAYED:
@@ -90,7 +90,7 @@
                 writer.write_eof()
 
     async def wait_while_held(self, answers: bool) -> None:
-        """Return once bytes of a direction may pass."""
+        """Wait until bytes of a direction may be forwarded."""
         while True:
             if not self.is_held(answers):
                 return
--- a/soak/run.py
+++ b/soak/run.py
@@ -1,4 +1,4 @@
-"""One soak: callers and faults side by side, then a calm end."""
+"""A soak: callers with concurrent faults, then a recovery without faults."""
 
 from __future__ import annotations
 
@@ -11,30 +11,30 @@
 
 MEMBERS = 3
 SERVERS = 3
-# Seconds after the last fault within which requests are served again, and for
-# which they are watched then.
+# Seconds after the last fault within which requests must be served again, and the
+# period after that in which they are counted.
 RECOVERY_SECONDS = 5.0
 WATCHED_SECONDS = 2.0
 MIN_SERVED_SHARE = 0.9
 
 
 class Verdict(msgspec.Struct, frozen=True):
-    """What a soak has shown."""
+    """The result of a soak."""
 
     seed: int
     faults: tuple[str, ...]
     requests: int
     served: int
-    # Served after the recovery, of all sent then.
+    # Requests after the recovery: the served ones, and all.
     served_after: int
     sent_after: int
-    # Requests that calm instances sent on while some server had left for good.
+    # Requests of undisturbed instances that were checked for leaving servers.
     watched: int
     broken: tuple[str, ...]
 
 
 async def soak(folder: pathlib.Path, seed: int, seconds: float) -> Verdict:
-    """Run one soak; its logs stay in the folder."""
+    """Run one soak; its logs are kept in the folder."""
     async with deployment.Deployment(folder, MEMBERS, SERVERS) as running:
         injector = faults.FaultInjector(running, seed)
         calling = callers.Callers(running, injector.disturbances, seed)
