--- a/src/tealcove/demo.py
+++ b/src/tealcove/demo.py
@@ -48,7 +48,7 @@
 
 async def send(
     running: parts.Parts, requests: list[mix.Request], tell: Tell
-) -> list[callers.Sent]:
+) -> list[callers.CallResult]:
     """Send all requests and tell from time to time how far they are."""
     sending = callers.Callers(running.url, running.keys)
     telling = asyncio.create_task(tell_progress(sending, len(requests), tell))
@@ -66,12 +66,12 @@
     while True:
         await asyncio.sleep(PROGRESS_INTERVAL)
         seconds = clock.now() - start
-        ended = len(sending.ended)
+        ended = len(sending.results)
         tell(f"{seconds:4.0f} s: {sending.sent} of {total} sent, {ended} answered")
 
 
 def judge(
-    running: parts.Parts, sent: list[callers.Sent], seed: int, seconds: float
+    running: parts.Parts, sent: list[callers.CallResult], seed: int, seconds: float
 ) -> report.Report:
     """Compare what the callers saw with what the stand-ins counted."""
     counts = [standin.counts for standin in running.engines]
--- a/src/tealcove/demonstration/callers.py
+++ b/src/tealcove/demonstration/callers.py
@@ -17,10 +17,10 @@
 # A caller waits so long after its deadline before it takes the answer for lost.
 GRACE_SECONDS = 4.0
 PATHS = {
-    mix.Way.COMPLETION: ("POST", "/v1/completions"),
-    mix.Way.CHAT: ("POST", "/v1/chat/completions"),
-    mix.Way.LOOKUP: ("GET", parts.LOOKUP_PATH),
-    mix.Way.QUOTE: ("POST", parts.QUOTE_PATH),
+    mix.RequestKind.COMPLETION: ("POST", "/v1/completions"),
+    mix.RequestKind.CHAT: ("POST", "/v1/chat/completions"),
+    mix.RequestKind.LOOKUP: ("GET", parts.LOOKUP_PATH),
+    mix.RequestKind.QUOTE: ("POST", parts.QUOTE_PATH),
 }
 BROKEN_STREAM = "broken stream"
 DATA = b"data: "
@@ -54,7 +54,7 @@
     first_token: float | None = None
 
 
-class Sent(msgspec.Struct, frozen=True, kw_only=True):
+class CallResult(msgspec.Struct, frozen=True, kw_only=True):
     """A request with what became of it."""
 
     request: mix.Request
@@ -84,8 +84,8 @@
 
     def content(self) -> str:
         """Return the text, wherever the kind of answer has it."""
-        said = self.message or self.delta
-        return self.text if said is None else said.content
+        message = self.message or self.delta
+        return self.text if message is None else message.content
 
 
 class Part(msgspec.Struct, frozen=True):
@@ -115,12 +115,12 @@
         # Bearer keys by client account.
         self.keys = keys
         self.sent = 0
-        self.ended: list[Sent] = []
+        self.results: list[CallResult] = []
         # A caller's connection must not wait for another caller's answer.
         self.connector = aiohttp.TCPConnector(limit=0)
         self.session: aiohttp.ClientSession | None = None
 
-    async def send_all(self, requests: list[mix.Request]) -> list[Sent]:
+    async def send_all(self, requests: list[mix.Request]) -> list[CallResult]:
         """Send all requests, each at its time, and return how they ended."""
         async with aiohttp.ClientSession(connector=self.connector) as session:
             self.session = session
@@ -130,7 +130,7 @@
                     await asyncio.sleep(max(0.0, start + request.at - clock.now()))
                     self.sent += 1
                     group.create_task(self.send(request))
-        return self.ended
+        return self.results
 
     async def send(self, request: mix.Request) -> None:
         """Send one request, once."""
@@ -141,22 +141,22 @@
         except (aiohttp.ClientError, OSError, msgspec.DecodeError) as error:
             answer = Answer(end=End.LOST, reason=type(error).__name__)
         seconds = clock.now() - start
-        self.ended.append(Sent(request=request, answer=answer, seconds=seconds))
+        self.results.append(CallResult(request=request, answer=answer, seconds=seconds))
 
     async def exchange(self, request: mix.Request, start: ids.Instant) -> Answer:
         """Send a request and read its one final answer."""
-        method, path = PATHS[request.way]
+        method, path = PATHS[request.kind]
         headers = self.headers(request)
         async with self.session.request(
             method, self.url + path, data=body_of(request), headers=headers
         ) as response:
             request_id = response.headers.get(REQUEST_ID, "")
             if response.status != OK:
-                return refused(await response.read(), request_id)
+                return problem_answer(await response.read(), request_id)
             if request.stream:
                 return await read_stream(response, request, start)
-            own = is_own(await response.read(), request, request_id)
-            return Answer(end=end_of(own), request_id=request_id)
+            is_correct = is_correct_answer(await response.read(), request, request_id)
+            return Answer(end=end_of(is_correct), request_id=request_id)
 
     def headers(self, request: mix.Request) -> dict[str, str]:
         """Return the headers that a request is sent with."""
@@ -170,16 +170,16 @@
 
 def body_of(request: mix.Request) -> bytes | None:
     """Return the body that a request is sent with."""
-    if request.way is mix.Way.LOOKUP:
+    if request.kind is mix.RequestKind.LOOKUP:
         return None
-    if request.way is mix.Way.QUOTE:
+    if request.kind is mix.RequestKind.QUOTE:
         return request.content.encode()
     body: dict[str, object] = {
         "model": parts.MODEL,
         "max_tokens": request.max_tokens,
         "stream": request.stream,
     }
-    if request.way is mix.Way.CHAT:
+    if request.kind is mix.RequestKind.CHAT:
         body["messages"] = [{"role": "user", "content": request.content}]
     else:
         body["prompt"] = request.content
@@ -206,11 +206,13 @@
             count = part.count
     except aiohttp.ClientPayloadError:
         return Answer(end=End.INTERRUPTED, reason=BROKEN_STREAM, request_id=request_id)
-    own = text == expected(request) and count == request.max_tokens
-    return Answer(end=end_of(own), request_id=request_id, first_token=first_token)
+    is_correct = text == expected(request) and count == request.max_tokens
+    return Answer(
+        end=end_of(is_correct), request_id=request_id, first_token=first_token
+    )
 
 
-def is_own(body: bytes, request: mix.Request, request_id: str) -> bool:
+def is_correct_answer(body: bytes, request: mix.Request, request_id: str) -> bool:
     """Tell whether a buffered answer is the whole one of this very request."""
     if request.for_engine:
         return msgspec.json.decode(body, type=Part).text() == expected(request)
@@ -224,17 +226,17 @@
 def expected(request: mix.Request) -> str:
     """Return the answer that any engine gives to a request."""
     prompt = request.content
-    if request.way is mix.Way.CHAT:
+    if request.kind is mix.RequestKind.CHAT:
         prompt = f"user: {prompt}\n"
     return answers.expected_answer(prompt, request.max_tokens)
 
 
-def end_of(own: bool) -> End:
+def end_of(is_correct: bool) -> End:
     """Return the end of a request that got a result."""
-    return End.WHOLE if own else End.MIXED_UP
+    return End.WHOLE if is_correct else End.MIXED_UP
 
 
-def refused(body: bytes, request_id: str) -> Answer:
+def problem_answer(body: bytes, request_id: str) -> Answer:
     """Return the end of a request that got no result."""
     found = msgspec.json.decode(body, type=Problem)
     return Answer(end=found.outcome, reason=found.reason, request_id=request_id)
--- a/src/tealcove/demonstration/mix.py
+++ b/src/tealcove/demonstration/mix.py
@@ -53,7 +53,7 @@
     deadline: float
 
 
-class Way(enum.Enum):
+class RequestKind(enum.Enum):
     """What a request asks for."""
 
     COMPLETION = "completion"
@@ -63,7 +63,7 @@
     QUOTE = "quote"
 
 
-ENGINE_WAYS = (Way.COMPLETION, Way.CHAT)
+ENGINE_KINDS = (RequestKind.COMPLETION, RequestKind.CHAT)
 
 ENGINES = (
     Engine("engine-1", "g1", 0.5, 4),
@@ -101,7 +101,7 @@
     at: float
     account: str
     tier: str
-    way: Way
+    kind: RequestKind
     # The prompt, or the content of a call to the plain service.
     content: str
     max_tokens: int = 0
@@ -111,7 +111,7 @@
     @property
     def for_engine(self) -> bool:
         """Whether an engine answers it, and not the plain service."""
-        return self.way in ENGINE_WAYS
+        return self.kind in ENGINE_KINDS
 
 
 def slot_seconds(engine: Engine, shape: Shape) -> float:
@@ -138,9 +138,13 @@
 
 def requests(seed: int, seconds: float) -> list[Request]:
     """Return all requests in order of time; the same for the same arguments."""
-    drawn = random.Random(seed)
-    found = [engine_request(drawn, at) for at in times(drawn, engine_rate(), seconds)]
-    calls = [service_call(drawn, at) for at in times(drawn, SERVICE_RATE, seconds)]
+    generator = random.Random(seed)
+    found = [
+        engine_request(generator, at) for at in times(generator, engine_rate(), seconds)
+    ]
+    calls = [
+        service_call(generator, at) for at in times(generator, SERVICE_RATE, seconds)
+    ]
     return sorted(found + calls, key=lambda request: request.at)
 
 
@@ -149,22 +153,22 @@
     return LOAD * capacity()
 
 
-def times(drawn: random.Random, rate: float, seconds: float) -> list[float]:
+def times(generator: random.Random, rate: float, seconds: float) -> list[float]:
     """Return the arrivals of a Poisson process."""
     found: list[float] = []
-    at = drawn.expovariate(rate)
+    at = generator.expovariate(rate)
     while at < seconds:
         found.append(at)
-        at += drawn.expovariate(rate)
+        at += generator.expovariate(rate)
     return found
 
 
-def engine_request(drawn: random.Random, at: float) -> Request:
+def engine_request(generator: random.Random, at: float) -> Request:
     """Draw a request for an engine."""
-    account = draw_account(drawn)
-    shape = LONG if drawn.random() < LONG_SHARE else SHORT
-    key = draw_key(drawn)
-    template = drawn.randrange(TEMPLATES)
+    account = draw_account(generator)
+    shape = LONG if generator.random() < LONG_SHARE else SHORT
+    key = draw_key(generator)
+    template = generator.randrange(TEMPLATES)
     shared = text(f"{account.name}/{template}", shape.shared_tokens)
     own = text(key, shape.prompt_tokens - shape.shared_tokens)
     return Request(
@@ -172,38 +176,40 @@
         at=at,
         account=account.name,
         tier=account.tier,
-        way=Way.CHAT if drawn.random() < CHAT_SHARE else Way.COMPLETION,
+        kind=RequestKind.CHAT
+        if generator.random() < CHAT_SHARE
+        else RequestKind.COMPLETION,
         content=shared + own,
         max_tokens=shape.output_tokens,
-        stream=drawn.random() < STREAM_SHARE,
+        stream=generator.random() < STREAM_SHARE,
         deadline=shape.deadline,
     )
 
 
-def service_call(drawn: random.Random, at: float) -> Request:
+def service_call(generator: random.Random, at: float) -> Request:
     """Draw a call to the plain service."""
-    account = draw_account(drawn)
-    key = draw_key(drawn)
+    account = draw_account(generator)
+    key = draw_key(generator)
     return Request(
         key=key,
         at=at,
         account=account.name,
         tier=account.tier,
-        way=drawn.choice((Way.LOOKUP, Way.QUOTE)),
+        kind=generator.choice((RequestKind.LOOKUP, RequestKind.QUOTE)),
         content=key,
         deadline=SERVICE_DEADLINE,
     )
 
 
-def draw_account(drawn: random.Random) -> Account:
+def draw_account(generator: random.Random) -> Account:
     """Draw who sends a request."""
     shares = [account.share for account in ACCOUNTS]
-    return drawn.choices(ACCOUNTS, shares)[0]
+    return generator.choices(ACCOUNTS, shares)[0]
 
 
-def draw_key(drawn: random.Random) -> str:
+def draw_key(generator: random.Random) -> str:
     """Draw a key that no other request has."""
-    return f"{drawn.getrandbits(64):016x}"
+    return f"{generator.getrandbits(64):016x}"
 
 
 def text(name: str, tokens: int) -> str:
--- a/src/tealcove/demonstration/parts.py
+++ b/src/tealcove/demonstration/parts.py
@@ -49,7 +49,7 @@
         self.operator_key = secrets.token_hex(KEY_BYTES)
         # Bearer keys by client account.
         self.keys = {one.name: secrets.token_hex(KEY_BYTES) for one in mix.ACCOUNTS}
-        self.ending = contextlib.AsyncExitStack()
+        self.exit_stack = contextlib.AsyncExitStack()
 
     async def __aenter__(self) -> Parts:
         """Start all parts; the instance comes last and is stopped first."""
@@ -60,12 +60,12 @@
             self.instance = daemon.Instance(instance_settings(self))
             await self.instance.start()
             started.push_async_callback(self.instance.stop)
-            self.ending = started.pop_all()
+            self.exit_stack = started.pop_all()
         return self
 
     async def __aexit__(self, *details: object) -> None:
         """Stop all parts."""
-        await self.ending.aclose()
+        await self.exit_stack.aclose()
 
     @property
     def url(self) -> str:
@@ -81,8 +81,8 @@
         async with client.Client([self.url], self.operator_key) as operator:
             revision = 0
             for declared in plan.in_order(self.resources()):
-                held = await operator.put(declared, None)
-                revision = held.metadata.revision
+                written = await operator.put(declared, None)
+                revision = written.metadata.revision
             waiting = self.wait_until_served(operator, revision)
             await connection.within(START_SECONDS, waiting, "The start of the demo")
         return revision
--- a/src/tealcove/demonstration/report.py
+++ b/src/tealcove/demonstration/report.py
@@ -82,9 +82,9 @@
 UNEXPECTED = (callers.End.REJECTED, callers.End.UNKNOWN)
 
 
-def rows(sent: list[callers.Sent]) -> tuple[Row, ...]:
+def rows(sent: list[callers.CallResult]) -> tuple[Row, ...]:
     """Return a row per tier, the highest first, and one for the plain service."""
-    by_name: dict[str, list[callers.Sent]] = {name: [] for name in mix.TIERS}
+    by_name: dict[str, list[callers.CallResult]] = {name: [] for name in mix.TIERS}
     by_name[PLAIN_SERVICE] = []
     for one in sent:
         for_engine = one.request.for_engine
@@ -92,24 +92,26 @@
     return tuple(row(name, group) for name, group in by_name.items())
 
 
-def row(name: str, sent: list[callers.Sent]) -> Row:
+def row(name: str, sent: list[callers.CallResult]) -> Row:
     """Return the row of a group of requests."""
     whole = [one for one in sent if one.answer.end is callers.End.WHOLE]
     in_time = [one for one in whole if one.in_time]
-    told = [one for one in sent if one.answer.end is not callers.End.WHOLE]
+    without_result = [one for one in sent if one.answer.end is not callers.End.WHOLE]
     first = [one.answer.first_token for one in whole if one.answer.first_token]
     return Row(
         name=name,
         sent=len(sent),
         whole_in_time=len(in_time),
         whole_late=len(whole) - len(in_time),
-        shed=dict(collections.Counter(reason_of(one) for one in told).most_common()),
+        shed=dict(
+            collections.Counter(reason_of(one) for one in without_result).most_common()
+        ),
         first_token_p50=percentile(first, 0.5),
         first_token_p95=percentile(first, 0.95),
     )
 
 
-def reason_of(one: callers.Sent) -> str:
+def reason_of(one: callers.CallResult) -> str:
     """Return what a caller without a result was told."""
     answer = one.answer
     return f"{answer.end.value}: {answer.reason}" if answer.reason else answer.end.value
@@ -146,7 +148,7 @@
 
 
 def find_faults(
-    sent: list[callers.Sent],
+    sent: list[callers.CallResult],
     engines: typing.Iterable[engine_counts.EngineCounts],
     plain: service.ServiceCounts,
 ) -> Faults:
--- a/src/tealcove/demonstration/tests/builders.py
+++ b/src/tealcove/demonstration/tests/builders.py
@@ -14,7 +14,7 @@
         "at": 0.0,
         "account": "label-press",
         "tier": "high",
-        "way": mix.Way.COMPLETION,
+        "kind": mix.RequestKind.COMPLETION,
         "content": "Allergens of a galette?",
         "max_tokens": 4,
         "stream": True,
@@ -28,9 +28,11 @@
     return callers.Answer(end=end, **{"request_id": "req-1", **fields})
 
 
-def sent(found: callers.Answer, seconds: float = 1.0, **fields: object) -> callers.Sent:
+def sent(
+    found: callers.Answer, seconds: float = 1.0, **fields: object
+) -> callers.CallResult:
     """Return a request with its answer; `fields` are the request's."""
-    return callers.Sent(request=request(**fields), answer=found, seconds=seconds)
+    return callers.CallResult(request=request(**fields), answer=found, seconds=seconds)
 
 
 def event(text: str, count: int | None = None) -> bytes:
--- a/src/tealcove/demonstration/tests/test_callers.py
+++ b/src/tealcove/demonstration/tests/test_callers.py
@@ -12,7 +12,7 @@
 PROMPT = builders.request().content
 TEXT = answers.expected_answer(PROMPT, 4)
 CHAT_TEXT = answers.expected_answer(f"user: {PROMPT}\n", 4)
-CHAT = {"way": mix.Way.CHAT, "stream": False}
+CHAT = {"kind": mix.RequestKind.CHAT, "stream": False}
 WHOLE = [builders.event(TEXT[:4]), builders.event(TEXT[4:]), builders.event("", 4)]
 
 
--- a/src/tealcove/demonstration/tests/test_report.py
+++ b/src/tealcove/demonstration/tests/test_report.py
@@ -27,7 +27,7 @@
     builders.sent(NOT_RUN, tier="low"),
     builders.sent(NOT_RUN, tier="low"),
     builders.sent(builders.answer(End.INTERRUPTED, reason="preempted"), tier="low"),
-    builders.sent(builders.answer(), way=mix.Way.QUOTE),
+    builders.sent(builders.answer(), kind=mix.RequestKind.QUOTE),
 ]
 
 
@@ -50,9 +50,9 @@
     found = mix.requests(1, 8.0)
     assert found == mix.requests(1, 8.0)
     assert found != mix.requests(2, 8.0)
-    sorts = (f"{one.tier} {one.way.value} {one.max_tokens}" for one in found)
-    counts = sorted(collections.Counter(sorts).items())
-    assert "\n".join(f"{sort}: {count}" for sort, count in counts) == snapshot
+    kinds = (f"{one.tier} {one.kind.value} {one.max_tokens}" for one in found)
+    counts = sorted(collections.Counter(kinds).items())
+    assert "\n".join(f"{kind}: {count}" for kind, count in counts) == snapshot
 
 
 @pytest.mark.parametrize(
