--- a/soak/callers.py
+++ b/soak/callers.py
@@ -140,7 +140,7 @@
             found.append("another request's answer")
         is_stream = one.path.startswith("/stream/")
         if is_stream and answer.is_complete and answer.body != COMPLETE_STREAM:
-            found.append(f"a complete stream with missing events: {answer.body!r}")
+            found.append(f"a complete stream with wrong events: {answer.body!r}")
         if is_stream and not COMPLETE_STREAM.startswith(answer.body):
             found.append(f"events out of order: {answer.body!r}")
     return found
--- a/src/tealcove/demonstration/__init__.py
+++ b/src/tealcove/demonstration/__init__.py
@@ -1,1 +1,1 @@
-"""What `tealcove demo` shows, in one process on loopback."""
+"""The parts of `tealcove demo`, which run in one process on loopback."""
--- a/src/tealcove/demonstration/callers.py
+++ b/src/tealcove/demonstration/callers.py
@@ -1,4 +1,4 @@
-"""The callers of the demo: they send the mix and check each answer."""
+"""The callers of the demo, which send the mix and check each answer."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from tealcove.standins import answers
 from tealcove.standins import service as service_standin
 
-# A caller waits so long after its deadline before it takes the answer for lost.
+# Seconds after the deadline for which a caller waits before the answer is lost.
 GRACE_SECONDS = 4.0
 PATHS = {
     mix.RequestKind.COMPLETION: ("POST", "/v1/completions"),
@@ -34,13 +34,13 @@
 
     WHOLE = "whole"
     NOT_RUN = "not_run"
-    # Told so, or by a stream that broke off where its client library notices.
+    # By a problem answer, or a stream that broke in a way that the client detects.
     INTERRUPTED = "interrupted"
     UNKNOWN = "unknown"
     REJECTED = "rejected"
-    # The answer of another request, or one that isn't whole.
+    # The answer to another request, or an incomplete one.
     MIXED_UP = "mixed_up"
-    # The connection broke, or no answer came long after the deadline.
+    # The connection broke, or there was no answer long after the deadline.
     LOST = "lost"
 
 
@@ -50,12 +50,12 @@
     end: End
     reason: str = ""
     request_id: str = ""
-    # Seconds from sending to the first token; None: there was no stream.
+    # Seconds from sending to the first token; None without a stream.
     first_token: float | None = None
 
 
 class CallResult(msgspec.Struct, frozen=True, kw_only=True):
-    """A request with what became of it."""
+    """A request with its answer."""
 
     request: mix.Request
     answer: Answer
@@ -64,26 +64,26 @@
 
     @property
     def in_time(self) -> bool:
-        """Whether the caller had the whole answer by its deadline."""
+        """Whether the caller received the complete answer by its deadline."""
         within = self.seconds <= self.request.deadline
         return self.answer.end is End.WHOLE and within
 
 
 class Message(msgspec.Struct, frozen=True):
-    """A chat message, or a part of one."""
+    """A chat message, or a delta of one."""
 
     content: str = ""
 
 
 class Choice(msgspec.Struct, frozen=True):
-    """The one choice of an answer or an event."""
+    """The only choice of an answer or an event."""
 
     text: str = ""
     message: Message | None = None
     delta: Message | None = None
 
     def content(self) -> str:
-        """Return the text, wherever the kind of answer has it."""
+        """Return the text, whose field depends on the kind of answer."""
         message = self.message or self.delta
         return self.text if message is None else message.content
 
@@ -92,7 +92,7 @@
     """A buffered answer, or one event of a streamed one."""
 
     choices: tuple[Choice, ...] = ()
-    # Tokens in all; only the event that closes a stream has it.
+    # Total number of tokens; only the closing event of a stream has it.
     count: int | None = None
 
     def text(self) -> str:
@@ -101,14 +101,14 @@
 
 
 class Problem(msgspec.Struct, frozen=True):
-    """An answer that isn't a result."""
+    """An error answer."""
 
     outcome: End = End.REJECTED
     reason: str = ""
 
 
 class Callers:
-    """Sends requests when they are due and keeps what became of them."""
+    """Sends requests at their times and records the results."""
 
     def __init__(self, url: str, keys: dict[str, str]) -> None:
         self.url = url
@@ -121,7 +121,7 @@
         self.session: aiohttp.ClientSession | None = None
 
     async def send_all(self, requests: list[mix.Request]) -> list[CallResult]:
-        """Send all requests, each at its time, and return how they ended."""
+        """Send all requests, each at its time, and return the results."""
         async with aiohttp.ClientSession(connector=self.connector) as session:
             self.session = session
             start = clock.now()
@@ -133,7 +133,7 @@
         return self.results
 
     async def send(self, request: mix.Request) -> None:
-        """Send one request, once."""
+        """Send one request, without a retry, and record the result."""
         start = clock.now()
         try:
             async with asyncio.timeout(request.deadline + GRACE_SECONDS):
@@ -144,7 +144,7 @@
         self.results.append(CallResult(request=request, answer=answer, seconds=seconds))
 
     async def exchange(self, request: mix.Request, start: ids.Instant) -> Answer:
-        """Send a request and read its one final answer."""
+        """Send a request and read its final answer."""
         method, path = PATHS[request.kind]
         headers = self.headers(request)
         async with self.session.request(
@@ -159,7 +159,7 @@
             return Answer(end=end_of(is_correct), request_id=request_id)
 
     def headers(self, request: mix.Request) -> dict[str, str]:
-        """Return the headers that a request is sent with."""
+        """Return the headers of a request."""
         return {
             "Authorization": f"Bearer {self.keys[request.account]}",
             "Content-Type": "application/json",
@@ -169,7 +169,7 @@
 
 
 def body_of(request: mix.Request) -> bytes | None:
-    """Return the body that a request is sent with."""
+    """Return the body of a request."""
     if request.kind is mix.RequestKind.LOOKUP:
         return None
     if request.kind is mix.RequestKind.QUOTE:
@@ -189,7 +189,7 @@
 async def read_stream(
     response: aiohttp.ClientResponse, request: mix.Request, start: ids.Instant
 ) -> Answer:
-    """Read a streamed answer; without its closing event it isn't whole."""
+    """Read a streamed answer; it is incomplete without its closing event."""
     request_id = response.headers.get(REQUEST_ID, "")
     text = ""
     first_token = None
@@ -213,7 +213,7 @@
 
 
 def is_correct_answer(body: bytes, request: mix.Request, request_id: str) -> bool:
-    """Tell whether a buffered answer is the whole one of this very request."""
+    """Tell whether a buffered answer is the complete one to this request."""
     if request.for_engine:
         return msgspec.json.decode(body, type=Part).text() == expected(request)
     found = msgspec.json.decode(body, type=service_standin.Answer)
@@ -224,7 +224,7 @@
 
 
 def expected(request: mix.Request) -> str:
-    """Return the answer that any engine gives to a request."""
+    """Return the answer of any engine to a request."""
     prompt = request.content
     if request.kind is mix.RequestKind.CHAT:
         prompt = f"user: {prompt}\n"
@@ -232,11 +232,11 @@
 
 
 def end_of(is_correct: bool) -> End:
-    """Return the end of a request that got a result."""
+    """Return the end of a request with a result."""
     return End.WHOLE if is_correct else End.MIXED_UP
 
 
 def problem_answer(body: bytes, request_id: str) -> Answer:
-    """Return the end of a request that got no result."""
+    """Convert an error answer."""
     found = msgspec.json.decode(body, type=Problem)
     return Answer(end=found.outcome, reason=found.reason, request_id=request_id)
--- a/src/tealcove/demonstration/mix.py
+++ b/src/tealcove/demonstration/mix.py
@@ -1,4 +1,4 @@
-"""The engines of the demo, and the mix of requests that they are too few for."""
+"""The engines of the demo, and a mix of requests that overloads them."""
 
 from __future__ import annotations
 
@@ -10,24 +10,24 @@
 
 from tealcove.backends import prefixes
 
-# Of the fastest engine; the others are slower by one factor throughout.
+# For the fastest engine; each other engine is slower by its own constant factor.
 PREFILL_TOKENS_PER_SECOND = 16_000.0
 DECODE_SECONDS_PER_TOKEN = 0.005
 BATCH_SLOWDOWN = 0.02
 
-# Arrivals as a multiple of what the engines could complete at the very best.
+# Arrival rate as a multiple of the engines' maximum capacity.
 LOAD = 1.3
-# Calls to the plain service, which come on top, a second.
+# Additional calls per second to the plain service.
 SERVICE_RATE = 8.0
 LONG_SHARE = 0.25
 STREAM_SHARE = 0.6
 CHAT_SHARE = 0.3
-# Prompt templates of each client account, whose text its requests share.
+# Prompt templates of each client account; requests of a template share its text.
 TEMPLATES = 3
 
 
 class Engine(msgspec.Struct, frozen=True):
-    """A model engine; `speed` is a part of the fastest one's."""
+    """A model engine; `speed` is relative to the fastest one."""
 
     name: str
     generation: str
@@ -36,7 +36,7 @@
 
 
 class Account(msgspec.Struct, frozen=True):
-    """A client account and its part of the requests."""
+    """A client account and its share of the requests."""
 
     name: str
     tier: str
@@ -54,11 +54,11 @@
 
 
 class RequestKind(enum.Enum):
-    """What a request asks for."""
+    """The kind of a request."""
 
     COMPLETION = "completion"
     CHAT = "chat"
-    # Calls of the plain service: one that may be repeated and one that may not.
+    # Calls of the plain service: an idempotent and a non-idempotent one.
     LOOKUP = "lookup"
     QUOTE = "quote"
 
@@ -73,7 +73,7 @@
     Engine("engine-5", "g3", 0.8, 8),
     Engine("engine-6", "g4", 1.0, 6),
 )
-# The highest first.
+# From the highest to the lowest.
 TIERS = ("high", "middle", "low")
 ACCOUNTS = (
     Account("label-press", "high", 0.2),
@@ -84,7 +84,7 @@
     Account("old-ledger", "low", 0.15),
 )
 SHORT = Shape(prompt_tokens=32, shared_tokens=0, output_tokens=4, deadline=2.0)
-# A hundred times longer.
+# A hundred times longer than SHORT.
 LONG = Shape(
     prompt_tokens=3200,
     shared_tokens=32 * prefixes.BLOCK_TOKENS,
@@ -95,7 +95,7 @@
 
 
 class Request(msgspec.Struct, frozen=True, kw_only=True):
-    """What a caller is going to send, `at` seconds into the run."""
+    """A request that a caller sends `at` seconds after the start of the run."""
 
     key: str
     at: float
@@ -110,12 +110,12 @@
 
     @property
     def for_engine(self) -> bool:
-        """Whether an engine answers it, and not the plain service."""
+        """Whether the request is for an engine, not for the plain service."""
         return self.kind in ENGINE_KINDS
 
 
 def slot_seconds(engine: Engine, shape: Shape) -> float:
-    """Return how long a request holds a slot of the full engine, its cache warm."""
+    """Return the time a request occupies a slot of a full engine with a warm cache."""
     uncached = shape.prompt_tokens - shape.shared_tokens
     prefill = uncached / (PREFILL_TOKENS_PER_SECOND * engine.speed)
     slowdown = 1.0 + BATCH_SLOWDOWN * (engine.slots - 1)
@@ -124,9 +124,9 @@
 
 
 def capacity() -> float:
-    """Return a bound on the requests of the mix that the engines end a second.
+    """Return an upper bound on the requests of the mix completed per second.
 
-    Every slot is taken all the time and each shared text is always cached.
+    It assumes that every slot is always in use and each shared text is cached.
     """
     total = 0.0
     for engine in ENGINES:
@@ -137,7 +137,7 @@
 
 
 def requests(seed: int, seconds: float) -> list[Request]:
-    """Return all requests in order of time; the same for the same arguments."""
+    """Return all requests in order of time, determined by the arguments."""
     generator = random.Random(seed)
     found = [
         engine_request(generator, at) for at in times(generator, engine_rate(), seconds)
@@ -149,12 +149,12 @@
 
 
 def engine_rate() -> float:
-    """Return the requests for engines a second."""
+    """Return the requests per second for engines."""
     return LOAD * capacity()
 
 
 def times(generator: random.Random, rate: float, seconds: float) -> list[float]:
-    """Return the arrivals of a Poisson process."""
+    """Return the arrival times of a Poisson process."""
     found: list[float] = []
     at = generator.expovariate(rate)
     while at < seconds:
@@ -202,17 +202,17 @@
 
 
 def draw_account(generator: random.Random) -> Account:
-    """Draw who sends a request."""
+    """Draw the account of a request."""
     shares = [account.share for account in ACCOUNTS]
     return generator.choices(ACCOUNTS, shares)[0]
 
 
 def draw_key(generator: random.Random) -> str:
-    """Draw a key that no other request has."""
+    """Draw a unique idempotency key."""
     return f"{generator.getrandbits(64):016x}"
 
 
 def text(name: str, tokens: int) -> str:
-    """Return a text of so many tokens that no other name has."""
+    """Return a text of some tokens that is unique to a name."""
     size = tokens * prefixes.TOKEN_BYTES
     return hashlib.shake_128(name.encode()).hexdigest(size)[:size]
--- a/src/tealcove/demonstration/parts.py
+++ b/src/tealcove/demonstration/parts.py
@@ -22,18 +22,18 @@
 QUOTE_PATH = "/office/quotes"
 SERVICE_SLOTS = 4
 SERVICE_SECONDS = 0.05
-# A step that brings several tokens at once: an event per token would take more
-# processor time than one process has for callers, instance and engines together.
+# Each step produces several tokens: an event per token would need more CPU time than
+# one process has for callers, instance and engines together.
 TICK_SECONDS = 0.04
 KEY_BYTES = 16
-# How long the instance may take to serve; far beyond any healthy start.
+# Timeout of the start of the instance; far longer than any normal start.
 START_SECONDS = 15.0
 POLL_SECONDS = 0.02
 OK = 200
 
 
 class Parts:
-    """All that runs in the demo; use it with `async with`."""
+    """All parts of the demo; use it as an async context manager."""
 
     def __init__(self, seed: int) -> None:
         self.platform = platform.PlatformStandin()
@@ -52,7 +52,7 @@
         self.exit_stack = contextlib.AsyncExitStack()
 
     async def __aenter__(self) -> Parts:
-        """Start all parts; the instance comes last and is stopped first."""
+        """Start all parts; the instance is started last and stopped first."""
         async with contextlib.AsyncExitStack() as started:
             for standin in (self.platform, *self.engines, self.service):
                 await standin.start()
@@ -69,14 +69,14 @@
 
     @property
     def url(self) -> str:
-        """Where callers and operators reach the instance."""
+        """The base URL of the instance for callers and operators."""
         return f"http://{HOST}:{self.instance.http_port}"
 
     async def declare(self) -> int:
-        """Declare all resources as an operator does; returns their revision.
+        """Declare all resources as an operator and return their revision.
 
         Returns once the revision is in force and the instance serves. Raises
-        connection.TimedOutError, or what the resource API refused.
+        connection.TimedOutError, or the error of the resource API.
         """
         async with client.Client([self.url], self.operator_key) as operator:
             revision = 0
@@ -99,7 +99,7 @@
                 await asyncio.sleep(POLL_SECONDS)
 
     def resources(self) -> list[resourcefiles.Declared]:
-        """Return what the operator declares."""
+        """Return the resources that the operator declares."""
         found = [
             declared(kinds.Kind.SERVICE_TIER, tier, kinds.ServiceTierSpec(rank=rank))
             for rank, tier in enumerate(mix.TIERS)
@@ -130,7 +130,7 @@
 
 
 def engine_standin(found: mix.Engine, seed: int) -> engine.EngineStandin:
-    """Return an engine that isn't started yet."""
+    """Create an engine stand-in, which isn't started yet."""
     return engine.EngineStandin(
         engine.EngineSettings(
             name=found.name,
@@ -147,7 +147,7 @@
 
 
 def instance_settings(parts: Parts) -> settings.Settings:
-    """Return the settings of the instance; all ports are free ones."""
+    """Return the settings of the instance, with any free ports."""
     operator = settings.Operator(
         name="demo", key_hash=bearer.hash_key(parts.operator_key)
     )
@@ -168,7 +168,7 @@
     slots: int,
     generation: str = "",
 ) -> kinds.BackendServerSpec:
-    """Return the spec of a stand-in that listens."""
+    """Return the spec of a listening stand-in."""
     return kinds.BackendServerSpec(
         name=standin.name,
         host=HOST,
@@ -180,7 +180,7 @@
 
 
 def rules() -> list[resourcefiles.Declared]:
-    """Return the routing rules; quotes run at most once."""
+    """Return the routing rules; quotes are non-idempotent."""
     specs = {
         "writing": kinds.RoutingRuleSpec(pool=ENGINE_POOL, path_prefix="/v1/"),
         "prices": kinds.RoutingRuleSpec(pool=SERVICE_POOL, path_prefix=LOOKUP_PATH),
--- a/src/tealcove/demonstration/report.py
+++ b/src/tealcove/demonstration/report.py
@@ -1,4 +1,4 @@
-"""What became of the demo's requests, as callers saw it and engines counted it."""
+"""The report of the demo, from results of callers and counts of engines."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 
 
 class Row(msgspec.Struct, frozen=True, kw_only=True):
-    """The requests of one tier for engines, or the calls to the plain service."""
+    """The figures of one tier's engine requests, or of the plain service's calls."""
 
     name: str
     sent: int
     whole_in_time: int
     whole_late: int
-    # Requests that got no result, by what their callers were told.
+    # Requests without a result, by end and reason.
     shed: dict[str, int]
     # Seconds from sending to the first token of streamed answers.
     first_token_p50: float | None
@@ -30,11 +30,11 @@
 
 
 class EngineRow(msgspec.Struct, frozen=True, kw_only=True):
-    """What one engine counted; tokens are those that it computed."""
+    """The counts of one engine; tokens are those that it computed."""
 
     name: str
     generation: str
-    # As a part of the fastest engine's.
+    # Relative to the fastest engine.
     speed: float
     slots: int
     requests: int
@@ -45,36 +45,36 @@
 
 
 class Faults(msgspec.Struct, frozen=True, kw_only=True):
-    """How often something happened that must not; all 0 in a good run."""
+    """Counts of violations; all 0 in a good run."""
 
-    # No final answer.
+    # Requests without a final answer.
     lost: int
-    # The answer of another request, or a fragment that passed for whole.
+    # Answers to another request, or fragments presented as complete.
     mixed_up: int
     # Dispatches of a request beyond its first, over all backend servers.
     second_dispatches: int
-    # The caller was told "not run", but a backend server has seen the request.
+    # Requests answered with `not_run` that a backend server has received.
     not_run_but_dispatched: int
-    # Rejected although in order, or an end that isn't known with all servers alive.
+    # Valid requests that were rejected, and unknown ends with all servers alive.
     unexpected: int
-    # Calls without a request's id that reached the plain service: nobody sent them.
+    # Calls without a request id at the plain service, which no caller has sent.
     strays: int
 
     def any(self) -> bool:
-        """Tell whether there was one."""
+        """Tell whether there was any violation."""
         return any(msgspec.structs.astuple(self))
 
 
 class Report(msgspec.Struct, frozen=True, kw_only=True):
-    """All that a run showed; times in seconds."""
+    """All figures of a run; times are in seconds."""
 
     seed: int
     arrival_seconds: float
-    # Requests for engines a second, as a part of what engines could do at best.
+    # Arrival rate of engine requests, as a multiple of the engines' maximum capacity.
     load: float
     rows: tuple[Row, ...]
     engines: tuple[EngineRow, ...]
-    # Part of all computed prompt tokens that was thrown away.
+    # Share of all computed prompt tokens that was wasted.
     wasted_prefill: float
     faults: Faults
 
@@ -112,13 +112,13 @@
 
 
 def reason_of(one: callers.CallResult) -> str:
-    """Return what a caller without a result was told."""
+    """Return the end and reason of a request without a result."""
     answer = one.answer
     return f"{answer.end.value}: {answer.reason}" if answer.reason else answer.end.value
 
 
 def percentile(values: typing.Iterable[float], share: float) -> float | None:
-    """Return the least value that is at least as great as this share of all."""
+    """Return the least value that is greater than or equal to a share of all."""
     ordered = sorted(values)
     if not ordered:
         return None
@@ -141,7 +141,7 @@
 
 
 def wasted_share(engines: typing.Iterable[EngineRow]) -> float:
-    """Return the part of the computed prompt tokens that was thrown away."""
+    """Return the share of the computed prompt tokens that was wasted."""
     engines = tuple(engines)
     computed = sum(one.prefill_tokens for one in engines)
     return sum(one.prefill_wasted for one in engines) / max(1, computed)
@@ -152,7 +152,7 @@
     engines: typing.Iterable[engine_counts.EngineCounts],
     plain: service.ServiceCounts,
 ) -> Faults:
-    """Compare what callers were told with what backend servers counted."""
+    """Compare the results of callers with the counts of backend servers."""
     dispatches: collections.Counter[str] = collections.Counter()
     for counts in (plain, *engines):
         dispatches.update(counts.dispatches)
--- a/src/tealcove/demonstration/table.py
+++ b/src/tealcove/demonstration/table.py
@@ -1,4 +1,4 @@
-"""The report of the demo as text for people."""
+"""Renders the report of the demo as text."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 
 def introduction(found: report.Report) -> str:
-    """Return what the figures are about."""
+    """Return the introductory sentence."""
     return (
         f"Requests for {found.arrival_seconds:g} s at {found.load:g} times what the "
         f"engines can do at best (seed {found.seed}):"
@@ -78,7 +78,7 @@
 
 
 def end(found: report.Report) -> str:
-    """Return the figures of the whole run, and the verdict."""
+    """Return the figures of the whole run and the verdict."""
     faults = found.faults
     lines = [
         f"wasted prefill: {found.wasted_prefill:.1%} of the prompt tokens computed",
@@ -92,10 +92,10 @@
 
 
 def percent(part: int, whole: int) -> str:
-    """Return a part in percent."""
+    """Format a share as a percentage."""
     return NOTHING if whole == 0 else f"{part / whole:.0%}"
 
 
 def seconds(value: float | None) -> str:
-    """Return a time."""
+    """Format a time in seconds."""
     return NOTHING if value is None else f"{value:.2f} s"
--- a/src/tealcove/demonstration/tests/builders.py
+++ b/src/tealcove/demonstration/tests/builders.py
@@ -1,4 +1,4 @@
-"""Requests and answers as the demo's callers keep them."""
+"""Builders of requests and answers of the demo's callers."""
 
 from __future__ import annotations
 
--- a/src/tealcove/demonstration/tests/test_callers.py
+++ b/src/tealcove/demonstration/tests/test_callers.py
@@ -1,4 +1,4 @@
-"""What the demo's callers make of good and bad answers."""
+"""The demo's callers classify good and bad answers."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 async def end_of(handler, **fields):
-    """Send one request to a server with this handler; return its answer."""
+    """Send one request to a server with this handler and return the answer."""
     app = web.Application()
     app.router.add_route("*", "/{path:.*}", handler)
     runner = web.AppRunner(app, access_log=None, shutdown_timeout=0)
--- a/src/tealcove/demonstration/tests/test_report.py
+++ b/src/tealcove/demonstration/tests/test_report.py
@@ -62,7 +62,7 @@
         (End.MIXED_UP, "mixed_up"),
         (End.UNKNOWN, "unexpected"),
         (End.REJECTED, "unexpected"),
-        # By its id, an engine has seen it.
+        # An engine has counted a request with this id.
         (End.NOT_RUN, "not_run_but_dispatched"),
     ],
 )
@@ -86,10 +86,10 @@
 
 
 def test_call_without_a_request_is_a_fault():
-    """A plain service gets calls that no caller has sent.
+    """Guards against calls to a plain service that no caller has sent.
 
-    The dispatcher polls it for the cache events of an engine. Cause: the reading
-    didn't ask what kind of servers the cell has.
+    The dispatcher polled the service for cache events, which only engines have, since
+    it didn't check the kind of servers of the cell.
     """
     plain = service.ServiceCounts(dispatches={"": 3, "req-1": 1})
     found = report.find_faults([], [], plain)
