--- a/soak/faults.py
+++ b/soak/faults.py
@@ -1,4 +1,4 @@
-"""Faults by seed: what is done to the deployment, and how it's undone."""
+"""Faults that are drawn from a seed, injected and removed again."""
 
 from __future__ import annotations
 
@@ -10,44 +10,45 @@
 
 import msgspec
 
-from soak import calm, deployment, proxy
+from soak import deployment, disturbances, proxy
 from tealcove import clock, ids, tasks
 from tealcove.standins import poolserver
 
-# Seconds that a fault lasts, and between the beginnings of two; they overlap.
-SHORTEST, LONGEST = 0.3, 2.5
-PAUSE = 0.6
+# Duration of a fault, and mean time between the starts of two, in seconds; faults
+# overlap.
+MIN_SECONDS, MAX_SECONDS = 0.3, 2.5
+MEAN_PAUSE_SECONDS = 0.6
 
-# Seconds for which a server goes on serving after it has left.
+# Seconds for which a server that left keeps serving before it is listed again.
 LEAVING_SECONDS = 4.0
 
 Step = Callable[[], Awaitable[None]]
 NETWORK = (
-    proxy.Trouble.DELAYED,
-    proxy.Trouble.SILENT,
-    proxy.Trouble.ONE_WAY,
-    proxy.Trouble.REFUSED,
+    proxy.ProxyFault.DELAYED,
+    proxy.ProxyFault.SILENT,
+    proxy.ProxyFault.ONE_WAY,
+    proxy.ProxyFault.REFUSED,
 )
 
 
 class Leave(msgspec.Struct, frozen=True):
-    """A server that has left, from the store's word on it until it was back."""
+    """The period from the store's row of a leaving server until its return."""
 
     server: str
     since: ids.Instant
     until: ids.Instant
 
 
-class Faults:
-    """Draws faults and carries them out; `done` tells what was done, in order."""
+class FaultInjector:
+    """Draws and injects faults; `done` lists the injected ones in order."""
 
     def __init__(self, running: deployment.Deployment, seed: int) -> None:
         self.running = running
         self.random = random.Random(seed)
         self.done: list[str] = []
-        self.record = calm.Record()
+        self.disturbances = disturbances.DisturbanceLog()
         self.leaves: list[Leave] = []
-        self.has_leaving = False
+        self.is_server_leaving = False
         self.kinds = (
             self.kill,
             self.freeze,
@@ -61,104 +62,104 @@
         )
 
     async def run(self, seconds: float) -> None:
-        """Begin faults again and again, then wait until all are undone."""
+        """Inject faults for some seconds, then wait until all are removed."""
         loop = asyncio.get_running_loop()
         end = loop.time() + seconds
-        open_ones: set[asyncio.Task[None]] = set()
+        active: set[asyncio.Task[None]] = set()
         try:
             while loop.time() < end:
                 kind = self.random.choice(self.kinds)
-                lasts = self.random.uniform(SHORTEST, LONGEST)
-                open_ones.add(asyncio.create_task(self.carry_out(kind, lasts)))
-                await asyncio.sleep(self.random.uniform(0.0, 2 * PAUSE))
-            await asyncio.gather(*open_ones)
+                duration = self.random.uniform(MIN_SECONDS, MAX_SECONDS)
+                active.add(asyncio.create_task(self.inject(kind, duration)))
+                await asyncio.sleep(self.random.uniform(0.0, 2 * MEAN_PAUSE_SECONDS))
+            await asyncio.gather(*active)
         finally:
-            # One that went on would start an instance after the deployment has ended.
-            await tasks.stop(open_ones)
+            # A remaining fault would start an instance after the deployment's end.
+            await tasks.stop(active)
 
-    async def carry_out(self, kind: Callable[..., object], lasts: float) -> None:
-        """Do one thing, wait, and undo it."""
+    async def inject(self, kind: Callable[..., object], duration: float) -> None:
+        """Inject one fault, wait, and remove it."""
         async with kind() as what:
-            self.done.append(f"{what} for {lasts:.1f} s")
-            await asyncio.sleep(lasts)
+            self.done.append(f"{what} for {duration:.1f} s")
+            await asyncio.sleep(duration)
 
-    def member(self) -> deployment.Member:
-        """Draw an instance."""
+    def random_member(self) -> deployment.Member:
+        """Return a random instance."""
         return self.random.choice(self.running.members)
 
     @contextlib.asynccontextmanager
     async def kill(self) -> AsyncIterator[str]:
-        """Kill an instance, and start it again."""
-        member = self.member()
+        """Kill an instance and restart it."""
+        member = self.random_member()
         if member.is_stopping:
             yield "nothing"
             return
         member.is_stopping = True
-        with self.record.disturbed(member.name):
+        with self.disturbances.disturbed(member.name):
             await member.end()
             yield f"kill {member.name}"
             await member.start()
 
     @contextlib.asynccontextmanager
     async def freeze(self) -> AsyncIterator[str]:
-        """Stop an instance from running, and let it go on."""
-        member = self.member()
-        with self.record.disturbed(member.name):
+        """Suspend an instance and resume it."""
+        member = self.random_member()
+        with self.disturbances.disturbed(member.name):
             member.send(signal.SIGSTOP)
             yield f"freeze {member.name}"
             member.send(signal.SIGCONT)
 
     @contextlib.asynccontextmanager
     async def terminate(self) -> AsyncIterator[str]:
-        """Let an instance leave, and start it again."""
-        member = self.member()
+        """Stop an instance with SIGTERM and restart it."""
+        member = self.random_member()
         if member.is_stopping:
             yield "nothing"
             return
         member.is_stopping = True
-        with self.record.disturbed(member.name):
+        with self.disturbances.disturbed(member.name):
             member.send(signal.SIGTERM)
             yield f"terminate {member.name}"
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(member.process.wait(), deployment.GRACE)
+                await asyncio.wait_for(member.process.wait(), deployment.GRACE_SECONDS)
             await member.end()
             await member.start()
 
     @contextlib.asynccontextmanager
     async def cut_store(self) -> AsyncIterator[str]:
-        """Trouble one instance's way to the store."""
+        """Disturb the connections of one instance to the store."""
         members = [member.name for member in self.running.members]
-        async with self.troubled(self.running.store_proxies, members) as what:
+        async with self.proxy_fault(self.running.store_proxies, members) as what:
             yield f"store {what}"
 
     @contextlib.asynccontextmanager
     async def cut_server(self) -> AsyncIterator[str]:
-        """Trouble the way to one backend server."""
+        """Disturb the connections to one backend server."""
         servers = [server.name for server in self.running.servers]
-        async with self.troubled(self.running.server_proxies, servers) as what:
+        async with self.proxy_fault(self.running.server_proxies, servers) as what:
             yield f"server {what}"
 
     @contextlib.asynccontextmanager
-    async def troubled(
-        self, among: list[proxy.Proxy], parts: list[str]
+    async def proxy_fault(
+        self, proxies: list[proxy.Proxy], parts: list[str]
     ) -> AsyncIterator[str]:
-        """Trouble one proxy, before the part of the same place."""
-        number = self.random.randrange(len(among))
-        chosen = among[number]
-        trouble = self.random.choice(NETWORK)
+        """Set a fault of one proxy, whose part has the same index in `parts`."""
+        number = self.random.randrange(len(proxies))
+        chosen = proxies[number]
+        fault = self.random.choice(NETWORK)
         chosen.delay = self.random.uniform(0.01, 0.3)
-        chosen.trouble = trouble
+        chosen.fault = fault
         if self.random.random() < 0.5:
             chosen.reset_all()
-        with self.record.disturbed(parts[number]):
-            yield f"{number} {trouble.value}"
-            chosen.trouble = proxy.Trouble.NONE
-            # What was held back is lost, as after a cut.
+        with self.disturbances.disturbed(parts[number]):
+            yield f"{number} {fault.value}"
+            chosen.fault = proxy.ProxyFault.NONE
+            # Bytes that were held back are lost, as after a network cut.
             chosen.reset_all()
 
     @contextlib.asynccontextmanager
     async def store_fault(self) -> AsyncIterator[str]:
-        """Let the store be down or slow, or forget its history."""
+        """Make the store unavailable or slow, or discard its change history."""
         faults = self.running.store.memory.faults
         what = self.random.choice(("down", "slow", "forget"))
         if what == "down":
@@ -167,20 +168,20 @@
             faults.slow = 0.3
         else:
             await self.running.store.memory.table.discard_history()
-        with self.record.disturbed(calm.STORE):
+        with self.disturbances.disturbed(disturbances.STORE):
             yield f"store is {what}"
             faults.down = False
             faults.slow = 0.0
 
     @contextlib.asynccontextmanager
     async def change_configuration(self) -> AsyncIterator[str]:
-        """Write the configuration anew, with a key more."""
+        """Write the configuration with an additional key."""
         key = await self.running.declare_key()
         yield f"configuration with {key}"
 
     @contextlib.asynccontextmanager
     async def server_faults(self) -> AsyncIterator[str]:
-        """Let a backend server's next requests fail in some way."""
+        """Queue a random fault for the next requests of a backend server."""
         server = self.random.choice(self.running.servers)
         fault = self.random.choice(list(poolserver.Fault))
         server.faults.extend([fault] * self.random.randrange(1, 5))
@@ -188,11 +189,11 @@
 
     @contextlib.asynccontextmanager
     async def server_leaves(self) -> AsyncIterator[str]:
-        """Let a backend server leave, with or without a word, and come back."""
-        if self.has_leaving:
+        """Mark a backend server as leaving or delete its row, and list it again."""
+        if self.is_server_leaving:
             yield "nothing"
             return
-        self.has_leaving = True
+        self.is_server_leaving = True
         server = self.random.choice(self.running.servers)
         state = self.random.choice(("draining", None))
         await self.running.list_server(server, state)
@@ -201,4 +202,4 @@
         await asyncio.sleep(LEAVING_SECONDS)
         self.leaves.append(Leave(server.name, since, clock.now()))
         await self.running.list_server(server, "ready")
-        self.has_leaving = False
+        self.is_server_leaving = False
--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -6,41 +6,41 @@
 import contextlib
 import enum
 
-PART_BYTES = 64 * 1024
-# Seconds between two looks at whether a silenced connection may go on.
-LOOK_SECONDS = 0.02
+CHUNK_BYTES = 64 * 1024
+# Seconds between two checks whether held-back bytes may be forwarded.
+POLL_SECONDS = 0.02
 
 
-class Trouble(enum.Enum):
-    """What the proxy does to its connections."""
+class ProxyFault(enum.Enum):
+    """The fault that a proxy injects into its connections."""
 
     NONE = "none"
     DELAYED = "delayed"
-    # Nothing passes in either direction, and nobody is told.
+    # No bytes are forwarded in either direction, and connections stay open.
     SILENT = "silent"
-    # What is sent arrives; what is answered doesn't.
+    # Requests are forwarded, answers aren't.
     ONE_WAY = "one_way"
     REFUSED = "refused"
 
 
 class Proxy:
-    """Stands before one address; `trouble` may be changed at any time."""
+    """Forwards connections to one address; `fault` can be changed at any time."""
 
     def __init__(self, host: str, port: int) -> None:
         self.target = (host, port)
-        self.trouble = Trouble.NONE
+        self.fault = ProxyFault.NONE
         self.delay = 0.0
         self.server: asyncio.Server | None = None
         self.writers: set[asyncio.StreamWriter] = set()
 
     async def start(self) -> str:
-        """Listen; return the address to use in place of the target's."""
-        self.server = await asyncio.start_server(self.connect, "127.0.0.1", 0)
+        """Start listening; return the address to use instead of the target's."""
+        self.server = await asyncio.start_server(self.handle_connection, "127.0.0.1", 0)
         host, port = self.server.sockets[0].getsockname()[:2]
         return f"{host}:{port}"
 
     async def stop(self) -> None:
-        """Close everything, also when it was never started."""
+        """Close the port and all connections, also if never started."""
         if self.server is not None:
             self.server.close()
         self.reset_all()
@@ -50,19 +50,19 @@
         for writer in list(self.writers):
             writer.transport.abort()
 
-    async def connect(
+    async def handle_connection(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Carry one connection."""
+        """Forward one connection to the target."""
         self.writers.add(writer)
         try:
-            if self.trouble is Trouble.REFUSED:
+            if self.fault is ProxyFault.REFUSED:
                 return
             there_reader, there = await asyncio.open_connection(*self.target)
             self.writers.add(there)
             await asyncio.gather(
-                self.carry(reader, there, answers=False),
-                self.carry(there_reader, writer, answers=True),
+                self.forward(reader, there, answers=False),
+                self.forward(there_reader, writer, answers=True),
             )
         except OSError:
             return
@@ -72,16 +72,16 @@
                     self.writers.discard(one)
                     one.transport.abort()
 
-    async def carry(
+    async def forward(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
         answers: bool,
     ) -> None:
-        """Carry one direction until it ends."""
+        """Forward one direction of a connection until it ends."""
         with contextlib.suppress(OSError):
-            while part := await reader.read(PART_BYTES):
-                if self.trouble is Trouble.DELAYED:
+            while part := await reader.read(CHUNK_BYTES):
+                if self.fault is ProxyFault.DELAYED:
                     await asyncio.sleep(self.delay)
                 await self.wait_while_held(answers)
                 writer.write(part)
@@ -90,14 +90,14 @@
                 writer.write_eof()
 
     async def wait_while_held(self, answers: bool) -> None:
-        """Return once bytes of a direction may pass."""
+        """Wait until bytes of a direction may be forwarded."""
         while True:
-            if not self.holds(answers):
+            if not self.is_held(answers):
                 return
-            await asyncio.sleep(LOOK_SECONDS)
+            await asyncio.sleep(POLL_SECONDS)
 
-    def holds(self, answers: bool) -> bool:
+    def is_held(self, answers: bool) -> bool:
         """Tell whether bytes of a direction are held back."""
-        if self.trouble is Trouble.SILENT:
+        if self.fault is ProxyFault.SILENT:
             return True
-        return answers and self.trouble is Trouble.ONE_WAY
+        return answers and self.fault is ProxyFault.ONE_WAY
--- a/src/tealcove/backends/tests/test_http_engine.py
+++ b/src/tealcove/backends/tests/test_http_engine.py
@@ -95,7 +95,7 @@
     client: http_engine.HttpEngineClient, running: engine_standin.EngineStandin
 ) -> None:
     await client.load(server(running.port))
-    await running.die()
+    await running.kill()
     with pytest.raises(errors.BackendError):
         await client.load(server(running.port))
     await running.start()
--- a/src/tealcove/demo.py
+++ b/src/tealcove/demo.py
@@ -50,7 +50,7 @@
 
 async def send(
     running: parts.Parts, requests: list[mix.Request], write: ProgressWriter
-) -> list[callers.Sent]:
+) -> list[callers.CallResult]:
     """Send all requests and report progress periodically."""
     sending = callers.Callers(running.url, running.keys)
     reporting = asyncio.create_task(report_progress(sending, len(requests), write))
@@ -70,12 +70,12 @@
     while True:
         await asyncio.sleep(PROGRESS_INTERVAL)
         seconds = clock.now() - start
-        ended = len(sending.ended)
+        ended = len(sending.results)
         write(f"{seconds:4.0f} s: {sending.sent} of {total} sent, {ended} answered")
 
 
 def build_report(
-    running: parts.Parts, sent: list[callers.Sent], seed: int, seconds: float
+    running: parts.Parts, sent: list[callers.CallResult], seed: int, seconds: float
 ) -> report.Report:
     """Return a report that compares the callers' results with the stand-ins' counts."""
     counts = [standin.counts for standin in running.engines]
--- a/src/tealcove/demonstration/callers.py
+++ b/src/tealcove/demonstration/callers.py
@@ -1,4 +1,4 @@
-"""The callers of the demo: they send the mix and check each answer."""
+"""The callers of the demo, which send the mix and check each answer."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 from tealcove.standins import answers
 from tealcove.standins import service as service_standin
 
-# A caller waits so long after its deadline before it takes the answer for lost.
+# Seconds after the deadline for which a caller waits before the answer is lost.
 GRACE_SECONDS = 4.0
 PATHS = {
-    mix.Way.COMPLETION: ("POST", "/v1/completions"),
-    mix.Way.CHAT: ("POST", "/v1/chat/completions"),
-    mix.Way.LOOKUP: ("GET", parts.LOOKUP_PATH),
-    mix.Way.QUOTE: ("POST", parts.QUOTE_PATH),
+    mix.RequestKind.COMPLETION: ("POST", "/v1/completions"),
+    mix.RequestKind.CHAT: ("POST", "/v1/chat/completions"),
+    mix.RequestKind.LOOKUP: ("GET", parts.LOOKUP_PATH),
+    mix.RequestKind.QUOTE: ("POST", parts.QUOTE_PATH),
 }
 BROKEN_STREAM = "broken stream"
 DATA = b"data: "
@@ -34,13 +34,13 @@
 
     WHOLE = "whole"
     NOT_RUN = "not_run"
-    # Told so, or by a stream that broke off where its client library notices.
+    # By a problem answer, or a stream that broke in a way that the client detects.
     INTERRUPTED = "interrupted"
     UNKNOWN = "unknown"
     REJECTED = "rejected"
-    # The answer of another request, or one that isn't whole.
+    # The answer to another request, or an incomplete one.
     MIXED_UP = "mixed_up"
-    # The connection broke, or no answer came long after the deadline.
+    # The connection broke, or there was no answer long after the deadline.
     LOST = "lost"
 
 
@@ -50,12 +50,12 @@
     end: End
     reason: str = ""
     request_id: str = ""
-    # Seconds from sending to the first token; None: there was no stream.
+    # Seconds from sending to the first token; None without a stream.
     first_token: float | None = None
 
 
-class Sent(msgspec.Struct, frozen=True, kw_only=True):
-    """A request with what became of it."""
+class CallResult(msgspec.Struct, frozen=True, kw_only=True):
+    """A request with its answer."""
 
     request: mix.Request
     answer: Answer
@@ -64,35 +64,35 @@
 
     @property
     def in_time(self) -> bool:
-        """Whether the caller had the whole answer by its deadline."""
+        """Whether the caller received the complete answer by its deadline."""
         within = self.seconds <= self.request.deadline
         return self.answer.end is End.WHOLE and within
 
 
 class Message(msgspec.Struct, frozen=True):
-    """A chat message, or a part of one."""
+    """A chat message, or a delta of one."""
 
     content: str = ""
 
 
 class Choice(msgspec.Struct, frozen=True):
-    """The one choice of an answer or an event."""
+    """The only choice of an answer or an event."""
 
     text: str = ""
     message: Message | None = None
     delta: Message | None = None
 
     def content(self) -> str:
-        """Return the text, wherever the kind of answer has it."""
-        said = self.message or self.delta
-        return self.text if said is None else said.content
+        """Return the text, whose field depends on the kind of answer."""
+        message = self.message or self.delta
+        return self.text if message is None else message.content
 
 
 class Part(msgspec.Struct, frozen=True):
     """A buffered answer, or one event of a streamed one."""
 
     choices: tuple[Choice, ...] = ()
-    # Tokens in all; only the event that closes a stream has it.
+    # Total number of tokens; only the closing event of a stream has it.
     count: int | None = None
 
     def text(self) -> str:
@@ -101,27 +101,27 @@
 
 
 class Problem(msgspec.Struct, frozen=True):
-    """An answer that isn't a result."""
+    """An error answer."""
 
     outcome: End = End.REJECTED
     reason: str = ""
 
 
 class Callers:
-    """Sends requests when they are due and keeps what became of them."""
+    """Sends requests at their times and records the results."""
 
     def __init__(self, url: str, keys: dict[str, str]) -> None:
         self.url = url
         # Bearer keys by client account.
         self.keys = keys
         self.sent = 0
-        self.ended: list[Sent] = []
+        self.results: list[CallResult] = []
         # A caller's connection must not wait for another caller's answer.
         self.connector = aiohttp.TCPConnector(limit=0)
         self.session: aiohttp.ClientSession | None = None
 
-    async def send_all(self, requests: list[mix.Request]) -> list[Sent]:
-        """Send all requests, each at its time, and return how they ended."""
+    async def send_all(self, requests: list[mix.Request]) -> list[CallResult]:
+        """Send all requests, each at its time, and return the results."""
         async with aiohttp.ClientSession(connector=self.connector) as session:
             self.session = session
             start = clock.now()
@@ -130,10 +130,10 @@
                     await asyncio.sleep(max(0.0, start + request.at - clock.now()))
                     self.sent += 1
                     group.create_task(self.send(request))
-        return self.ended
+        return self.results
 
     async def send(self, request: mix.Request) -> None:
-        """Send one request, once."""
+        """Send one request, without a retry, and record the result."""
         start = clock.now()
         try:
             async with asyncio.timeout(request.deadline + GRACE_SECONDS):
@@ -141,25 +141,25 @@
         except (aiohttp.ClientError, OSError, msgspec.DecodeError) as error:
             answer = Answer(end=End.LOST, reason=type(error).__name__)
         seconds = clock.now() - start
-        self.ended.append(Sent(request=request, answer=answer, seconds=seconds))
+        self.results.append(CallResult(request=request, answer=answer, seconds=seconds))
 
     async def exchange(self, request: mix.Request, start: ids.Instant) -> Answer:
-        """Send a request and read its one final answer."""
-        method, path = PATHS[request.way]
+        """Send a request and read its final answer."""
+        method, path = PATHS[request.kind]
         headers = self.headers(request)
         async with self.session.request(
             method, self.url + path, data=body_of(request), headers=headers
         ) as response:
             request_id = response.headers.get(REQUEST_ID, "")
             if response.status != OK:
-                return refused(await response.read(), request_id)
+                return problem_answer(await response.read(), request_id)
             if request.stream:
                 return await read_stream(response, request, start)
-            own = is_own(await response.read(), request, request_id)
-            return Answer(end=end_of(own), request_id=request_id)
+            is_correct = is_correct_answer(await response.read(), request, request_id)
+            return Answer(end=end_of(is_correct), request_id=request_id)
 
     def headers(self, request: mix.Request) -> dict[str, str]:
-        """Return the headers that a request is sent with."""
+        """Return the headers of a request."""
         return {
             "Authorization": f"Bearer {self.keys[request.account]}",
             "Content-Type": "application/json",
@@ -169,17 +169,17 @@
 
 
 def body_of(request: mix.Request) -> bytes | None:
-    """Return the body that a request is sent with."""
-    if request.way is mix.Way.LOOKUP:
+    """Return the body of a request."""
+    if request.kind is mix.RequestKind.LOOKUP:
         return None
-    if request.way is mix.Way.QUOTE:
+    if request.kind is mix.RequestKind.QUOTE:
         return request.content.encode()
     body: dict[str, object] = {
         "model": parts.MODEL,
         "max_tokens": request.max_tokens,
         "stream": request.stream,
     }
-    if request.way is mix.Way.CHAT:
+    if request.kind is mix.RequestKind.CHAT:
         body["messages"] = [{"role": "user", "content": request.content}]
     else:
         body["prompt"] = request.content
@@ -189,7 +189,7 @@
 async def read_stream(
     response: aiohttp.ClientResponse, request: mix.Request, start: ids.Instant
 ) -> Answer:
-    """Read a streamed answer; without its closing event it isn't whole."""
+    """Read a streamed answer; it is incomplete without its closing event."""
     request_id = response.headers.get(REQUEST_ID, "")
     text = ""
     first_token = None
@@ -206,12 +206,14 @@
             count = part.count
     except aiohttp.ClientPayloadError:
         return Answer(end=End.INTERRUPTED, reason=BROKEN_STREAM, request_id=request_id)
-    own = text == expected(request) and count == request.max_tokens
-    return Answer(end=end_of(own), request_id=request_id, first_token=first_token)
+    is_correct = text == expected(request) and count == request.max_tokens
+    return Answer(
+        end=end_of(is_correct), request_id=request_id, first_token=first_token
+    )
 
 
-def is_own(body: bytes, request: mix.Request, request_id: str) -> bool:
-    """Tell whether a buffered answer is the whole one of this very request."""
+def is_correct_answer(body: bytes, request: mix.Request, request_id: str) -> bool:
+    """Tell whether a buffered answer is the complete one to this request."""
     if request.for_engine:
         return msgspec.json.decode(body, type=Part).text() == expected(request)
     found = msgspec.json.decode(body, type=service_standin.Answer)
@@ -222,19 +224,19 @@
 
 
 def expected(request: mix.Request) -> str:
-    """Return the answer that any engine gives to a request."""
+    """Return the answer of any engine to a request."""
     prompt = request.content
-    if request.way is mix.Way.CHAT:
+    if request.kind is mix.RequestKind.CHAT:
         prompt = f"user: {prompt}\n"
     return answers.expected_answer(prompt, request.max_tokens)
 
 
-def end_of(own: bool) -> End:
-    """Return the end of a request that got a result."""
-    return End.WHOLE if own else End.MIXED_UP
+def end_of(is_correct: bool) -> End:
+    """Return the end of a request with a result."""
+    return End.WHOLE if is_correct else End.MIXED_UP
 
 
-def refused(body: bytes, request_id: str) -> Answer:
-    """Return the end of a request that got no result."""
+def problem_answer(body: bytes, request_id: str) -> Answer:
+    """Convert an error answer."""
     found = msgspec.json.decode(body, type=Problem)
     return Answer(end=found.outcome, reason=found.reason, request_id=request_id)
--- a/src/tealcove/demonstration/mix.py
+++ b/src/tealcove/demonstration/mix.py
@@ -1,4 +1,4 @@
-"""The engines of the demo, and the mix of requests that they are too few for."""
+"""The engines of the demo, and a mix of requests that overloads them."""
 
 from __future__ import annotations
 
@@ -10,24 +10,24 @@
 
 from tealcove.backends import prefixes
 
-# Of the fastest engine; the others are slower by one factor throughout.
+# For the fastest engine; each other engine is slower by its own constant factor.
 PREFILL_TOKENS_PER_SECOND = 16_000.0
 DECODE_SECONDS_PER_TOKEN = 0.005
 BATCH_SLOWDOWN = 0.02
 
-# Arrivals as a multiple of what the engines could complete at the very best.
+# Arrival rate as a multiple of the engines' maximum capacity.
 LOAD = 1.3
-# Calls to the plain service, which come on top, a second.
+# Additional calls per second to the plain service.
 SERVICE_RATE = 8.0
 LONG_SHARE = 0.25
 STREAM_SHARE = 0.6
 CHAT_SHARE = 0.3
-# Prompt templates of each client account, whose text its requests share.
+# Prompt templates of each client account; requests of a template share its text.
 TEMPLATES = 3
 
 
 class Engine(msgspec.Struct, frozen=True):
-    """A model engine; `speed` is a part of the fastest one's."""
+    """A model engine; `speed` is relative to the fastest one."""
 
     name: str
     generation: str
@@ -36,7 +36,7 @@
 
 
 class Account(msgspec.Struct, frozen=True):
-    """A client account and its part of the requests."""
+    """A client account and its share of the requests."""
 
     name: str
     tier: str
@@ -53,17 +53,17 @@
     deadline: float
 
 
-class Way(enum.Enum):
-    """What a request asks for."""
+class RequestKind(enum.Enum):
+    """The kind of a request."""
 
     COMPLETION = "completion"
     CHAT = "chat"
-    # Calls of the plain service: one that may be repeated and one that may not.
+    # Calls of the plain service: an idempotent and a non-idempotent one.
     LOOKUP = "lookup"
     QUOTE = "quote"
 
 
-ENGINE_WAYS = (Way.COMPLETION, Way.CHAT)
+ENGINE_KINDS = (RequestKind.COMPLETION, RequestKind.CHAT)
 
 ENGINES = (
     Engine("engine-1", "g1", 0.5, 4),
@@ -73,7 +73,7 @@
     Engine("engine-5", "g3", 0.8, 8),
     Engine("engine-6", "g4", 1.0, 6),
 )
-# The highest first.
+# From the highest to the lowest.
 TIERS = ("high", "middle", "low")
 ACCOUNTS = (
     Account("label-press", "high", 0.2),
@@ -84,7 +84,7 @@
     Account("old-ledger", "low", 0.15),
 )
 SHORT = Shape(prompt_tokens=32, shared_tokens=0, output_tokens=4, deadline=2.0)
-# A hundred times longer.
+# A hundred times longer than SHORT.
 LONG = Shape(
     prompt_tokens=3200,
     shared_tokens=32 * prefixes.BLOCK_TOKENS,
@@ -95,13 +95,13 @@
 
 
 class Request(msgspec.Struct, frozen=True, kw_only=True):
-    """What a caller is going to send, `at` seconds into the run."""
+    """A request that a caller sends `at` seconds after the start of the run."""
 
     key: str
     at: float
     account: str
     tier: str
-    way: Way
+    kind: RequestKind
     # The prompt, or the content of a call to the plain service.
     content: str
     max_tokens: int = 0
@@ -110,12 +110,12 @@
 
     @property
     def for_engine(self) -> bool:
-        """Whether an engine answers it, and not the plain service."""
-        return self.way in ENGINE_WAYS
+        """Whether the request is for an engine, not for the plain service."""
+        return self.kind in ENGINE_KINDS
 
 
 def slot_seconds(engine: Engine, shape: Shape) -> float:
-    """Return how long a request holds a slot of the full engine, its cache warm."""
+    """Return the time a request occupies a slot of a full engine with a warm cache."""
     uncached = shape.prompt_tokens - shape.shared_tokens
     prefill = uncached / (PREFILL_TOKENS_PER_SECOND * engine.speed)
     slowdown = 1.0 + BATCH_SLOWDOWN * (engine.slots - 1)
@@ -124,9 +124,9 @@
 
 
 def capacity() -> float:
-    """Return a bound on the requests of the mix that the engines end a second.
+    """Return an upper bound on the requests of the mix completed per second.
 
-    Every slot is taken all the time and each shared text is always cached.
+    It assumes that every slot is always in use and each shared text is cached.
     """
     total = 0.0
     for engine in ENGINES:
@@ -137,34 +137,38 @@
 
 
 def requests(seed: int, seconds: float) -> list[Request]:
-    """Return all requests in order of time; the same for the same arguments."""
-    drawn = random.Random(seed)
-    found = [engine_request(drawn, at) for at in times(drawn, engine_rate(), seconds)]
-    calls = [service_call(drawn, at) for at in times(drawn, SERVICE_RATE, seconds)]
+    """Return all requests in order of time, determined by the arguments."""
+    generator = random.Random(seed)
+    found = [
+        engine_request(generator, at) for at in times(generator, engine_rate(), seconds)
+    ]
+    calls = [
+        service_call(generator, at) for at in times(generator, SERVICE_RATE, seconds)
+    ]
     return sorted(found + calls, key=lambda request: request.at)
 
 
 def engine_rate() -> float:
-    """Return the requests for engines a second."""
+    """Return the requests per second for engines."""
     return LOAD * capacity()
 
 
-def times(drawn: random.Random, rate: float, seconds: float) -> list[float]:
-    """Return the arrivals of a Poisson process."""
+def times(generator: random.Random, rate: float, seconds: float) -> list[float]:
+    """Return the arrival times of a Poisson process."""
     found: list[float] = []
-    at = drawn.expovariate(rate)
+    at = generator.expovariate(rate)
     while at < seconds:
         found.append(at)
-        at += drawn.expovariate(rate)
+        at += generator.expovariate(rate)
     return found
 
 
-def engine_request(drawn: random.Random, at: float) -> Request:
+def engine_request(generator: random.Random, at: float) -> Request:
     """Draw a request for an engine."""
-    account = draw_account(drawn)
-    shape = LONG if drawn.random() < LONG_SHARE else SHORT
-    key = draw_key(drawn)
-    template = drawn.randrange(TEMPLATES)
+    account = draw_account(generator)
+    shape = LONG if generator.random() < LONG_SHARE else SHORT
+    key = draw_key(generator)
+    template = generator.randrange(TEMPLATES)
     shared = text(f"{account.name}/{template}", shape.shared_tokens)
     own = text(key, shape.prompt_tokens - shape.shared_tokens)
     return Request(
@@ -172,41 +176,43 @@
         at=at,
         account=account.name,
         tier=account.tier,
-        way=Way.CHAT if drawn.random() < CHAT_SHARE else Way.COMPLETION,
+        kind=RequestKind.CHAT
+        if generator.random() < CHAT_SHARE
+        else RequestKind.COMPLETION,
         content=shared + own,
         max_tokens=shape.output_tokens,
-        stream=drawn.random() < STREAM_SHARE,
+        stream=generator.random() < STREAM_SHARE,
         deadline=shape.deadline,
     )
 
 
-def service_call(drawn: random.Random, at: float) -> Request:
+def service_call(generator: random.Random, at: float) -> Request:
     """Draw a call to the plain service."""
-    account = draw_account(drawn)
-    key = draw_key(drawn)
+    account = draw_account(generator)
+    key = draw_key(generator)
     return Request(
         key=key,
         at=at,
         account=account.name,
         tier=account.tier,
-        way=drawn.choice((Way.LOOKUP, Way.QUOTE)),
+        kind=generator.choice((RequestKind.LOOKUP, RequestKind.QUOTE)),
         content=key,
         deadline=SERVICE_DEADLINE,
     )
 
 
-def draw_account(drawn: random.Random) -> Account:
-    """Draw who sends a request."""
+def draw_account(generator: random.Random) -> Account:
+    """Draw the account of a request."""
     shares = [account.share for account in ACCOUNTS]
-    return drawn.choices(ACCOUNTS, shares)[0]
+    return generator.choices(ACCOUNTS, shares)[0]
 
 
-def draw_key(drawn: random.Random) -> str:
-    """Draw a key that no other request has."""
-    return f"{drawn.getrandbits(64):016x}"
+def draw_key(generator: random.Random) -> str:
+    """Draw a unique idempotency key."""
+    return f"{generator.getrandbits(64):016x}"
 
 
 def text(name: str, tokens: int) -> str:
-    """Return a text of so many tokens that no other name has."""
+    """Return a text of some tokens that is unique to a name."""
     size = tokens * prefixes.TOKEN_BYTES
     return hashlib.shake_128(name.encode()).hexdigest(size)[:size]
--- a/src/tealcove/standins/tests/builders.py
+++ b/src/tealcove/standins/tests/builders.py
@@ -1,4 +1,4 @@
-"""Stand-ins that run in a test, and calls to them."""
+"""Helpers that run stand-ins in a test and call them."""
 
 from __future__ import annotations
 
@@ -24,9 +24,9 @@
 MODEL = "drafts"
 # A block of the prefix cache is 64 tokens of 4 bytes.
 BLOCK = "x" * 256
-GENEROUS_SECONDS = 20.0
-# Serves the stand-in of the module and the settings that are its arguments.
-SERVE = """
+TIMEOUT_SECONDS = 20.0
+# Runs the stand-in of the module and settings given as arguments.
+SERVE_SCRIPT = """
 import asyncio, importlib, sys, typing, msgspec
 module = importlib.import_module(sys.argv[1])
 shape = typing.get_type_hints(module.serve)["settings"]
@@ -34,8 +34,8 @@
 """
 
 
-def engine_settings_of(**fields: object) -> engine_settings.EngineSettings:
-    """Return settings of a fast engine without lags."""
+def fast_engine_settings(**fields: object) -> engine_settings.EngineSettings:
+    """Return the settings of a fast engine without lag."""
     values = {
         "models": {MODEL: "1"},
         "decode_seconds_per_token": 0.002,
@@ -50,7 +50,7 @@
 
 @contextlib.asynccontextmanager
 async def running(standin: backend.BackendStandin) -> AsyncIterator[Caller]:
-    """Run a stand-in and a caller of it."""
+    """Run a stand-in and yield a caller for it."""
     await standin.start()
     async with aiohttp.ClientSession(f"http://127.0.0.1:{standin.port}") as session:
         yield Caller(session, standin)
@@ -58,12 +58,12 @@
 
 
 def running_engine(**fields: object) -> contextlib.AbstractAsyncContextManager[Caller]:
-    """Run an engine."""
-    return running(engine.EngineStandin(engine_settings_of(**fields)))
+    """Run an engine and yield a caller for it."""
+    return running(engine.EngineStandin(fast_engine_settings(**fields)))
 
 
 def running_service(**fields: object) -> contextlib.AbstractAsyncContextManager[Caller]:
-    """Run a plain service."""
+    """Run a plain service and yield a caller for it."""
     settings = service.ServiceSettings(load_lag=0.0, **fields)
     return running(service.ServiceStandin(settings))
 
@@ -72,9 +72,9 @@
 async def process(
     module: str, settings: backend_settings.BackendSettings
 ) -> AsyncIterator[tuple[Caller, asyncio.subprocess.Process]]:
-    """Run a stand-in as a process of its own, and a caller of it."""
+    """Run a stand-in as a separate process, and yield a caller and the process."""
     child = await asyncio.create_subprocess_exec(
-        *(sys.executable, "-c", SERVE, module, msgspec.json.encode(settings)),
+        *(sys.executable, "-c", SERVE_SCRIPT, module, msgspec.json.encode(settings)),
         stdout=asyncio.subprocess.PIPE,
         env=os.environ | {"PYTHONPATH": os.pathsep.join(sys.path)},
     )
@@ -91,7 +91,7 @@
 
 async def until(condition: Callable[[], bool]) -> None:
     """Wait until a condition holds."""
-    async with asyncio.timeout(GENEROUS_SECONDS):
+    async with asyncio.timeout(TIMEOUT_SECONDS):
         while True:
             if condition():
                 return
@@ -99,13 +99,13 @@
 
 
 class Answer:
-    """A stream as it was read: header, events, and whether it ended in order."""
+    """A stream that was read: its id header, events, and whether it is complete."""
 
     def __init__(self, response: aiohttp.ClientResponse) -> None:
         self.status = response.status
         self.header_id = response.headers.get("X-Request-Id")
         self.events: list[dict] = []
-        self.whole = False
+        self.is_complete = False
 
     @property
     def text(self) -> str:
@@ -124,12 +124,12 @@
             return self
         with contextlib.suppress(aiohttp.ClientError):
             async for line in response.content:
-                self.take(line.decode().strip())
+                self.parse_line(line.decode().strip())
         return self
 
-    def take(self, line: str) -> None:
+    def parse_line(self, line: str) -> None:
         if line == "data: [DONE]":
-            self.whole = True
+            self.is_complete = True
         elif line:
             self.events.append(json.loads(line.removeprefix("data: ")))
 
@@ -155,10 +155,10 @@
         async with self.post(request_id, *arguments, **more) as response:
             return await Answer(response).read(response)
 
-    async def complete_whole(self, request_id: str, *arguments, **more) -> Answer:
-        """Raise ClientError unless the answer is whole."""
+    async def complete_or_raise(self, request_id: str, *arguments, **more) -> Answer:
+        """Return a complete answer; raises ClientError for an incomplete one."""
         answer = await self.complete(request_id, *arguments, **more)
-        if not answer.whole:
+        if not answer.is_complete:
             raise aiohttp.ClientPayloadError
         return answer
 
@@ -174,5 +174,5 @@
             is_json = response.content_type == "application/json"
             return json.loads(content) if is_json else None
 
-    async def spoil(self, **faults: object) -> None:
+    async def set_faults(self, **faults: object) -> None:
         await self.call("PUT", "/standin/faults", json=faults)
--- a/tests/embedded.py
+++ b/tests/embedded.py
@@ -1,4 +1,4 @@
-"""Two instances and their stand-ins in the process of the test."""
+"""Two instances and their stand-ins in the test process."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class RecordingService(service.ServiceStandin):
-    """A plain service that keeps the trace headers it got."""
+    """A plain service that records the trace headers it received."""
 
     def __init__(self) -> None:
         super().__init__(service.ServiceSettings(name="s"))
@@ -35,7 +35,7 @@
 
 
 class Pair:
-    """The parts; `entry` is the instance that doesn't hold the engines' cell."""
+    """The deployment; `entry` is the instance without the engines' cell."""
 
     def __init__(self) -> None:
         self.platform = platform.PlatformStandin()
@@ -59,8 +59,8 @@
     def url(instance: daemon.Instance) -> str:
         return f"http://{HOST}:{instance.http_port}"
 
-    async def add_instance(self, name: str, **found: object) -> daemon.Instance:
-        """Start an instance that knows those before it."""
+    async def add_instance(self, name: str, **changes: object) -> daemon.Instance:
+        """Start an instance with the earlier ones as seeds."""
         seeds = tuple(str(one.mesh.listen) for one in self.instances.values())
         own = settings.Settings(
             instance=name,
@@ -72,14 +72,14 @@
             configuration=settings.Configuration(poll_interval=0.05),
         )
         exporter = in_memory_span_exporter.InMemorySpanExporter()
-        instance = daemon.Instance(msgspec.structs.replace(own, **found), exporter)
+        instance = daemon.Instance(msgspec.structs.replace(own, **changes), exporter)
         await instance.start()
         self.instances[name] = instance
         self.exporters[name] = exporter
         return instance
 
     async def declare(self) -> None:
-        """Declare a tier, an account, both pools and their rules."""
+        """Declare a tier, an account, a model, both pools and their rules."""
         engine_spec, service_spec = (
             kinds.BackendServerSpec(
                 name=one.name, host=HOST, port=one.port, data_centre="d"
@@ -134,7 +134,7 @@
             await own.close()
 
     async def until_serving(self) -> None:
-        """Wait until each instance names both as entry points."""
+        """Wait until each instance lists all of them as entry points."""
 
         async def all_known() -> bool:
             for one in self.instances.values():
@@ -151,8 +151,8 @@
 
 
 @contextlib.asynccontextmanager
-async def pair(**found: object) -> AsyncIterator[Pair]:
-    """Start everything, and stop it in the other order."""
+async def pair(**changes: object) -> AsyncIterator[Pair]:
+    """Start all parts, and stop them in reverse order."""
     async with contextlib.AsyncExitStack() as ending:
         running = Pair()
         for part in (running.platform, running.engine, running.service):
@@ -160,7 +160,7 @@
             ending.push_async_callback(part.stop)
         await running.declare()
         for name in ("i1", "i2"):
-            instance = await running.add_instance(name, **found)
+            instance = await running.add_instance(name, **changes)
             ending.push_async_callback(instance.stop)
         running.session = aiohttp.ClientSession()
         ending.push_async_callback(running.session.close)
--- a/tests/test_at_most_once.py
+++ b/tests/test_at_most_once.py
@@ -1,4 +1,4 @@
-"""A non-idempotent request runs at most once, whatever fails meanwhile."""
+"""A non-idempotent request runs at most once, whatever fails in the meantime."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Told(msgspec.Struct, frozen=True, order=True):
-    """What a caller was told; the body is left out, since ids differ by run."""
+    """The answer to a caller, without the body, whose ids differ between runs."""
 
     status: int
     outcome: str
@@ -26,11 +26,11 @@
 
 
 class Session:
-    """A deployment with one service whose calls may not be repeated."""
+    """A deployment with one service whose calls must not be repeated."""
 
     def __init__(self, running: deployment.Deployment) -> None:
         self.running = running
-        self.told: list[tuple[str, Told]] = []
+        self.outcomes: list[tuple[str, Told]] = []
 
     async def prepare(self, instances: int = 2) -> None:
         running = self.running
@@ -52,7 +52,7 @@
             await self.wait_for_rule(instance)
 
     async def wait_for_rule(self, instance: deployment.Process) -> None:
-        """Wait until a call without a key is refused for that, and not by 404."""
+        """Wait until a call without a key is refused with 400 instead of 404."""
 
         async def is_in_force() -> bool:
             found = await self.call(instance, PATH, {})
@@ -76,27 +76,27 @@
             return Told(0, "cut")
 
     async def send(self, number: int, key: str, body: bytes = b"quote") -> Told:
-        """Send the quote of a key to an instance, and note what came of it."""
+        """Send the quote of a key to an instance and record the outcome."""
         instance = self.running.instances[number]
         found = await self.call(instance, PATH, {"Idempotency-Key": key}, data=body)
-        self.told.append((f"{key} to {instance.name}", found))
+        self.outcomes.append((f"{key} to {instance.name}", found))
         return found
 
     async def complete(self, number: int, key: str) -> Told:
-        """Send a completion that is marked as non-idempotent."""
+        """Send a completion marked as non-idempotent and record the outcome."""
         instance = self.running.instances[number]
         extra = {"Idempotency-Key": key, "Tealcove-Idempotent": "no"}
         body = {"model": "m", "prompt": key, "max_tokens": 4}
         found = await self.call(instance, "/v1/completions", extra, json=body)
-        self.told.append((f"{key} to {instance.name}", found))
+        self.outcomes.append((f"{key} to {instance.name}", found))
         return found
 
     async def runs(self) -> dict[str, int]:
-        """Return how often each key arrived at the service."""
+        """Return the number of calls by key that the service received."""
         return (await self.running.counts(self.running.services[0]))["keys"]
 
     async def engine_runs(self) -> list[int]:
-        """Return how often each request arrived at the engine."""
+        """Return the number of dispatches of each request to the engine."""
         counts = await self.running.counts(self.running.engines[0])
         return list(counts["dispatches"].values())
 
@@ -109,29 +109,29 @@
     async def wait_for_row(self, key: str) -> None:
         rows = storeadapter.StoreTable(self.running.client)
 
-        async def stands() -> bool:
+        async def exists() -> bool:
             return await rows.read("claims", f"account-high/{key}") is not None
 
-        await deployment.until(stands)
+        await deployment.until(exists)
 
-    async def wait_until_missed(self, number: int, lost: deployment.Process) -> None:
-        """Wait until an instance has noticed that another is silent."""
+    async def wait_until_suspected(self, number: int, lost: deployment.Process) -> None:
+        """Wait until an instance no longer lists a silent one as entry point."""
 
-        async def is_missed() -> bool:
+        async def is_suspected() -> bool:
             names = await self.running.entry_points(self.running.instances[number])
             return lost.name not in names
 
-        await deployment.until(is_missed)
+        await deployment.until(is_suspected)
 
 
 async def test_entry_killed_while_a_call_runs(
     tmp_path: pathlib.Path, snapshot: assertion.SnapshotAssertion
 ) -> None:
-    """A client receives a quote twice.
+    """Guards against sending a quote twice after the entry was killed.
 
-    Events: the entry is killed while the ledger sends the quote; the caller, whose
-    connection broke, sends again to another entry. Cause: nothing that outlives
-    the entry says that the quote was dispatched.
+    The entry is killed while the ledger sends the quote; the caller, whose
+    connection broke, retries at another entry. The quote would be sent twice if no
+    record of its dispatch outlived the entry.
     """
     async with deployment.Deployment(tmp_path) as running:
         session = Session(running)
@@ -140,18 +140,18 @@
         await session.wait_for_run("k")
         running.instances[0].kill()
         await first
-        await session.wait_until_missed(1, running.instances[0])
+        await session.wait_until_suspected(1, running.instances[0])
         await session.send(1, "k")
-        assert (session.told, await session.runs()) == snapshot
+        assert (session.outcomes, await session.runs()) == snapshot
 
 
 async def test_reply_of_the_platform_lost_at_the_claim(
     tmp_path: pathlib.Path, snapshot: assertion.SnapshotAssertion
 ) -> None:
-    """A quote isn't sent at all, or twice, since its claim's fate wasn't clear.
+    """Guards against a lost or repeated quote when the claim's outcome is unknown.
 
-    Events: the platform applies the claim and its reply is lost, three times over.
-    Cause: the claim that stands there is taken for another's.
+    The platform applies the claim and its reply is lost, three times in a row. The
+    entry must not mistake its own stored claim for that of another entry.
     """
     async with deployment.Deployment(tmp_path) as running:
         session = Session(running)
@@ -159,13 +159,13 @@
         await running.set_faults(running.platform, {"lose_replies": 3})
         await session.send(0, "k")
         await session.send(0, "k", b"another quote")
-        assert (session.told, await session.runs()) == snapshot
+        assert (session.outcomes, await session.runs()) == snapshot
 
 
 async def test_the_same_key_to_two_entries_at_once(
     tmp_path: pathlib.Path, snapshot: assertion.SnapshotAssertion
 ) -> None:
-    """A client receives a quote twice, since two entries ran it side by side."""
+    """Guards against sending a quote twice because two entries ran it at once."""
     async with deployment.Deployment(tmp_path) as running:
         session = Session(running)
         await session.prepare()
@@ -176,14 +176,14 @@
                 for key in keys
             )
         )
-        told = {key: sorted(pair) for key, pair in zip(keys, pairs, strict=True)}
-        assert (told, sorted((await session.runs()).items())) == snapshot
+        outcomes = {key: sorted(pair) for key, pair in zip(keys, pairs, strict=True)}
+        assert (outcomes, sorted((await session.runs()).items())) == snapshot
 
 
 async def test_a_lost_answer_is_given_again_by_another_entry(
     tmp_path: pathlib.Path, snapshot: assertion.SnapshotAssertion
 ) -> None:
-    """A caller whose answer got lost can't learn whether its quote went out."""
+    """Guards against a lost answer that no other entry can repeat."""
     async with deployment.Deployment(tmp_path) as running:
         session = Session(running)
         await session.prepare()
@@ -198,15 +198,15 @@
         await deployment.until(is_recorded)
         await session.send(1, "k")
         await session.send(1, "k", b"another quote")
-        assert (session.told, await session.runs()) == snapshot
+        assert (session.outcomes, await session.runs()) == snapshot
 
 
 async def test_platform_down(
     tmp_path: pathlib.Path, snapshot: assertion.SnapshotAssertion
 ) -> None:
-    """Callers are told "not run" of what was run, or wait for the platform.
+    """Guards against a wrong "not run", and against waiting for the platform.
 
-    Events: the platform is down when a claim is needed, and comes back later.
+    The platform is down when a claim is needed, and is available again later.
     """
     async with deployment.Deployment(tmp_path) as running:
         session = Session(running)
@@ -220,17 +220,17 @@
         await session.send(1, "k")
         await session.complete(1, "generation")
         ran = (await session.runs(), await session.engine_runs())
-        assert (untouched, reply.outcome, session.told, ran) == snapshot
+        assert (untouched, reply.outcome, session.outcomes, ran) == snapshot
 
 
 async def test_entry_frozen_after_its_claim(
     tmp_path: pathlib.Path, snapshot: assertion.SnapshotAssertion
 ) -> None:
-    """A frozen entry wakes and sends a quote that another has sent meanwhile.
+    """Guards against a frozen entry that resumes and sends a quote a second time.
 
-    Events: the entry is frozen while its claim is written; the caller sends again
-    to another entry; the first one wakes and goes on where it was. Cause: the
-    second entry takes over from one that only seems dead.
+    The entry is frozen while its claim is written; the caller retries at another
+    entry; then the first entry resumes where it stopped. The quote would be sent
+    twice if the second entry took over from one that only seems dead.
     """
     async with deployment.Deployment(tmp_path) as running:
         session = Session(running)
@@ -246,8 +246,8 @@
         running.instances[0].freeze()
         await session.wait_for_row("k")
         await running.set_faults(running.platform, {})
-        await session.wait_until_missed(1, running.instances[0])
+        await session.wait_until_suspected(1, running.instances[0])
         await session.send(1, "k")
-        running.instances[0].thaw()
+        running.instances[0].unfreeze()
         await first
-        assert (session.told, await session.runs()) == snapshot
+        assert (session.outcomes, await session.runs()) == snapshot
