--- a/soak/callers.py
+++ b/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers who check what they are promised."""
+"""Callers that check the guarantees of the system."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 
 import aiohttp
 import msgspec
-from tests import platformed
+from tests import platform_site
 
-from soak import calm, deployment
+from soak import deployment, disturbances
 from tealcove import clock, ids
 from tealcove.platform import names
 
@@ -17,64 +17,67 @@
 CALLERS = 6
 PAUSE = 0.03
 TIMEOUT = aiohttp.ClientTimeout(total=4.0, sock_connect=1.0)
-# Seconds after which a declared key is known everywhere.
+# Seconds after which a declared key must be in force at all instances.
 IN_FORCE_SECONDS = 2.0
-# These say that a request has not run, and never will.
-PROMISES = (408, 421, 429, 503)
-WHOLE_STREAM = b"".join(
+# Statuses which state that a request has not run, and never will.
+NOT_RUN_STATUSES = (408, 421, 429, 503)
+COMPLETE_STREAM = b"".join(
     f"id: {number}\ndata: piece {number}\n\n".encode() for number in range(1, 6)
 )
 
 
-class Ended(msgspec.Struct, frozen=True):
-    """One request as its caller saw it."""
+class CallResult(msgspec.Struct, frozen=True):
+    """A finished request, as its caller saw it."""
 
     request_id: str
     path: str
-    answer: platformed.Answer
+    answer: platform_site.Answer
     # The instance that it was sent to.
     member: str
 
 
 class Callers:
-    """Send requests until told to stop."""
+    """Sends requests from several callers until `is_stopping` is set."""
 
     def __init__(
-        self, running: deployment.Deployment, record: calm.Record, seed: int
+        self,
+        running: deployment.Deployment,
+        log: disturbances.DisturbanceLog,
+        seed: int,
     ) -> None:
         self.running = running
-        self.record = record
+        self.disturbances = log
         self.random = random.Random(seed)
-        self.ended: list[Ended] = []
+        self.results: list[CallResult] = []
         self.count = 0
         self.is_stopping = False
 
     async def run(self) -> None:
-        """Let all callers call until `is_stopping` is set."""
+        """Run all callers until `is_stopping` is set."""
         async with aiohttp.ClientSession(timeout=TIMEOUT) as session:
             await asyncio.gather(*(self.call(session) for _ in range(CALLERS)))
 
     async def call(self, session: aiohttp.ClientSession) -> None:
-        """Be one caller, who takes whichever instance comes."""
+        """Run one caller, which sends each request to a random instance."""
         while not self.is_stopping:
             self.count += 1
             request_id = f"r-{self.count}"
             path = self.random.choice(PATHS)
             member = self.random.choice(self.running.members)
             answer = await self.send(session, member, request_id, path)
-            self.ended.append(Ended(request_id, path, answer, member.name))
+            self.results.append(CallResult(request_id, path, answer, member.name))
             await asyncio.sleep(PAUSE)
 
     def key_at(self, member: deployment.Member, now: ids.Instant) -> str:
         """Return the newest key that must be in force at an instance."""
-        if not self.record.is_calm(now, member.name, calm.STORE):
-            return platformed.KEY
+        if not self.disturbances.is_undisturbed(now, member.name, disturbances.STORE):
+            return platform_site.KEY
         in_force = [
             key
             for key, since in self.running.declared.items()
             if now - since > IN_FORCE_SECONDS
         ]
-        return in_force[-1] if in_force else platformed.KEY
+        return in_force[-1] if in_force else platform_site.KEY
 
     async def send(
         self,
@@ -82,10 +85,10 @@
         member: deployment.Member,
         request_id: str,
         path: str,
-    ) -> platformed.Answer:
+    ) -> platform_site.Answer:
         """Send one request."""
         headers = {
-            "Host": platformed.HOST,
+            "Host": platform_site.HOST,
             names.REQUEST_ID: request_id,
             names.API_KEY: self.key_at(member, clock.now()),
             names.DEADLINE_MS: "3000",
@@ -93,13 +96,15 @@
         url = f"http://{member.listen['callers']}{path}"
         try:
             async with session.post(url, headers=headers, data=b"x") as response:
-                return await platformed.read(response)
+                return await platform_site.read(response)
         except (aiohttp.ClientError, TimeoutError):
-            return platformed.Answer(None, b"", False)
+            return platform_site.Answer(None, b"", False)
 
 
-def broken_promises(running: deployment.Deployment, ended: list[Ended]) -> list[str]:
-    """Return what callers and backend servers saw that must never be."""
+def find_violations(
+    running: deployment.Deployment, ended: list[CallResult]
+) -> list[str]:
+    """Return all violations that callers and backend servers have observed."""
     runs: dict[str, int] = {}
     for server in running.servers:
         for run in server.runs:
@@ -107,31 +112,35 @@
     found = []
     for one in ended:
         count = runs.get(one.request_id, 0)
-        found.extend(f"{one.request_id} {one.path}: {x}" for x in wrongs(one, count))
+        found.extend(
+            f"{one.request_id} {one.path}: {x}" for x in violations(one, count)
+        )
     known = {one.request_id for one in ended}
-    found.extend(f"{name}: run, but nobody sent it" for name in set(runs) - known)
+    found.extend(
+        f"{name}: run, but not sent by any caller" for name in set(runs) - known
+    )
     return found
 
 
-def wrongs(one: Ended, runs: int) -> list[str]:
-    """Return what is wrong with one request, which ran so many times."""
+def violations(one: CallResult, runs: int) -> list[str]:
+    """Return the violations of one request, which ran `runs` times."""
     answer = one.answer
     found = []
     if one.path.startswith("/once/") and runs > 1:
         found.append(f"ran {runs} times")
-    has_promise = answer.status in PROMISES and answer.is_whole
-    if has_promise and runs and one.path.startswith("/once/"):
-        found.append(f"answered {answer.status}, and has run")
+    is_not_run = answer.status in NOT_RUN_STATUSES and answer.is_complete
+    if is_not_run and runs and one.path.startswith("/once/"):
+        found.append(f"answered {answer.status}, but has run")
     if answer.status in (401, 404):
-        found.append(f"answered {answer.status} for what is declared")
+        found.append(f"answered {answer.status} for a declared route and key")
     if answer.status == 200:
         if names.SIGNATURE not in answer.headers:
             found.append("a success without a signature")
         if answer.headers.get(names.REQUEST_ID) != one.request_id:
             found.append("another request's answer")
         is_stream = one.path.startswith("/stream/")
-        if is_stream and answer.is_whole and answer.body != WHOLE_STREAM:
-            found.append(f"a whole stream that isn't: {answer.body!r}")
-        if is_stream and not WHOLE_STREAM.startswith(answer.body):
+        if is_stream and answer.is_complete and answer.body != COMPLETE_STREAM:
+            found.append(f"a complete stream with wrong events: {answer.body!r}")
+        if is_stream and not COMPLETE_STREAM.startswith(answer.body):
             found.append(f"events out of order: {answer.body!r}")
     return found
--- a/soak/run.py
+++ b/soak/run.py
@@ -1,4 +1,4 @@
-"""One soak: callers and faults side by side, then a calm end."""
+"""A soak: callers with concurrent faults, then a recovery without faults."""
 
 from __future__ import annotations
 
@@ -11,55 +11,55 @@
 
 MEMBERS = 3
 SERVERS = 3
-# Seconds after the last fault within which requests are served again, and for
-# which they are watched then.
+# Seconds after the last fault within which requests must be served again, and the
+# period after that in which they are counted.
 RECOVERY_SECONDS = 5.0
 WATCHED_SECONDS = 2.0
-SERVED_PART = 0.9
+MIN_SERVED_SHARE = 0.9
 
 
 class Verdict(msgspec.Struct, frozen=True):
-    """What a soak has shown."""
+    """The result of a soak."""
 
     seed: int
     faults: tuple[str, ...]
     requests: int
     served: int
-    # Served after the recovery, of all sent then.
+    # Requests after the recovery: the served ones, and all.
     served_after: int
     sent_after: int
-    # Requests that calm instances sent on while some server had left for good.
+    # Requests of undisturbed instances that were checked for leaving servers.
     watched: int
     broken: tuple[str, ...]
 
 
 async def soak(folder: pathlib.Path, seed: int, seconds: float) -> Verdict:
-    """Run one soak; its logs stay in the folder."""
+    """Run one soak; its logs are kept in the folder."""
     async with deployment.Deployment(folder, MEMBERS, SERVERS) as running:
-        doing = faults.Faults(running, seed)
-        calling = callers.Callers(running, doing.record, seed)
+        injector = faults.FaultInjector(running, seed)
+        calling = callers.Callers(running, injector.disturbances, seed)
         task = asyncio.create_task(calling.run())
-        await doing.run(seconds)
+        await injector.run(seconds)
         for server in running.servers:
             server.faults.clear()
         await running.until_ready()
         await asyncio.sleep(RECOVERY_SECONDS)
-        before = len(calling.ended)
+        before = len(calling.results)
         await asyncio.sleep(WATCHED_SECONDS)
-        after = calling.ended[before:]
+        after = calling.results[before:]
         calling.is_stopping = True
         await task
-        broken = callers.broken_promises(running, calling.ended)
-        watched, late = leaving.late_arrivals(running, doing, calling.ended)
+        broken = callers.find_violations(running, calling.results)
+        watched, late = leaving.late_arrivals(running, injector, calling.results)
         broken.extend(late)
     served_after = sum(one.answer.status == 200 for one in after)
-    if served_after < SERVED_PART * len(after) or not after:
+    if served_after < MIN_SERVED_SHARE * len(after) or not after:
         broken.append(f"{served_after} of {len(after)} served after the recovery")
     return Verdict(
         seed=seed,
-        faults=tuple(doing.done),
-        requests=len(calling.ended),
-        served=sum(one.answer.status == 200 for one in calling.ended),
+        faults=tuple(injector.done),
+        requests=len(calling.results),
+        served=sum(one.answer.status == 200 for one in calling.results),
         served_after=served_after,
         sent_after=len(after),
         watched=watched,
--- a/src/tealcove/backends/http_engine.py
+++ b/src/tealcove/backends/http_engine.py
@@ -1,4 +1,4 @@
-"""Model engines over HTTP."""
+"""HTTP client for model engines."""
 
 from __future__ import annotations
 
@@ -16,57 +16,59 @@
 
 REQUEST_ID_HEADER = "X-Request-Id"
 CONNECT_TIMEOUT = 2.0
-# An engine that sends nothing for this long while it generates counts as gone.
+# An engine that sends nothing for this many seconds during generation has failed.
 SILENCE_TIMEOUT = 30.0
 CONTROL_TIMEOUT = 2.0
-# Errors by which a connection never stood; a time-out to connect is not a
-# ClientConnectorError, and was once taken for a stream that broke off.
-NOT_CONNECTED = (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError)
-# A connection for readings that isn't used for so long is closed.
-KEPT_SECONDS = 15.0
-END = b"[DONE]"
+# Errors that mean that no connection was established; a connect timeout is not a
+# ClientConnectorError, and must not be taken for a broken stream.
+CONNECT_ERRORS = (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError)
+# Idle seconds after which a polling connection is closed.
+KEEPALIVE_SECONDS = 15.0
+DONE_MARKER = b"[DONE]"
 
 T = TypeVar("T")
 
 
 class HttpEngineClient(engine.EngineClient):
-    """One session for requests, each on its own connection, and one for readings."""
+    """Calls engines in two sessions: requests without, polls with keep-alive."""
 
     def __init__(self) -> None:
         self.session: aiohttp.ClientSession | None = None
-        self.readings: aiohttp.ClientSession | None = None
+        self.polling: aiohttp.ClientSession | None = None
         self.event_decoder = msgspec.json.Decoder(wire.Event)
 
     async def start(self) -> None:
-        """Open the session."""
-        # A connection is never used again. Reuse after a cancelled or unread
-        # answer is how one caller gets another's answer, and a reused connection
-        # that the server closes meanwhile makes it unclear whether the request
-        # was dispatched.
+        """Open the sessions."""
+        # Connections for requests are never reused. After a cancelled or unread
+        # response, reuse could give one caller another's response, and when the
+        # server closes a reused connection, it's unclear whether the request was
+        # dispatched.
         connector = aiohttp.TCPConnector(force_close=True, limit=0)
         timeout = aiohttp.ClientTimeout(
             total=None, sock_connect=CONNECT_TIMEOUT, sock_read=SILENCE_TIMEOUT
         )
         tracing = aiohttp.TraceConfig()
-        tracing.on_connection_create_end.append(tell_dispatched)
+        tracing.on_connection_create_end.append(notify_dispatched)
         self.session = aiohttp.ClientSession(
             connector=connector,
             timeout=timeout,
-            read_bufsize=events.LARGEST_LINE,
+            read_bufsize=events.MAX_LINE_BYTES,
             trace_configs=[tracing],
         )
-        # Load, health and cache events are read several times a second. They are
-        # small, safe to repeat and belong to nobody, so their connections are kept:
-        # a new one for each took three quarters of a reading's processor time.
-        self.readings = aiohttp.ClientSession(
-            connector=aiohttp.TCPConnector(limit=0, keepalive_timeout=KEPT_SECONDS),
+        # Load, health and cache events are polled several times a second. The polls
+        # are small, safe to repeat and belong to no caller, so their connections are
+        # kept alive: a new one for each took three quarters of a poll's CPU time.
+        self.polling = aiohttp.ClientSession(
+            connector=aiohttp.TCPConnector(
+                limit=0, keepalive_timeout=KEEPALIVE_SECONDS
+            ),
             timeout=aiohttp.ClientTimeout(total=CONTROL_TIMEOUT),
         )
 
     async def stop(self) -> None:
         """Close the sessions."""
         await self.session.close()
-        await self.readings.close()
+        await self.polling.close()
 
     def generate(
         self,
@@ -108,22 +110,22 @@
         request_id: ids.RequestId,
         start: Callable[[], aiohttp.client._RequestContextManager],
     ) -> AsyncIterator[engine.Chunk]:
-        """Yield the chunks of one HTTP answer, and map its failures.
+        """Yield the chunks of one HTTP response, and translate its errors.
 
-        Ends with the closing event; each event names the request it's of.
+        Ends with the closing event; each event contains its request's id.
         """
         found = events.Events()
         try:
             async with start() as response:
                 await self.check_head(server, request_id, response)
-                # Whatever has come is taken at once. To wait for line after line
-                # took as long as all the rest of what an event costs.
+                # All received bytes are processed at once: awaiting each line
+                # separately took as long as all other processing of an event.
                 async for part in response.content.iter_any():
-                    for data in found.take(part):
-                        if data == END:
+                    for data in found.feed(part):
+                        if data == DONE_MARKER:
                             return
                         yield self.decode(server, request_id, data)
-        except NOT_CONNECTED as error:
+        except CONNECT_ERRORS as error:
             raise engine.NotDispatchedError(
                 f"{server.name} can't be reached: {error}",
                 "Nothing was sent to it; see whether the process runs.",
@@ -133,7 +135,7 @@
                 f"The answer of {server.name} broke off: {error!r}",
                 "Resume it from the next token on.",
             ) from error
-        if END not in found.take(b"\n"):
+        if DONE_MARKER not in found.feed(b"\n"):
             raise engine.BrokenStreamError(
                 f"The answer of {server.name} ended without its closing event",
                 "Resume it from the next token on.",
@@ -145,7 +147,7 @@
         request_id: ids.RequestId,
         response: aiohttp.ClientResponse,
     ) -> None:
-        """Check status and echoed id before any byte of the body counts."""
+        """Check status and echoed id before the body is used."""
         if response.status != 200:
             text = (await response.text())[:200]
             raise engine.RefusedCallError(
@@ -228,7 +230,7 @@
         content: bytes | None = None,
     ) -> bytes:
         """Make a short call that is safe to repeat."""
-        session = self.readings if method == "GET" else self.session
+        session = self.polling if method == "GET" else self.session
         try:
             async with asyncio.timeout(CONTROL_TIMEOUT):
                 async with session.request(
@@ -248,19 +250,19 @@
             ) from error
 
 
-async def tell_dispatched(
+async def notify_dispatched(
     session: aiohttp.ClientSession,
     context: types.SimpleNamespace,
     params: aiohttp.TraceConnectionCreateEndParams,
 ) -> None:
-    """Tell that the request's first byte is about to be written."""
+    """Call the request's `dispatched`: its first byte is about to be written."""
     dispatched: Callable[[], None] | None = context.trace_request_ctx
     if dispatched is not None:
         dispatched()
 
 
 def request_headers(request_id: ids.RequestId) -> dict[str, str]:
-    """Return the headers that go with every call about a request."""
+    """Return the headers of every call about a request."""
     headers = {REQUEST_ID_HEADER: request_id, "Content-Type": "application/json"}
     telemetry.inject(headers)
     return headers
@@ -269,7 +271,7 @@
 def wrong_answer(
     server: engine.Server, request_id: ids.RequestId
 ) -> engine.WrongAnswerError:
-    """Return the error for an answer that names another request."""
+    """Return the error for a response that contains another request's id."""
     return engine.WrongAnswerError(
         f"{server.name} answered {request_id} with another request's answer",
         "Nothing of it was passed on; report it to the engine's maker.",
--- a/src/tealcove/commands/apply.py
+++ b/src/tealcove/commands/apply.py
@@ -1,4 +1,4 @@
-"""`tealcove apply`: make resources as files declare them."""
+"""`tealcove apply`: create and change resources as declared in files."""
 
 from __future__ import annotations
 
@@ -14,24 +14,26 @@
 
 
 class Step(msgspec.Struct, frozen=True):
-    """What is to be written; `now` is None for a new resource."""
+    """A resource and its declaration; `current` is None for a new resource."""
 
     declared: resourcefiles.Declared
-    now: client.Held | None
+    current: client.ResourceView | None
 
     @property
     def title(self) -> str:
-        """Name the resource."""
+        """Return the kind and name of the resource."""
         return f"{self.declared.kind.value}/{self.declared.name}"
 
     @property
     def changed(self) -> bool:
-        """Tell whether anything is to be written."""
-        return self.now is None or self.declared.spec != self.now.resource().spec
+        """Return whether the resource must be written."""
+        return (
+            self.current is None or self.declared.spec != self.current.resource().spec
+        )
 
     def diff(self) -> str:
-        """Show what changes, defaults included."""
-        before = None if self.now is None else self.now.resource().spec
+        """Return a diff of the specs, including defaults."""
+        before = None if self.current is None else self.current.resource().spec
         return output.diff(self.title, before, self.declared.spec)
 
 
@@ -69,11 +71,11 @@
     ]
 
     async def __call__(self) -> None:
-        """Read all, check all, then write one after the other."""
-        declared = plan.in_order(resourcefiles.read(self.paths))
+        """Read and check all resources, then write them one after the other."""
+        declared = plan.by_dependency(resourcefiles.read(self.paths))
         async with self.connect() as link:
             await link.entry_points()
-            steps = await compare(link, declared)
+            steps = await find_changes(link, declared)
             if self.dry_run:
                 print(f"{len(steps)} of {len(declared)} would change.")
                 return
@@ -88,15 +90,17 @@
                     await wait.until_in_force(link, revision, self.timeout)
 
 
-async def compare(
+async def find_changes(
     link: client.Client, declared: list[resourcefiles.Declared]
 ) -> list[Step]:
-    """Return what is to be written, after showing it and checking it as a whole."""
-    held: dict[tuple[kinds.Kind, str], client.Held] = {}
+    """Check all declarations together, print the changes and return them."""
+    held: dict[tuple[kinds.Kind, str], client.ResourceView] = {}
     for kind in kinds.Kind:
         for one in await link.list(kind):
             held[kind, one.metadata.name] = one
-    plan.check(plan.built(one.resource() for one in held.values()), declared)
+    plan.check(
+        plan.build_configuration(one.resource() for one in held.values()), declared
+    )
     steps = [Step(one, held.get((one.kind, one.name))) for one in declared]
     changing = [step for step in steps if step.changed]
     for step in changing:
@@ -105,6 +109,6 @@
 
 
 async def write(link: client.Client, step: Step) -> int:
-    """Write a resource if it's still as it was read; returns its new revision."""
-    based_on = None if step.now is None else step.now.metadata.revision
+    """Write a resource if it's unchanged since it was read; return its revision."""
+    based_on = None if step.current is None else step.current.metadata.revision
     return (await link.put(step.declared, based_on)).metadata.revision
--- a/src/tealcove/completion.py
+++ b/src/tealcove/completion.py
@@ -1,4 +1,4 @@
-"""Sending one completion request, as a caller does."""
+"""Client side of a single completion request."""
 
 from __future__ import annotations
 
@@ -28,16 +28,16 @@
     stream: bool = False
 
 
-class Terms(msgspec.Struct, frozen=True, kw_only=True):
-    """What the caller asks besides; None and "" leave a header out."""
+class Options(msgspec.Struct, frozen=True, kw_only=True):
+    """Options sent as headers; a header is left out for None and ""."""
 
     idempotency_key: str = ""
-    # Seconds from now after which the answer is of no use.
+    # Seconds from now after which the answer is useless.
     deadline: float | None = None
     idempotent: bool = True
 
     def headers(self) -> dict[str, str]:
-        """Return the headers that say so."""
+        """Return the headers of the request."""
         found = {"Content-Type": "application/json"}
         if self.idempotency_key:
             found["Idempotency-Key"] = self.idempotency_key
@@ -49,68 +49,68 @@
 
 
 class Choice(msgspec.Struct, frozen=True):
-    """The one choice of an answer."""
+    """The only choice of an answer."""
 
     text: str = ""
 
 
 class Part(msgspec.Struct, frozen=True):
-    """A buffered answer, or one event of a streamed one."""
+    """A complete answer, or one event of a streamed one."""
 
     choices: tuple[Choice, ...] = ()
-    # Tokens in all; only the event that closes a stream has it.
+    # Total number of tokens; only in the last event of a stream.
     count: int | None = None
 
 
 async def send(
-    link: connection.Connection, completion: Completion, terms: Terms
+    link: connection.Connection, completion: Completion, options: Options
 ) -> typing.AsyncIterator[str]:
     """Send a request once and yield its text, in one piece unless it's streamed.
 
     Raises UnavailableError if it wasn't run, RefusedError with the outcome, or
-    LostReplyError when the answer broke off: its text isn't the whole answer.
+    LostReplyError if the answer broke off: the text yielded is incomplete.
     """
     body = msgspec.json.encode(completion)
-    opening = link.open("POST", PATH, None, data=body, headers=terms.headers())
-    response = await read(opening)
+    request = link.open("POST", PATH, None, data=body, headers=options.headers())
+    response = await read(request)
     async with response:
         if response.status >= connection.HTTP_FIRST_ERROR:
-            raise refusal(response.status, await read(response.read()))
+            raise error_from_response(response.status, await read(response.read()))
         if not completion.stream:
             body = await read(response.read())
             yield msgspec.json.decode(body, type=Part).choices[0].text
             return
-        whole = False
+        complete = False
         while line := await read(response.content.readline()):
             content = line.removeprefix(DATA).strip()
             if not content or content == DONE:
                 continue
             part = msgspec.json.decode(content, type=Part)
-            whole = whole or part.count is not None
+            complete = complete or part.count is not None
             yield part.choices[0].text
-        if not whole:
-            raise broken()
+        if not complete:
+            raise broken_answer_error()
 
 
 async def read(reading: typing.Awaitable[T]) -> T:
-    """Await the answer or a part of it; raises LostReplyError."""
+    """Await an answer or a part of it; raises LostReplyError."""
     try:
         return await reading
     except (aiohttp.ClientError, TimeoutError):
-        raise broken() from None
+        raise broken_answer_error() from None
 
 
-def broken() -> connection.LostReplyError:
-    """Return the error for an answer that isn't whole."""
+def broken_answer_error() -> connection.LostReplyError:
+    """Return the error for an incomplete answer."""
     return connection.LostReplyError(
         "The answer broke off",
         "Send the request again with the same Idempotency-Key.",
     )
 
 
-def refusal(status: int, body: bytes) -> connection.ClientError:
-    """Return the error for a request that has no result."""
-    found = connection.refusal(status, body)
+def error_from_response(status: int, body: bytes) -> connection.ClientError:
+    """Return the error for a request that was refused or failed."""
+    found = connection.error_from_response(status, body)
     if found.answer.outcome == NOT_RUN:
         return connection.UnavailableError(found.problem, "Send it again later.")
     return found
--- a/src/tealcove/demo.py
+++ b/src/tealcove/demo.py
@@ -1,4 +1,4 @@
-"""`tealcove demo` from start to verdict: everything in this one process."""
+"""The run of `tealcove demo`, with all components in this process."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 
 PROGRESS_INTERVAL = 1.0
 
-Tell = typing.Callable[[str], None]
+ProgressWriter = typing.Callable[[str], None]
 
 
 class DemoError(errors.TealcoveError):
-    """The run showed what must not happen."""
+    """The run revealed a fault of tealcove."""
 
 
 async def run(seed: int, seconds: float, as_json: bool) -> None:
-    """Play the demo and print its report; raises DemoError for a bad run.
+    """Run the demo and print its report; raises DemoError if it shows a fault.
 
     Requests arrive for `seconds`; the last ones end a few seconds later.
     """
@@ -33,47 +33,51 @@
         )
 
 
-async def play(seed: int, seconds: float, tell: Tell) -> report.Report:
-    """Start all parts, send the mix of requests, and return what became of it."""
+async def play(seed: int, seconds: float, write: ProgressWriter) -> report.Report:
+    """Start all components, send the mix of requests and return the report."""
     running = parts.Parts(seed)
     handler = logs.JsonHandler(parts.instance_settings(running))
     with handler.applicationbound():
-        tell(f"Starting 1 instance, a platform, {len(mix.ENGINES)} engines, a service.")
+        write(
+            f"Starting 1 instance, a platform, {len(mix.ENGINES)} engines, a service."
+        )
         async with running:
             revision = await running.declare()
-            tell(f"The declared resources are in force at revision {revision}.")
-            sent = await send(running, mix.requests(seed, seconds), tell)
-            return judge(running, sent, seed, seconds)
+            write(f"The declared resources are in force at revision {revision}.")
+            sent = await send(running, mix.requests(seed, seconds), write)
+            return build_report(running, sent, seed, seconds)
 
 
 async def send(
-    running: parts.Parts, requests: list[mix.Request], tell: Tell
-) -> list[callers.Sent]:
-    """Send all requests and tell from time to time how far they are."""
+    running: parts.Parts, requests: list[mix.Request], write: ProgressWriter
+) -> list[callers.CallResult]:
+    """Send all requests and report progress periodically."""
     sending = callers.Callers(running.url, running.keys)
-    telling = asyncio.create_task(tell_progress(sending, len(requests), tell))
+    reporting = asyncio.create_task(report_progress(sending, len(requests), write))
     try:
         return await sending.send_all(requests)
     finally:
-        telling.cancel()
+        reporting.cancel()
         with contextlib.suppress(asyncio.CancelledError):
-            await telling
+            await reporting
 
 
-async def tell_progress(sending: callers.Callers, total: int, tell: Tell) -> None:
-    """Tell how many requests are sent and ended, until cancelled."""
+async def report_progress(
+    sending: callers.Callers, total: int, write: ProgressWriter
+) -> None:
+    """Report how many requests were sent and ended, until cancelled."""
     start = clock.now()
     while True:
         await asyncio.sleep(PROGRESS_INTERVAL)
         seconds = clock.now() - start
-        ended = len(sending.ended)
-        tell(f"{seconds:4.0f} s: {sending.sent} of {total} sent, {ended} answered")
+        ended = len(sending.results)
+        write(f"{seconds:4.0f} s: {sending.sent} of {total} sent, {ended} answered")
 
 
-def judge(
-    running: parts.Parts, sent: list[callers.Sent], seed: int, seconds: float
+def build_report(
+    running: parts.Parts, sent: list[callers.CallResult], seed: int, seconds: float
 ) -> report.Report:
-    """Compare what the callers saw with what the stand-ins counted."""
+    """Return a report that compares the callers' results with the stand-ins' counts."""
     counts = [standin.counts for standin in running.engines]
     engines = tuple(map(report.engine_row, mix.ENGINES, counts))
     return report.Report(
--- a/src/tealcove/demonstration/tests/test_callers.py
+++ b/src/tealcove/demonstration/tests/test_callers.py
@@ -1,4 +1,4 @@
-"""What the demo's callers make of good and bad answers."""
+"""The demo's callers classify good and bad answers."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 PROMPT = builders.request().content
 TEXT = answers.expected_answer(PROMPT, 4)
 CHAT_TEXT = answers.expected_answer(f"user: {PROMPT}\n", 4)
-CHAT = {"way": mix.Way.CHAT, "stream": False}
+CHAT = {"kind": mix.RequestKind.CHAT, "stream": False}
 WHOLE = [builders.event(TEXT[:4]), builders.event(TEXT[4:]), builders.event("", 4)]
 
 
 async def end_of(handler, **fields):
-    """Send one request to a server with this handler; return its answer."""
+    """Send one request to a server with this handler and return the answer."""
     app = web.Application()
     app.router.add_route("*", "/{path:.*}", handler)
     runner = web.AppRunner(app, access_log=None, shutdown_timeout=0)
--- a/src/tealcove/entry/gate.py
+++ b/src/tealcove/entry/admission_control.py
@@ -1,4 +1,4 @@
-"""What an accepted request passes before it may ask for a slot."""
+"""Checks of an accepted request before it may ask for a slot."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 )
 
 
-class Gate:
+class AdmissionControl:
     """Refuses quarantined content and accounts that are over their limit."""
 
     def __init__(
@@ -23,8 +23,8 @@
         self.quarantine = quarantine
         self.limits = limits
 
-    async def enter(
-        self, who: caller.Caller, digest: str, tokens: int, request: ids.RequestId
+    async def admit(
+        self, sender: caller.Caller, digest: str, tokens: int, request: ids.RequestId
     ) -> admission.Charge:
         """Return the charge of the predicted tokens; raises ProblemError (not run)."""
         if self.quarantine.is_quarantined(digest):
@@ -34,18 +34,18 @@
                 QUARANTINED,
             )
         try:
-            return await self.limits.admit(who.account, tokens, request)
+            return await self.limits.admit(sender.account, tokens, request)
         except admission.OverLimitError as error:
             raise problem.not_run(
                 messages.RefusalReason.ACCOUNT_LIMIT, error.retry_after, str(error)
             ) from error
 
     def remaining(self, digest: str) -> float:
-        """Return the seconds until a content's quarantine ends."""
+        """Return the seconds until the quarantine of a content ends."""
         return self.quarantine.remaining(digest, clock.now())
 
-    def lost(
+    def report_server_lost(
         self, ticket: messages.Ticket, server: ids.BackendServerId, alone: bool
     ) -> None:
-        """Learn that a server refuses connections while it should run a request."""
+        """Report that a server refuses connections while it should run a request."""
         self.quarantine.lost(ticket, server, alone, clock.now())
--- a/src/tealcove/entry/exchange.py
+++ b/src/tealcove/entry/exchange.py
@@ -1,4 +1,4 @@
-"""The life that all requests share, from acceptance to the one final answer."""
+"""The processing of a request, from acceptance to its one final answer."""
 
 from __future__ import annotations
 
@@ -12,27 +12,27 @@
 from tealcove.claims import claim
 from tealcove.dispatch import messages, pending, requester
 from tealcove.entry import (
+    admission_control,
     admitted,
     answer,
     claiming,
     failures,
-    gate,
-    hops,
     lifecycle,
     problem,
     reply,
+    spans,
 )
 from tealcove.limits import admission
 
 log = logbook.Logger("entry")
 
-# Servers that may refuse the connection before the request is given up.
+# Servers that are tried; a request whose connections all fail is given up.
 CONNECT_ATTEMPTS = 3
 RETRY_AFTER = 1.0
 
 
 class Exchange(abc.ABC):
-    """The task that carries one request; callers read its `answer`."""
+    """Runs one request in a task; callers read its `answer`."""
 
     answer: answer.Answer | reply.Reply
 
@@ -44,54 +44,54 @@
     ) -> None:
         self.request = request
         self.tickets = tickets
-        # None: the request is idempotent.
+        # None for an idempotent request.
         self.claim = claimed
         self.state = lifecycle.Lifecycle()
         # Callers that read the answer; the entry cancels the task when none is left.
         self.readers = 0
         self.task: asyncio.Task[None] | None = None
-        # Absent: everything may pass.
-        self.gate: gate.Gate | None = None
-        self.hops = hops.Hops()
+        # None admits every request.
+        self.admission_control: admission_control.AdmissionControl | None = None
+        self.spans = spans.RequestSpans()
         self.charge: admission.Charge | None = None
         self.excluded: tuple[ids.BackendServerId, ...] = ()
         self.dispatched_at = ids.Instant(0.0)
         self.first_token_at: ids.Instant | None = None
 
     @abc.abstractmethod
-    async def carry_out(
-        self, hold: pending.PendingTicket, server: engine.Server
+    async def execute(
+        self, pending_ticket: pending.PendingTicket, server: engine.Server
     ) -> None:
         """Dispatch the request once and fill `answer`.
 
-        Must call `note_dispatch` before the first byte is written. Raises
+        Must call `mark_dispatched` before the first byte is written. Raises
         NotDispatchedError only if it didn't, BackendError for any other failure.
         """
 
     @abc.abstractmethod
     def usage(self) -> engine.Usage:
-        """Return the work that was done."""
+        """Return the tokens that were processed."""
 
     @abc.abstractmethod
-    def whole_answer(self) -> claim.StoredAnswer | None:
-        """Return the answer of a completed request; None when it's too long."""
+    def complete_answer(self) -> claim.StoredAnswer | None:
+        """Return the answer of a completed request; None if it's too long to store."""
 
     def predicted_tokens(self) -> int:
-        """Return what an account's limit is charged with; calls cost nothing."""
+        """Return the tokens to charge the account with; calls to services cost none."""
         return 0
 
-    async def stop_leftover(self, server: engine.Server) -> None:
-        """Stop what the server may still be working on, if that can be done."""
+    async def cancel_leftover(self, server: engine.Server) -> None:
+        """Cancel the request on the server if it may still run and can be cancelled."""
         return
 
     async def run(self) -> None:
-        """Carry the request to its end; the answer always ends with it."""
+        """Run the request; `answer` has always ended afterwards."""
         try:
-            await self.enter()
-            await self.find_server()
+            await self.admit()
+            await self.run_with_slot()
             self.answer.end()
         except problem.ProblemError as error:
-            self.answer.end(await self.reconsider(error))
+            self.answer.end(await self.check_earlier_claim(error))
         except claiming.KeptAnswerError as error:
             self.answer.end(error)
         except asyncio.CancelledError:
@@ -101,32 +101,32 @@
             log.exception("request failed", extra={"request": self.request.request_id})
             self.answer.end(self.fail("internal_error"))
         finally:
-            self.settle()
+            self.settle_charge()
         if self.claim is not None:
-            await self.claim.settle(self.state.state, self.whole_answer)
+            await self.claim.record_end(self.state.state, self.complete_answer)
 
-    async def reconsider(self, refusal: problem.ProblemError) -> Exception:
-        """Return the answer to a request that ends with a problem."""
+    async def check_earlier_claim(self, refusal: problem.ProblemError) -> Exception:
+        """Return the error for a request that ends with a problem."""
         if self.claim is None or refusal.problem.outcome is not problem.Outcome.NOT_RUN:
             return refusal
-        return await self.claim.reconsider(refusal)
+        return await self.claim.check_earlier_claim(refusal)
 
-    async def enter(self) -> None:
-        """Pass the gate; raises ProblemError."""
-        if self.gate is None:
+    async def admit(self) -> None:
+        """Check for quarantine and charge the account; raises ProblemError."""
+        if self.admission_control is None:
             return
         request = self.request
         tokens = self.predicted_tokens()
         try:
-            self.charge = await self.gate.enter(
+            self.charge = await self.admission_control.admit(
                 request.caller, request.digest, tokens, request.request_id
             )
         except problem.ProblemError:
             self.state.give_up()
             raise
 
-    def settle(self) -> None:
-        """Charge the account with what was used in place of the prediction."""
+    def settle_charge(self) -> None:
+        """Replace the predicted charge by the tokens that were used."""
         if self.charge is None:
             return
         used = 0
@@ -135,21 +135,25 @@
             used = usage.prompt_tokens + usage.completion_tokens
         self.charge.settle(used)
 
-    def note_lost(self, hold: pending.PendingTicket, server: engine.Server) -> None:
-        """Have the request suspected: its server refuses connections."""
-        if self.gate is not None:
-            self.gate.lost(hold.ticket, server.name, hold.alone)
+    def report_server_lost(
+        self, pending_ticket: pending.PendingTicket, server: engine.Server
+    ) -> None:
+        """Report that the server refuses connections, so the request is suspect."""
+        if self.admission_control is not None:
+            self.admission_control.report_server_lost(
+                pending_ticket.ticket, server.name, pending_ticket.alone
+            )
 
-    async def find_server(self) -> None:
-        """Ask for a slot until a server could be connected to."""
+    async def run_with_slot(self) -> None:
+        """Obtain a slot and run the request; retry if the connection fails."""
         for _ in range(CONNECT_ATTEMPTS):
             self.state.wait()
-            hold = self.new_hold()
-            granted = await self.obtain(hold)
+            pending_ticket = self.new_pending_ticket()
+            granted = await self.obtain(pending_ticket)
             server = engine.Server(granted.server, granted.host, granted.port)
-            await self.make_ready(hold, server)
+            await self.prepare_dispatch(pending_ticket, server)
             try:
-                await self.use(hold, server)
+                await self.run_granted(pending_ticket, server)
                 return
             except engine.NotDispatchedError as error:
                 log.info("{}", error, extra={"request": self.request.request_id})
@@ -161,19 +165,19 @@
             "No backend server of the pool could be connected to.",
         )
 
-    def new_hold(self) -> pending.PendingTicket:
-        """Return a ticket for this request."""
+    def new_pending_ticket(self) -> pending.PendingTicket:
+        """Return a new pending ticket for this request."""
         own = self.tickets.members.own.instance
         ticket = admitted.new_ticket(self.request, own, self.excluded)
         return pending.PendingTicket(ticket, self.request.deadline, self.request.near)
 
-    async def obtain(self, hold: pending.PendingTicket) -> messages.Grant:
+    async def obtain(self, pending_ticket: pending.PendingTicket) -> messages.Grant:
         """Return the grant of a slot; raises ProblemError for a refusal."""
         try:
-            with self.hops.ticket(hold):
-                found = await self.tickets.obtain(hold)
+            with self.spans.ticket(pending_ticket):
+                found = await self.tickets.obtain(pending_ticket)
         except asyncio.CancelledError:
-            self.tickets.abandon(hold)
+            self.tickets.abandon(pending_ticket)
             raise
         if isinstance(found, messages.Refusal):
             self.state.give_up()
@@ -183,35 +187,37 @@
     def retry_after(self, refusal: messages.Refusal) -> float:
         """Return the seconds after which a refused request may be sent again."""
         is_quarantined = refusal.reason is messages.RefusalReason.QUARANTINED
-        if is_quarantined and self.gate is not None:
-            return self.gate.remaining(self.request.digest)
+        if is_quarantined and self.admission_control is not None:
+            return self.admission_control.remaining(self.request.digest)
         return refusal.retry_after
 
-    async def make_ready(
-        self, hold: pending.PendingTicket, server: engine.Server
+    async def prepare_dispatch(
+        self, pending_ticket: pending.PendingTicket, server: engine.Server
     ) -> None:
-        """Take the claim if one is needed, or give the grant back.
+        """Acquire the claim if one is needed; return the grant on failure.
 
-        An entry that was frozen may find here that its deadline has passed.
+        After a pause of this process the deadline may have passed already.
         """
         try:
             if self.claim is not None:
-                with self.hops.claim():
-                    await self.claim.take(server.name, self.request.deadline)
+                with self.spans.claim():
+                    await self.claim.acquire(server.name, self.request.deadline)
                 self.state.claim()
             if clock.now() >= self.request.deadline:
                 raise problem.not_run(messages.RefusalReason.DEADLINE, RETRY_AFTER)
         except BaseException:
-            self.tickets.abandon(hold)
+            self.tickets.abandon(pending_ticket)
             self.state.give_up()
             raise
 
-    async def use(self, hold: pending.PendingTicket, server: engine.Server) -> None:
+    async def run_granted(
+        self, pending_ticket: pending.PendingTicket, server: engine.Server
+    ) -> None:
         """Run the request on a granted server, and report how it ended."""
         outcome = messages.Outcome.FAILED
         try:
-            with self.hops.server(server):
-                await self.carry_out_unless_preempted(hold, server)
+            with self.spans.server(server):
+                await self.execute_unless_preempted(pending_ticket, server)
             self.state.complete()
             outcome = messages.Outcome.COMPLETED
         except engine.NotDispatchedError:
@@ -229,45 +235,51 @@
         except errors.BackendError as error:
             raise self.fail("backend_server_failed", detail=error.problem) from error
         finally:
-            self.tickets.finish(hold, self.describe_end(hold, server, outcome))
+            self.tickets.finish(
+                pending_ticket, self.done_message(pending_ticket, server, outcome)
+            )
             if outcome not in (messages.Outcome.COMPLETED, messages.Outcome.NOT_SENT):
-                await self.stop_leftover(server)
+                await self.cancel_leftover(server)
 
-    async def carry_out_unless_preempted(
-        self, hold: pending.PendingTicket, server: engine.Server
+    async def execute_unless_preempted(
+        self, pending_ticket: pending.PendingTicket, server: engine.Server
     ) -> None:
-        """Run the request, or stop it when its slot is needed more elsewhere."""
-        running = asyncio.create_task(self.carry_out(hold, server))
+        """Run the request, and stop it if it's preempted."""
+        running = asyncio.create_task(self.execute(pending_ticket, server))
         try:
             await asyncio.wait(
-                (running, hold.preempted), return_when=asyncio.FIRST_COMPLETED
+                (running, pending_ticket.preempted), return_when=asyncio.FIRST_COMPLETED
             )
             if not running.done():
-                raise failures.PreemptedError(hold.preempted.result().retry_after)
+                raise failures.PreemptedError(
+                    pending_ticket.preempted.result().retry_after
+                )
             running.result()
         finally:
             if not running.done():
                 running.cancel()
                 await asyncio.gather(running, return_exceptions=True)
             elif not running.cancelled():
-                # It failed just as this was cancelled; asyncio would log an error
-                # that nobody has looked at.
+                # It failed while this was being cancelled; asyncio would log an
+                # exception that was never retrieved.
                 running.exception()
 
-    def note_dispatch(self, hold: pending.PendingTicket, server: engine.Server) -> None:
-        """Take the step that can't be taken back, before the first byte goes out."""
+    def mark_dispatched(
+        self, pending_ticket: pending.PendingTicket, server: engine.Server
+    ) -> None:
+        """Mark the request irrevocably as dispatched, before its first byte is sent."""
         if self.request.idempotent:
             self.state.dispatch()
         else:
             self.state.dispatch_claimed()
         self.dispatched_at = clock.now()
-        self.hops.event(hops.DISPATCHED)
-        self.tickets.mark_running(hold, server.name)
+        self.spans.add_event(spans.DISPATCHED)
+        self.tickets.mark_running(pending_ticket, server.name)
 
     def fail(
         self, reason: str, retry_after: float | None = None, detail: str = ""
     ) -> problem.ProblemError:
-        """Take the step to a bad end and return the answer that tells of it."""
+        """Move to the state of a failed request and return the caller's error."""
         if self.state.state in lifecycle.UNSENT:
             self.state.give_up()
         if self.state.state is lifecycle.State.NOT_RUN:
@@ -282,19 +294,19 @@
             self.state.lose()
         return problem.unknown(reason, detail)
 
-    def describe_end(
+    def done_message(
         self,
-        hold: pending.PendingTicket,
+        pending_ticket: pending.PendingTicket,
         server: engine.Server,
         outcome: messages.Outcome,
     ) -> messages.Done:
-        """Return the message that frees the slot and teaches the server's speed."""
+        """Return the message that frees the slot and reports the server's speed."""
         usage = self.usage()
         now = clock.now()
         first = self.first_token_at or now
         return messages.Done(
-            ticket_id=hold.ticket.ticket_id,
-            cell=hold.ticket.cell,
+            ticket_id=pending_ticket.ticket.ticket_id,
+            cell=pending_ticket.ticket.cell,
             server=server.name,
             outcome=outcome,
             prompt_tokens=usage.prompt_tokens,
--- a/src/tealcove/entry/http.py
+++ b/src/tealcove/entry/http.py
@@ -1,4 +1,4 @@
-"""The HTTP handlers that callers reach."""
+"""The HTTP handlers for callers."""
 
 from __future__ import annotations
 
@@ -14,6 +14,7 @@
 from tealcove.dispatch import messages, requester
 from tealcove.entry import (
     acceptance,
+    admission_control,
     admitted,
     call,
     caller,
@@ -21,14 +22,13 @@
     exchange,
     fields,
     forward,
-    gate,
     generation,
-    hops,
     lifecycle,
     observer,
     points,
     problem,
     sending,
+    spans,
     witnessing,
 )
 from tealcove.membership import members
@@ -37,8 +37,10 @@
 from tealcove.witness import messages as witness_messages
 from tealcove.witness import role as witness_role
 
-# Serves a request whose caller and body are known, and whose hops are observed.
-Serve = Callable[[acceptance.Received, observer.Seen], Awaitable[web.StreamResponse]]
+# Serves a request whose caller is authenticated and whose body has been read.
+Handler = Callable[
+    [acceptance.Received, observer.ObservedRequest], Awaitable[web.StreamResponse]
+]
 
 
 class Entry:
@@ -53,7 +55,7 @@
         services: service.ServiceClient,
         tickets: requester.Requester,
         claims: claimer.Claimer,
-        admission: gate.Gate | None = None,
+        admission: admission_control.AdmissionControl | None = None,
         source: telemetry.Source | None = None,
         witness: witness_role.Witness | None = None,
     ) -> None:
@@ -65,16 +67,16 @@
         self.services = services
         self.tickets = tickets
         self.claims = claims
-        self.gate = admission
+        self.admission_control = admission
         self.observer = observer.Observer(source)
-        self.hops = hops.Hops(source)
-        # Requests in progress by client account and idempotency key: the same
-        # key joins the request that lives in place of starting another.
-        self.live: dict[tuple[str, str], exchange.Exchange] = {}
+        self.spans = spans.RequestSpans(source)
+        # Requests in progress by client account and idempotency key. A request with
+        # the same key joins the one in progress instead of starting another.
+        self.joinable: dict[tuple[str, str], exchange.Exchange] = {}
         self.in_progress: set[asyncio.Task[None]] = set()
 
     def routes(self) -> list[web.RouteDef]:
-        """Return the handlers to mount; the last takes what no other one does."""
+        """Return the handlers to mount; the last is for all other paths."""
         return [
             web.post("/v1/completions", self.completions),
             web.post("/v1/chat/completions", self.chat),
@@ -83,15 +85,15 @@
         ]
 
     async def entry_points(self, request: web.Request) -> web.Response:
-        """Tell which addresses to use.
+        """Return the addresses of the serving instances.
 
-        An instance that knows of none yet says so at once. Callers would keep an
-        empty answer for its time to live, and send nothing in the meantime.
+        An instance that knows of none yet answers with a problem. Callers would
+        cache an empty list for its time to live, and send nothing meanwhile.
         """
-        found = points.find(self.members, self.settings, clock.now())
+        found = points.list_entry_points(self.members, self.settings, clock.now())
         if not found.entry_points:
             reason = messages.RefusalReason.NOT_READY
-            error = problem.not_run(reason, 1.0, self.elsewhere())
+            error = problem.not_run(reason, 1.0, self.alternatives())
             return problem.respond(error.problem)
         return web.Response(
             body=msgspec.json.encode(found),
@@ -113,7 +115,7 @@
         """Answer one request for an engine."""
 
         async def serve(
-            received: acceptance.Received, seen: observer.Seen
+            received: acceptance.Received, observed: observer.ObservedRequest
         ) -> web.StreamResponse:
             engine_call = parse(received.body)
             accepted = acceptance.accept_generation(
@@ -122,7 +124,7 @@
                 self.configuration.current,
                 self.tickets.spread,
             )
-            running = self.join(accepted) or self.start(
+            running = self.find_joinable(accepted) or self.start(
                 generation.EngineExchange(
                     accepted,
                     self.tickets,
@@ -132,7 +134,7 @@
                     self.new_witness(accepted),
                 )
             )
-            with Reading(seen.join(running)):
+            with ReaderCount(observed.attach(running)):
                 return await sending.send_generation(request, running)
 
         return await self.answer(request, serve)
@@ -141,12 +143,12 @@
         """Answer one call to a plain service, of any method and path."""
 
         async def serve(
-            received: acceptance.Received, seen: observer.Seen
+            received: acceptance.Received, observed: observer.ObservedRequest
         ) -> web.StreamResponse:
             accepted = acceptance.accept_call(
                 received, self.configuration.current, self.tickets.spread
             )
-            running = self.join(accepted) or self.start(
+            running = self.find_joinable(accepted) or self.start(
                 forward.ServiceExchange(
                     accepted,
                     self.tickets,
@@ -155,22 +157,22 @@
                     self.services,
                 )
             )
-            with Reading(seen.join(running)):
+            with ReaderCount(observed.attach(running)):
                 return await sending.send_reply(request, running)
 
         return await self.answer(request, serve)
 
-    async def answer(self, request: web.Request, serve: Serve) -> web.StreamResponse:
-        """Answer one request; problems and kept answers become its final answer."""
+    async def answer(self, request: web.Request, serve: Handler) -> web.StreamResponse:
+        """Answer one request; a problem or a stored answer becomes its final answer."""
         request_id = ids.new_request_id()
-        with self.observer.request(request, request_id) as seen:
+        with self.observer.observe(request, request_id) as observed:
             try:
                 received = await self.receive(request, request_id)
-                return await serve(received, seen)
+                return await serve(received, observed)
             except problem.ProblemError as error:
-                return seen.refuse(error.problem)
+                return observed.respond_problem(error.problem)
             except claiming.KeptAnswerError as error:
-                return sending.send_whole(error.answer)
+                return sending.build_response(error.answer)
 
     async def receive(
         self, request: web.Request, request_id: ids.RequestId
@@ -178,15 +180,15 @@
         """Return the request with its caller and body; raises ProblemError."""
         self.check_accepting()
         header = request.headers.get("Authorization")
-        who = caller.identify(header, self.configuration.current)
+        sender = caller.authenticate(header, self.configuration.current)
         body = await self.read_body(request)
-        return acceptance.Received(request_id, who, request, body)
+        return acceptance.Received(request_id, sender, request, body)
 
     async def read_body(self, request: web.Request) -> bytes:
         """Return the whole body; raises ProblemError.
 
-        A caller that sends it in trickles would otherwise keep its connection and
-        what has come so far for as long as it likes.
+        Without the time limit, a caller that sends it slowly could hold its
+        connection and the memory of the received part indefinitely.
         """
         limits = self.settings.limits
         try:
@@ -214,33 +216,37 @@
         lifecycle = self.members.own.lifecycle
         if lifecycle is membership_messages.Lifecycle.JOINING:
             raise problem.not_run(
-                messages.RefusalReason.NOT_READY, 1.0, self.elsewhere()
+                messages.RefusalReason.NOT_READY, 1.0, self.alternatives()
             )
         if lifecycle is membership_messages.Lifecycle.GONE:
-            raise problem.not_run(messages.RefusalReason.LEAVING, 0.0, self.elsewhere())
+            raise problem.not_run(
+                messages.RefusalReason.LEAVING, 0.0, self.alternatives()
+            )
 
-    def elsewhere(self) -> str:
-        """Return which addresses a caller may try in place of this one."""
-        found = points.find(self.members, self.settings, clock.now()).entry_points
+    def alternatives(self) -> str:
+        """Return a sentence with the addresses that a caller may try instead."""
+        found = points.list_entry_points(
+            self.members, self.settings, clock.now()
+        ).entry_points
         if not found:
             return "This instance reaches no other; use another address you know."
         return "Use " + " or ".join(point.url for point in found) + "."
 
-    def join(self, accepted: admitted.Request) -> exchange.Exchange | None:
-        """Return the request that lives under the same key, if there is one.
+    def find_joinable(self, accepted: admitted.Request) -> exchange.Exchange | None:
+        """Return the request in progress with the same key, if there is one.
 
-        Raises ProblemError when it's another request under the same key: its
-        answer is not this caller's.
+        Raises ProblemError if it's a different request: its answer isn't for this
+        caller.
         """
-        running = self.live.get(slot_of(accepted))
+        running = self.joinable.get(join_key(accepted))
         if running is None or running.state.state is lifecycle.State.NOT_RUN:
             return None
         if running.request.fingerprint != accepted.fingerprint:
-            raise problem.other_request()
+            raise problem.key_reused()
         return running
 
     def new_claim(self, accepted: admitted.Request) -> claiming.RequestClaim | None:
-        """Return the claim that a non-idempotent request will need."""
+        """Return the claim of a non-idempotent request; None for an idempotent one."""
         if accepted.idempotent:
             return None
         return claiming.RequestClaim(
@@ -254,37 +260,37 @@
     def new_witness(
         self, accepted: admitted.Request
     ) -> witnessing.RequestWitness | None:
-        """Return what keeps a record of an idempotent request that has a key."""
+        """Return the witness of an idempotent request with a key, else None."""
         if self.witness is None or accepted.key is None or not accepted.idempotent:
             return None
         return witnessing.RequestWitness(
             self.witness,
-            witness_messages.Place(accepted.caller.account, accepted.key),
+            witness_messages.RequestKey(accepted.caller.account, accepted.key),
             accepted.fingerprint,
             accepted.deadline,
         )
 
     def start(self, running: exchange.Exchange) -> exchange.Exchange:
-        """Begin a request."""
-        slot = slot_of(running.request)
-        self.live[slot] = running
-        running.gate = self.gate
-        running.hops = self.hops
+        """Start the task of a request."""
+        key = join_key(running.request)
+        self.joinable[key] = running
+        running.admission_control = self.admission_control
+        running.spans = self.spans
         task = asyncio.create_task(running.run())
         running.task = task
         self.in_progress.add(task)
 
         def finished(ended: asyncio.Task[None]) -> None:
             self.in_progress.discard(ended)
-            if self.live.get(slot) is running:
-                del self.live[slot]
+            if self.joinable.get(key) is running:
+                del self.joinable[key]
 
         task.add_done_callback(finished)
         return running
 
 
-class Reading:
-    """Counts a caller of a request while it waits for the answer."""
+class ReaderCount:
+    """Counts a caller as a reader of a request while it waits for the answer."""
 
     def __init__(self, running: exchange.Exchange) -> None:
         self.running = running
@@ -296,22 +302,22 @@
         running = self.running
         running.readers -= 1
         if running.readers == 0 and running.request.idempotent:
-            # Nobody waits for the result: let the server have its slot back.
+            # No caller waits for the result: free the slot of the server.
             running.task.cancel()
 
 
-def slot_of(accepted: admitted.Request) -> tuple[str, str]:
-    """Return under what a request can be joined."""
+def join_key(accepted: admitted.Request) -> tuple[str, str]:
+    """Return the key under which a request can be joined."""
     return (accepted.caller.account, accepted.key or accepted.request_id)
 
 
 def service_call(received: acceptance.Received) -> service.Call:
-    """Return the call as it goes on to the service."""
+    """Return the call that is forwarded to the service."""
     http = received.http
     return service.Call(
         request_id=received.request_id,
         method=http.method,
-        target=acceptance.target(http),
+        target=acceptance.raw_target(http),
         headers=fields.forwarded_headers(http.headers),
         body=received.body,
     )
--- a/src/tealcove/entry/observer.py
+++ b/src/tealcove/entry/observer.py
@@ -1,4 +1,4 @@
-"""What the entry tells of its requests: a span for each, and few metrics."""
+"""Telemetry of an entry's requests: a span for each, and metrics."""
 
 from __future__ import annotations
 
@@ -17,41 +17,41 @@
 REQUEST_SPAN = "request"
 
 
-class Seen:
-    """One caller's request, from its arrival to the end of its answer."""
+class ObservedRequest:
+    """The observed data of one caller's request, until its answer has ended."""
 
     def __init__(
         self, http: web.Request, request_id: ids.RequestId, now: ids.Instant
     ) -> None:
         self.http = http
         self.request_id = request_id
-        self.began = now
+        self.started_at = now
         self.running: exchange.Exchange | None = None
         self.problem: problem.Problem | None = None
 
-    def join(self, running: exchange.Exchange) -> exchange.Exchange:
-        """Note which running request the caller waits for; returns it."""
+    def attach(self, running: exchange.Exchange) -> exchange.Exchange:
+        """Record which request in progress the caller waits for; returns it."""
         self.running = running
         return running
 
-    def refuse(self, found: problem.Problem) -> web.Response:
-        """Return the response of a problem, and note it."""
+    def respond_problem(self, found: problem.Problem) -> web.Response:
+        """Record a problem and return its response."""
         self.problem = found
         response = problem.respond(found, self.request_id)
         if not self.http.content.is_eof():
-            # Nothing can follow a body that didn't come to its end.
+            # The connection can't be reused after an incomplete request body.
             response.force_close()
         return response
 
     def tier(self) -> str:
-        """Return the tier; "" for callers that aren't known."""
+        """Return the service tier; "" if the request wasn't accepted."""
         return "" if self.running is None else self.running.request.caller.tier
 
-    def end(self) -> tuple[str, str]:
-        """Return outcome and reason of the answer that was sent."""
+    def outcome_and_reason(self) -> tuple[str, str]:
+        """Return the outcome and the reason of the answer that was sent."""
         found = self.problem
         if found is None and self.running is not None:
-            # A streamed answer that broke off has its problem here.
+            # An interrupted streamed answer has its problem here.
             failure = self.running.answer.failure
             if isinstance(failure, problem.ProblemError):
                 found = failure.problem
@@ -61,10 +61,10 @@
 
 
 class Observer:
-    """The spans and metrics of an entry.
+    """Creates the spans and metrics of an entry.
 
-    Client accounts are in spans only: as labels they would make as many series
-    as there are accounts, on each instance.
+    Client accounts are in spans only: as metric labels they would create one series
+    per account on each instance.
     """
 
     def __init__(self, source: telemetry.Source | None = None) -> None:
@@ -72,36 +72,40 @@
         self.requests = self.source.meter.create_counter(
             "tealcove.requests", description="Requests answered, by how they ended."
         )
-        self.first_tokens = self.source.seconds(
+        self.first_tokens = self.source.histogram(
             "tealcove.request.time_to_first_token",
             "From a request's arrival to its first token.",
         )
-        self.durations = self.source.seconds(
+        self.durations = self.source.histogram(
             "tealcove.request.duration",
             "From a completed request's arrival to the end of its answer.",
         )
 
     @contextlib.contextmanager
-    def request(self, http: web.Request, request_id: ids.RequestId) -> Iterator[Seen]:
-        """Watch one caller's request, inside its span."""
-        seen = Seen(http, request_id, clock.now())
-        with self.trace(http, seen) as span:
+    def observe(
+        self, http: web.Request, request_id: ids.RequestId
+    ) -> Iterator[ObservedRequest]:
+        """Observe one caller's request inside its span."""
+        observed = ObservedRequest(http, request_id, clock.now())
+        with self.trace(http, observed) as span:
             outcome, reason = BROKEN, ""
             try:
-                yield seen
-                outcome, reason = seen.end()
+                yield observed
+                outcome, reason = observed.outcome_and_reason()
             except BaseException:
                 if http.transport is None or http.transport.is_closing():
                     outcome = problem.CALLER_GONE
                 raise
             finally:
-                self.count(seen, outcome, reason, clock.now())
+                self.count(observed, outcome, reason, clock.now())
                 if span is not None:
-                    describe(span, seen, outcome, reason)
+                    describe(span, observed, outcome, reason)
 
     @contextlib.contextmanager
-    def trace(self, http: web.Request, seen: Seen) -> Iterator[trace.Span | None]:
-        """Go on with the caller's trace, with a span of our own if it's recorded."""
+    def trace(
+        self, http: web.Request, observed: ObservedRequest
+    ) -> Iterator[trace.Span | None]:
+        """Continue the caller's trace, with a span of this entry if it's recorded."""
         if self.source.tracing:
             with self.source.span(
                 REQUEST_SPAN,
@@ -113,36 +117,42 @@
         if telemetry.TRACEPARENT not in http.headers:
             yield None
             return
-        # Passed on to the backend server as it came.
+        # Passed on to the backend server unchanged.
         token = opentelemetry.context.attach(telemetry.extract(http.headers))
         try:
             yield None
         finally:
             opentelemetry.context.detach(token)
 
-    def count(self, seen: Seen, outcome: str, reason: str, now: ids.Instant) -> None:
+    def count(
+        self, observed: ObservedRequest, outcome: str, reason: str, now: ids.Instant
+    ) -> None:
         """Add a request that has ended to the metrics."""
-        tier = seen.tier()
+        tier = observed.tier()
         self.requests.add(1, {"tier": tier, "outcome": outcome, "reason": reason})
-        if seen.running is None:
+        if observed.running is None:
             return
-        first = seen.running.first_token_at
+        first = observed.running.first_token_at
         if first is not None:
-            # A caller that joined a running request may come after the token.
-            self.first_tokens.record(max(0.0, first - seen.began), {"tier": tier})
+            # A caller that joins a request in progress may arrive after the token.
+            self.first_tokens.record(
+                max(0.0, first - observed.started_at), {"tier": tier}
+            )
         if outcome == COMPLETED:
-            self.durations.record(now - seen.began, {"tier": tier})
+            self.durations.record(now - observed.started_at, {"tier": tier})
 
 
-def describe(span: trace.Span, seen: Seen, outcome: str, reason: str) -> None:
-    """Put into a request's span what identifies it; no key and no content."""
-    span.set_attribute("tealcove.request_id", seen.request_id)
+def describe(
+    span: trace.Span, observed: ObservedRequest, outcome: str, reason: str
+) -> None:
+    """Set the attributes of a request's span; neither keys nor content."""
+    span.set_attribute("tealcove.request_id", observed.request_id)
     span.set_attribute("tealcove.outcome", outcome)
     if reason:
         span.set_attribute("tealcove.reason", reason)
-    if seen.running is None:
+    if observed.running is None:
         return
-    request = seen.running.request
+    request = observed.running.request
     span.set_attribute("tealcove.tier", request.caller.tier)
     span.set_attribute("tealcove.account", request.caller.account)
     span.set_attribute("tealcove.pool", request.cell.rpartition("/")[0])
--- a/src/tealcove/entry/sending.py
+++ b/src/tealcove/entry/sending.py
@@ -1,4 +1,4 @@
-"""How the answer of a request reaches one caller: whole, or visibly broken."""
+"""Sends the answer of a request to one caller: complete, or visibly broken."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
     if running.call.stream:
         return await stream_generation(request, running)
     await running.answer.wait()
-    return send_whole(running.whole_answer())
+    return build_response(running.complete_answer())
 
 
-def send_whole(answer: claim.StoredAnswer) -> web.Response:
-    """Return the response that carries a whole answer."""
+def build_response(answer: claim.StoredAnswer) -> web.Response:
+    """Return the response for a complete answer."""
     headers = multidict.CIMultiDict(answer.headers)
     return web.Response(status=answer.status, headers=headers, body=answer.body)
 
@@ -28,7 +28,7 @@
 async def stream_generation(
     request: web.Request, running: generation.EngineExchange
 ) -> web.StreamResponse:
-    """Send the answer as it grows; a broken one breaks the connection."""
+    """Stream the answer; abort the connection if it fails."""
     response = web.StreamResponse(
         headers={
             "Content-Type": generation.EVENT_STREAM,
@@ -36,13 +36,15 @@
             "X-Request-Id": running.request.request_id,
         }
     )
-    form = running.form()
+    renderer = running.renderer()
     try:
         async for chunks in running.answer.read():
             if not response.prepared:
                 await response.prepare(request)
-            # What is there already goes out in one piece.
-            await response.write(b"".join(form.event(one.text) for one in chunks))
+            # All chunks available so far are sent in one write.
+            await response.write(
+                b"".join(renderer.chunk_event(one.text) for one in chunks)
+            )
     except problem.ProblemError:
         if not response.prepared:
             raise
@@ -50,16 +52,16 @@
     if not response.prepared:
         await response.prepare(request)
     found = running.answer
-    closing = form.closing_event(found.finish, found.usage)
+    closing = renderer.closing_event(found.finish, found.usage)
     await response.write_eof(closing + openai.DONE_EVENT)
     return response
 
 
 def abort(request: web.Request, response: web.StreamResponse) -> web.StreamResponse:
-    """Break the connection of a response that can't be sent to its end.
+    """Abort the connection of a response that can't be completed.
 
-    The body stays without its end, so that no client library takes the fragment
-    for the whole answer.
+    The body isn't terminated, so that no client library takes the fragment for the
+    complete answer.
     """
     if request.transport is not None:
         request.transport.abort()
@@ -71,19 +73,19 @@
 ) -> web.StreamResponse:
     """Send a service's response; raises ProblemError before the first byte."""
     found = running.answer
-    reader = found.join()
+    reader = found.add_reader()
     try:
         if await found.wait():
-            return send_whole(running.whole_answer())
+            return build_response(running.complete_answer())
         return await stream_reply(request, running, reader)
     finally:
-        found.leave(reader)
+        found.remove_reader(reader)
 
 
 async def stream_reply(
     request: web.Request, running: forward.ServiceExchange, reader: reply.Reader
 ) -> web.StreamResponse:
-    """Send a long response as it comes; a broken one breaks the connection."""
+    """Stream a long response; abort the connection if it fails."""
     found = running.answer
     headers = fields.returned_headers(found.head, running.request.request_id)
     response = web.StreamResponse(
--- a/src/tealcove/entry/tests/builders.py
+++ b/src/tealcove/entry/tests/builders.py
@@ -1,4 +1,4 @@
-"""An entry whose tickets are granted at once, before a service in the test."""
+"""An entry whose tickets are granted at once, with a service in the test."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def heartbeat() -> membership_messages.Heartbeat:
-    """Return what a serving instance says of itself."""
+    """Return the heartbeat of a serving instance."""
     return membership_messages.Heartbeat(
         instance=ids.InstanceId("i"),
         incarnation=ids.Incarnation("1"),
@@ -40,7 +40,7 @@
 
 
 class InstantTickets(requester.Requester):
-    """Grants the one server to every ticket and notes how each ended."""
+    """Grants the only server to every ticket and records how each ended."""
 
     def __init__(self, known: members.Members, port: int) -> None:
         spreading = spread.Spread(copy.ConfigurationCopy(), lambda centre: 0.0)
@@ -48,24 +48,24 @@
         self.port = port
         self.ended: list[messages.Outcome] = []
 
-    async def obtain(self, hold: pending.PendingTicket) -> messages.Grant:
+    async def obtain(self, request: pending.PendingTicket) -> messages.Grant:
         return messages.Grant(
-            ticket_id=hold.ticket.ticket_id,
-            cell=hold.ticket.cell,
+            ticket_id=request.ticket.ticket_id,
+            cell=request.ticket.cell,
             server=ids.BackendServerId("s"),
             host="127.0.0.1",
             port=self.port,
         )
 
-    def finish(self, hold: pending.PendingTicket, done: messages.Done) -> None:
+    def finish(self, request: pending.PendingTicket, done: messages.Done) -> None:
         self.ended.append(done.outcome)
 
-    def abandon(self, hold: pending.PendingTicket) -> None:
+    def abandon(self, request: pending.PendingTicket) -> None:
         self.ended.append(messages.Outcome.NOT_SENT)
 
 
 def resource(kind: kinds.Kind, name: str, spec: kinds.Spec) -> kinds.Resource:
-    """Return a resource as a copy holds it."""
+    """Return a resource as a configuration copy holds it."""
     metadata = kinds.Metadata(
         name=name, revision=ids.Revision(1), generation=1, changed_by="ops"
     )
@@ -73,7 +73,7 @@
 
 
 def configuration() -> copy.ConfigurationCopy:
-    """Return one account, a pool of one service, and rules for two paths."""
+    """Return a configuration of one account, one service pool and one rule."""
     server = kinds.BackendServerSpec(
         name="s", host="127.0.0.1", port=1, data_centre="d"
     )
@@ -91,12 +91,12 @@
         ),
     ]
     held = copy.ConfigurationCopy()
-    held.move(plan.built(found))
+    held.activate(plan.build_configuration(found))
     return held
 
 
-class Running:
-    """An entry that listens, and a caller of it."""
+class RunningEntry:
+    """A listening entry and the session of its caller."""
 
     def __init__(self, session: aiohttp.ClientSession, entry: http.Entry) -> None:
         self.session = session
@@ -108,9 +108,9 @@
         headers = {"Authorization": f"Bearer {KEY}", **more.pop("headers", {})}
         return self.session.request(method, path, headers=headers, **more)
 
-    async def until_joined(self) -> None:
-        """Wait until two callers wait for the one request in progress."""
-        (running,) = self.entry.live.values()
+    async def wait_until_joined(self) -> None:
+        """Wait until two callers wait for the only request in progress."""
+        (running,) = self.entry.joinable.values()
         async with asyncio.timeout(GENEROUS_SECONDS):
             while running.readers < 2:  # noqa: ASYNC110
                 await asyncio.sleep(POLL)
@@ -131,8 +131,8 @@
 
 
 @contextlib.asynccontextmanager
-async def running(handler: Handler) -> AsyncIterator[Running]:
-    """Run an entry before a service that consists of one handler."""
+async def running(handler: Handler) -> AsyncIterator[RunningEntry]:
+    """Run an entry that forwards to a service with one handler."""
     services = http_service.HttpServiceClient()
     await services.start()
     known = members.Members(heartbeat(), 1.0, 10.0)
@@ -143,5 +143,5 @@
         async with listening(entry.routes()) as port:
             url = f"http://127.0.0.1:{port}"
             async with aiohttp.ClientSession(url, auto_decompress=False) as session:
-                yield Running(session, entry)
+                yield RunningEntry(session, entry)
     await services.stop()
--- a/src/tealcove/front/daemon.py
+++ b/src/tealcove/front/daemon.py
@@ -1,4 +1,4 @@
-"""The process of an instance: from its settings file to its end by a signal."""
+"""Run an instance from its settings file until a signal stops it."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 log = logbook.Logger("front")
 
-# Seconds between two looks at the settings file, which may change without a signal.
-LOOK_INTERVAL = 1.0
+# Seconds between checks of the settings file, which may change without a signal.
+POLL_INTERVAL = 1.0
 
 
 class Reloader:
-    """Brings a running instance to its settings file."""
+    """Applies changes of the settings file to a running instance."""
 
     def __init__(
         self, path: str, running: instance.Instance, handler: logs.JsonHandler
@@ -26,39 +26,41 @@
         self.path = path
         self.running = running
         self.handler = handler
-        self.wanted = asyncio.Event()
-        self.seen = stamp(path)
+        self.requested = asyncio.Event()
+        self.signature = file_signature(path)
 
     async def run(self) -> None:
-        """Reload at a signal or a change of the file, until cancelled."""
+        """Reload on a signal or when the file changes, until cancelled."""
         while True:
             try:
-                async with asyncio.timeout(LOOK_INTERVAL):
-                    await self.wanted.wait()
+                async with asyncio.timeout(POLL_INTERVAL):
+                    await self.requested.wait()
             except TimeoutError:
-                if stamp(self.path) == self.seen:
+                if file_signature(self.path) == self.signature:
                     continue
-            self.wanted.clear()
+            self.requested.clear()
             self.reload()
 
     def reload(self) -> None:
-        """Read the file and put in force what can change while running.
+        """Read the file and apply the settings that can change at run time.
 
-        A file that can't be used changes nothing: the instance serves on as it did.
+        An invalid file changes nothing: the instance keeps its current settings.
         """
-        self.seen = stamp(self.path)
+        self.signature = file_signature(self.path)
         try:
             found = settings.load(self.path)
         except errors.SettingsError as error:
-            log.error("the settings stay as they were: {}", error)
+            log.error(
+                "settings not reloaded, the current ones stay in force: {}", error
+            )
             return
         self.running.reload(found)
         self.handler.lowest = logs.LEVELS[found.log.level]
         self.handler.debug = frozenset(found.log.debug)
 
 
-def stamp(path: str) -> tuple[int, int] | None:
-    """Return what shows that a file has changed; None: it can't be looked at."""
+def file_signature(path: str) -> tuple[int, int] | None:
+    """Return a file's modification time and size; None if it can't be read."""
     try:
         found = os.stat(path)
     except OSError:
@@ -67,17 +69,17 @@
 
 
 async def serve(path: str) -> None:
-    """Run an instance until SIGTERM or SIGINT, then let it leave gracefully."""
+    """Run an instance until SIGTERM or SIGINT, then shut it down gracefully."""
     found = settings.load(path)
-    handler = logs.install_bounded(found, found.log.most_lines_per_second)
+    handler = logs.install_rate_limited(found, found.log.most_lines_per_second)
     stopping = asyncio.Event()
     loop = asyncio.get_running_loop()
     for name in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(name, stopping.set)
     running = await instance.start(found)
-    running.show_dropped_lines(lambda: handler.dropped)
+    running.register_dropped_lines(lambda: handler.dropped)
     reloader = Reloader(path, running, handler)
-    loop.add_signal_handler(signal.SIGHUP, reloader.wanted.set)
+    loop.add_signal_handler(signal.SIGHUP, reloader.requested.set)
     reloading = tasks.start(reloader.run(), "settings")
     await stopping.wait()
     await running.leave()
--- a/src/tealcove/front/tests/test_archive.py
+++ b/src/tealcove/front/tests/test_archive.py
@@ -1,4 +1,4 @@
-"""The archive of an instance's modules, in processes that start from it."""
+"""Tests of the module archive, in processes that load from it."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 import tealcove
 from tealcove.front import archive
 
-# Prints where the program's module came from and how many files were opened for it.
-START = """
+# Prints the loader of the program's module, the number of files opened, and its path.
+SCRIPT = """
 import sys
 opened = []
 sys.addaudithook(lambda event, _: opened.append(event) if event == "open" else None)
@@ -23,12 +23,12 @@
 print(type(daemon.__spec__.loader).__name__, len(opened), daemon.__file__)
 """
 # An instance has some 600 modules.
-FEW_FILES = 100
+MAX_FILES = 100
 
 
 @pytest.fixture
 def folder(tmp_path: pathlib.Path) -> pathlib.Path:
-    """Return a folder in which the product is installed, with its archive."""
+    """Return a folder with the package installed and its archive written."""
     source = pathlib.Path(tealcove.__file__).parent
     ignored = shutil.ignore_patterns("tests", "__pycache__")
     shutil.copytree(source, tmp_path / "tealcove", ignore=ignored)
@@ -50,29 +50,27 @@
 
 
 def start(folder: pathlib.Path) -> list[str]:
-    """Start an instance's program as far as its imports; see START."""
-    return run(folder, "-c", START).split()
+    """Import an instance's program and return what SCRIPT prints."""
+    return run(folder, "-c", SCRIPT).split()
 
 
 def test_an_instance_opens_few_files_at_its_start(folder: pathlib.Path) -> None:
-    """Callers wait longer for instances that start again.
+    """Guard against slow restarts.
 
-    Symptom: after all instances were killed at once, the first requests come late.
-    Sequence: each process starts, and imports its modules. Cause: each module is
-    looked up, opened and compared with its source on its own.
+    After all instances were killed at once, callers wait until each process has
+    searched for, opened and compared each of its modules with its source.
     """
     loader, opened, file = start(folder)
     assert loader == archive.Finder.__name__
-    assert int(opened) < FEW_FILES
+    assert int(opened) < MAX_FILES
     assert file == str(folder / "tealcove/front/daemon.py")
 
 
 @pytest.mark.parametrize("kept", [0, 3, 1000])
-def test_a_part_of_an_archive_is_left_alone(folder: pathlib.Path, kept: int) -> None:
-    """No instance starts any more.
+def test_a_truncated_archive_is_ignored(folder: pathlib.Path, kept: int) -> None:
+    """Guard against instances that can't start.
 
-    Symptom: each process ends with an exception at its start. Sequence: the archive is
-    written while the disk is full. Cause: the start relies on its being whole.
+    An archive written to a full disk is truncated; loading it must not raise.
     """
     path = folder / archive.NAME
     path.write_bytes(path.read_bytes()[:kept])
@@ -81,7 +79,7 @@
     assert file == str(folder / "tealcove/front/daemon.py")
 
 
-def test_the_archive_of_another_python_is_left_alone(folder: pathlib.Path) -> None:
+def test_the_archive_of_another_python_is_ignored(folder: pathlib.Path) -> None:
     path = folder / archive.NAME
     path.write_bytes(b"\0\0\0\0" + path.read_bytes()[4:])
     assert start(folder)[0] != archive.Finder.__name__
--- a/src/tealcove/gauges.py
+++ b/src/tealcove/gauges.py
@@ -1,7 +1,7 @@
-"""Metrics that are read off an instance's roles when /metrics is asked for.
+"""Metrics that are read from an instance's roles when /metrics is scraped.
 
-Roles count in plain numbers, so that a grant or a message costs an addition and
-nothing of OpenTelemetry.
+Roles count in plain numbers, so that a grant or a message costs one addition and no
+call of OpenTelemetry.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 from tealcove.resources import copy
 
 Read = Callable[[], float]
-ReadAll = Callable[[], Iterable[metrics.Observation]]
+ReadObservations = Callable[[], Iterable[metrics.Observation]]
 
 
 class Gauges:
@@ -29,12 +29,16 @@
     def __init__(self, meter: metrics.Meter) -> None:
         self.meter = meter
 
-    def count(self, name: str, description: str, read: Read, unit: str = "") -> None:
-        """Add a number that only grows."""
-        self.meter.create_observable_counter(name, one(read), unit, description)
+    def add_counter(
+        self, name: str, description: str, read: Read, unit: str = ""
+    ) -> None:
+        """Add a monotonic counter that is read by callback."""
+        self.meter.create_observable_counter(
+            name, single_observation(read), unit, description
+        )
 
-    def level(self, name: str, description: str, read: ReadAll) -> None:
-        """Add numbers that go up and down."""
+    def add_gauge(self, name: str, description: str, read: ReadObservations) -> None:
+        """Add a gauge whose observations are read by callback."""
 
         def observe(_: metrics.CallbackOptions) -> Iterable[metrics.Observation]:
             return read()
@@ -42,35 +46,35 @@
         self.meter.create_observable_gauge(name, [observe], "", description)
 
     def add_mesh(self, transport: mesh.Mesh) -> None:
-        """Show the messages between instances."""
-        self.count(
+        """Add the metrics of messages between instances."""
+        self.add_counter(
             "tealcove.mesh.sent", "Messages sent to peers.", lambda: transport.sent
         )
-        self.count(
+        self.add_counter(
             "tealcove.mesh.sent_bytes",
             "Bytes of messages sent to peers.",
             lambda: transport.sent_bytes,
             "By",
         )
-        self.count(
+        self.add_counter(
             "tealcove.mesh.dropped",
             "Messages dropped since a peer's queue was full.",
             lambda: transport.dropped,
         )
 
     def add_platform(self, platform: store.StoreClient) -> None:
-        """Show the calls to the platform."""
-        self.count(
+        """Add the metrics of calls to the platform."""
+        self.add_counter(
             "tealcove.platform.calls", "Calls to the platform.", lambda: platform.calls
         )
-        self.count(
+        self.add_counter(
             "tealcove.platform.failures",
             "Calls to the platform that got no usable reply.",
             lambda: platform.failures,
         )
 
     def add_members(self, known: members.Members) -> None:
-        """Show the instances that are alive, this one too."""
+        """Add the number of live instances, including this one."""
 
         def read() -> list[metrics.Observation]:
             alive = known.alive(clock.now())
@@ -80,18 +84,18 @@
                 for lifecycle, number in found.items()
             ]
 
-        self.level("tealcove.members", "Instances alive, by lifecycle.", read)
+        self.add_gauge("tealcove.members", "Instances alive, by lifecycle.", read)
 
     def add_configuration(self, resources: copy.ConfigurationCopy) -> None:
-        """Show which revision is in force here."""
-        self.level(
+        """Add the revision that is in force on this instance."""
+        self.add_gauge(
             "tealcove.configuration.revision",
             "Revision of the resources in force on this instance.",
             lambda: [metrics.Observation(resources.current.revision)],
         )
 
     def add_dispatcher(self, dispatcher: role.Dispatcher) -> None:
-        """Show the cells that this instance holds, and its decisions."""
+        """Add the metrics of the cells that this instance holds."""
 
         def read(index: int) -> list[metrics.Observation]:
             return [
@@ -99,45 +103,47 @@
                 for cell, held in list(dispatcher.held.items())
             ]
 
-        self.level(
+        self.add_gauge(
             "tealcove.tickets.queued", "Tickets that wait, by cell.", lambda: read(0)
         )
-        self.level(
+        self.add_gauge(
             "tealcove.tickets.running",
             "Tickets that hold a slot, by cell.",
             lambda: read(1),
         )
-        self.count("tealcove.grants", "Slots granted.", lambda: dispatcher.granted)
-        self.count(
+        self.add_counter(
+            "tealcove.grants", "Slots granted.", lambda: dispatcher.granted
+        )
+        self.add_counter(
             "tealcove.preemptions",
             "Running requests told to stop for a higher tier.",
             lambda: dispatcher.preempted,
         )
 
     def add_requester(self, tickets: requester.Requester) -> None:
-        """Show what this instance did with its grants."""
-        self.count(
+        """Add the metrics of grants that this instance received."""
+        self.add_counter(
             "tealcove.grants.declined",
             "Grants given back since their backend servers have left.",
             lambda: tickets.declined,
         )
 
     def add_claims(self, claims: writer.Writer) -> None:
-        """Show what this instance wrote of claims; one by the other is a batch."""
-        self.count(
+        """Add the metrics of written claims; their quotient is the batch size."""
+        self.add_counter(
             "tealcove.claims.committed",
             "Changes of claims committed.",
             lambda: claims.committed,
         )
-        self.count(
+        self.add_counter(
             "tealcove.claims.batches",
             "Transactions that committed claims.",
             lambda: claims.batches,
         )
 
 
-def one(
+def single_observation(
     read: Read,
 ) -> Sequence[Callable[[metrics.CallbackOptions], Iterable[metrics.Observation]]]:
-    """Return the callbacks of an instrument with a single number."""
+    """Return the callbacks of an instrument with a single observation."""
     return [lambda _: [metrics.Observation(read())]]
--- a/src/tealcove/ingress/tests/test_exchange.py
+++ b/src/tealcove/ingress/tests/test_exchange.py
@@ -1,4 +1,4 @@
-"""One request from its acceptance to its end."""
+"""Tests of exchanges."""
 
 from __future__ import annotations
 
@@ -16,23 +16,23 @@
 
 @pytest.fixture
 def running() -> exchange.Exchange:
-    """Return an exchange whose answer has begun."""
-    terms = builders.terms(deadline=ids.Instant(clock.now() + 100.0))
+    """Return an exchange whose response has started."""
+    accepted = builders.accepted(deadline=ids.Instant(clock.now() + 100.0))
     http = unittest.mock.Mock()
-    found = exchange.Exchange(None, terms, ids.CellId("engines/0"), http)
+    found = exchange.Exchange(None, accepted, ids.CellId("engines/0"), http)
     found.stream.response = web.StreamResponse()
     return found
 
 
-async def test_a_caller_that_leaves_during_a_write_is_no_error(
+async def test_disconnect_during_write_is_no_error(
     running: exchange.Exchange, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Each such caller is logged as an error, and counted as served."""
+    """Guards against logging such callers as errors and counting them as served."""
 
     async def serve() -> web.StreamResponse:
         raise aiohttp.ClientConnectionResetError("Cannot write to closing transport")
 
     monkeypatch.setattr(running, "serve", serve)
     assert await running.run() is running.stream.response
-    assert running.ended == problem.CALLER_GONE
+    assert running.outcome == problem.CALLER_GONE
     running.http.transport.abort.assert_called_once()
--- a/src/tealcove/linelimit.py
+++ b/src/tealcove/linelimit.py
@@ -1,20 +1,20 @@
-"""A bound on log lines: never more than the budget, and never a wait for a reader."""
+"""A rate limit for log lines, and a writer that never blocks on a slow reader."""
 
 from __future__ import annotations
 
 import enum
 import os
 
-# Bytes that wait for a slow reader; what comes beyond is dropped.
-MOST_WAITING = 256 * 1024
+# Maximum number of bytes buffered for a slow reader; further lines are dropped.
+MAX_BUFFERED_BYTES = 256 * 1024
 
 
 class Weight(enum.IntEnum):
-    """How many times the budget all lines together may take when one is still written.
+    """The multiple of the limit up to which lines of one kind are written.
 
-    An overload makes hundreds of lines a second, and the ones that tell why a request
-    wasn't served are looked for afterwards: at 400 refusals a second, one in three was
-    dropped among lines that repeat.
+    An overload produces hundreds of lines a second, and operators need those that say
+    why a request wasn't served: at 400 refusals a second, a third of them were dropped
+    in favour of repetitive lines.
     """
 
     PLAIN = 1
@@ -24,22 +24,22 @@
 
 
 class LineLimit:
-    """Counts lines by the second, and what had to be dropped."""
+    """Limits the lines written in each second and counts those dropped."""
 
-    def __init__(self, most_per_second: int) -> None:
-        self.most = most_per_second
+    def __init__(self, max_per_second: int) -> None:
+        self.max_per_second = max_per_second
         self.second = 0
         self.used = 0
         self.dropped = 0
 
     def admits(self, weight: Weight, now: float) -> bool:
-        """Tell whether a line may be written."""
+        """Return whether a line may be written; count it as dropped otherwise."""
         second = int(now)
         if second != self.second:
             self.second = second
             self.used = 0
-        most = weight * self.most
-        if self.used >= most:
+        allowed = weight * self.max_per_second
+        if self.used >= allowed:
             self.dropped += 1
             return False
         self.used += 1
@@ -47,31 +47,31 @@
 
 
 class LineWriter:
-    """Writes to a descriptor without ever waiting for it.
+    """Writes to a file descriptor without blocking.
 
-    A reader that stops reading would otherwise stop the whole instance at the next
-    line; its peers would take it for dead, and its callers wait.
+    Otherwise, a reader that stops reading would block the whole instance at the next
+    line: its peers would consider it dead, and its callers would wait.
     """
 
     def __init__(self, descriptor: int) -> None:
         self.descriptor = descriptor
         os.set_blocking(descriptor, False)
-        self.waiting = b""
+        self.buffer = b""
 
     def write(self, line: bytes) -> bool:
-        """Write a line, or keep it for later; False: there's no room for it."""
-        if len(self.waiting) + len(line) > MOST_WAITING:
+        """Write or buffer a line; return False if the buffer is full."""
+        if len(self.buffer) + len(line) > MAX_BUFFERED_BYTES:
             self.flush()
-            if len(self.waiting) + len(line) > MOST_WAITING:
+            if len(self.buffer) + len(line) > MAX_BUFFERED_BYTES:
                 return False
-        self.waiting += line
+        self.buffer += line
         self.flush()
         return True
 
     def flush(self) -> None:
-        """Write what the reader takes now."""
+        """Write as much of the buffer as is possible without blocking."""
         try:
-            written = os.write(self.descriptor, self.waiting)
+            written = os.write(self.descriptor, self.buffer)
         except BlockingIOError:
             return
-        self.waiting = self.waiting[written:]
+        self.buffer = self.buffer[written:]
--- a/src/tealcove/platform/rollouts.py
+++ b/src/tealcove/platform/rollouts.py
@@ -1,19 +1,19 @@
-"""Operators' orders of roll-outs, and what they're told, as rows of the store."""
+"""Roll-out orders and their status, as rows of the store."""
 
 from __future__ import annotations
 
 import msgspec
 
 from tealcove import errors, ids
-from tealcove.platform import documents, names, services
+from tealcove.platform import documents, names, storeadapter
 from tealcove.rollout import order
 from tealcove.storage import table
 
-SERVED_STATE = {state.value: state for state in order.State}
+STATE_BY_VALUE = {state.value: state for state in order.State}
 
 
 class WireOrder(msgspec.Struct):
-    """An order as the operator writes it."""
+    """A roll-out order as the operator writes it."""
 
     service: str
     to: str
@@ -21,7 +21,7 @@
 
 
 class WireStatus(msgspec.Struct, omit_defaults=True):
-    """What the operator reads; the last three are this system's own."""
+    """The status as the operator reads it; the last three fields are internal."""
 
     state: str
     to: str
@@ -31,21 +31,21 @@
 
 
 class StoreOrders(order.OrderStore):
-    """Orders and their status by service."""
+    """Stores roll-out orders and their status per service."""
 
-    def __init__(self, rows: services.StoreTable) -> None:
+    def __init__(self, rows: storeadapter.StoreTable) -> None:
         self.rows = rows
 
     async def read(self, service: ids.PoolId) -> order.Snapshot:
         """See OrderStore."""
         key = names.ROLLOUT_KEY + service
-        ordered = await self.rows.read_at(names.OPERATOR_TABLE, key)
-        if ordered.row is None:
-            return order.Snapshot(None, None, None, ordered.seconds)
-        told = await self.rows.read_at(names.STATUS_TABLE, key)
-        status = None if told.row is None else status_of(told.row)
-        found = order_of(service, ordered.row)
-        return order.Snapshot(found, status, told.row, ordered.seconds)
+        reading = await self.rows.read_at(names.OPERATOR_TABLE, key)
+        if reading.row is None:
+            return order.Snapshot(None, None, None, reading.seconds)
+        stored = await self.rows.read_at(names.STATUS_TABLE, key)
+        status = None if stored.row is None else status_of(stored.row)
+        found = order_of(service, reading.row)
+        return order.Snapshot(found, status, stored.row, reading.seconds)
 
     async def write_status(
         self, service: ids.PoolId, status: order.Status, snapshot: order.Snapshot
@@ -68,7 +68,7 @@
 
 
 def order_of(service: ids.PoolId, row: table.Row) -> order.Order:
-    """Return an order; one that can't be read names no version."""
+    """Return an order; an invalid one has an empty target version."""
     revision = ids.Revision(row.version)
     try:
         found = documents.decode(row.value, WireOrder)
@@ -78,12 +78,12 @@
 
 
 def status_of(row: table.Row) -> order.Status | None:
-    """Return a status; None: somebody else wrote what stands there."""
+    """Return a status; None if this system didn't write the row."""
     try:
         found = msgspec.json.decode(row.value, type=WireStatus)
     except msgspec.MsgspecError:
         return None
-    state = SERVED_STATE.get(found.state)
+    state = STATE_BY_VALUE.get(found.state)
     if state is None:
         return None
     return order.Status(
--- a/src/tealcove/resources/api.py
+++ b/src/tealcove/resources/api.py
@@ -34,41 +34,41 @@
 
 
 class ResourceApi:
-    """Handlers of the resource API; each instance has them all."""
+    """Request handlers of the resource API, which every instance serves."""
 
     def __init__(
         self,
         resources: store.ResourceStore,
-        own: copy.ConfigurationCopy,
+        local_copy: copy.ConfigurationCopy,
         authorise: Authorise,
         source: status.StatusSource,
         now: Callable[[], ids.Instant] = clock.now,
     ) -> None:
         self.store = resources
-        self.copy = own
+        self.copy = local_copy
         self.authorise = authorise
         self.status = source
         self.now = now
-        self.ending = asyncio.Event()
+        self.stopping = asyncio.Event()
 
     def routes(self) -> list[web.RouteDef]:
-        """Return the routes to mount in an application."""
-        one = PREFIX + "/{kind}/{name}"
+        """Return the routes for an application."""
+        resource_path = PREFIX + "/{kind}/{name}"
         return [
-            web.get(f"{PREFIX}/status", self.answering(self.show_status)),
-            web.get(PREFIX + "/{kind}", self.answering(self.list_or_watch)),
-            web.get(one, self.answering(self.get)),
-            web.put(one, self.answering(self.put)),
-            web.patch(one, self.answering(self.patch)),
-            web.delete(one, self.answering(self.delete)),
+            web.get(f"{PREFIX}/status", self.wrap_handler(self.show_status)),
+            web.get(PREFIX + "/{kind}", self.wrap_handler(self.list_or_watch)),
+            web.get(resource_path, self.wrap_handler(self.get)),
+            web.put(resource_path, self.wrap_handler(self.put)),
+            web.patch(resource_path, self.wrap_handler(self.patch)),
+            web.delete(resource_path, self.wrap_handler(self.delete)),
         ]
 
     def end_watches(self) -> None:
-        """End all watches, which resume at another instance; for a leaving one."""
-        self.ending.set()
+        """End all watches on shutdown; watchers resume at another instance."""
+        self.stopping.set()
 
-    def answering(self, handler: Handler) -> Handler:
-        """Return a handler that authorises and answers errors as problems."""
+    def wrap_handler(self, handler: Handler) -> Handler:
+        """Wrap a handler to authorise requests and to send errors as problems."""
 
         async def answer(request: web.Request) -> web.StreamResponse:
             try:
@@ -85,7 +85,9 @@
         """Answer GET /admin/v1/status."""
         revision = self.copy.revision
         in_force = self.status.in_force(revision, self.now())
-        return json_response(documents.Overall(revision=revision, in_force=in_force))
+        return json_response(
+            documents.ConfigurationStatus(revision=revision, in_force=in_force)
+        )
 
     async def list_or_watch(self, request: web.Request) -> web.StreamResponse:
         """Answer GET /admin/v1/{kind}."""
@@ -105,12 +107,12 @@
         return json_response(page)
 
     async def watch(self, request: web.Request, kind: kinds.Kind) -> web.StreamResponse:
-        """Stream changes after `revision`, by default after the one in force."""
+        """Stream changes after the given revision, by default the one in force."""
         revision = headers.number(request, "revision", self.copy.revision)
-        one = watch.Watch(
-            self.store.log, self.copy, kind, ids.Revision(revision), self.ending
+        stream = watch.Watch(
+            self.store.log, self.copy, kind, ids.Revision(revision), self.stopping
         )
-        return await one.run(request)
+        return await stream.run(request)
 
     async def get(self, request: web.Request) -> web.Response:
         """Answer GET /admin/v1/{kind}/{name}."""
@@ -118,7 +120,7 @@
         resource = self.copy.current.get(kind, name)
         if resource is None:
             raise decision.not_found(kind, name)
-        return self.shown(resource)
+        return self.resource_response(resource)
 
     async def put(self, request: web.Request) -> web.Response:
         """Answer PUT /admin/v1/{kind}/{name}."""
@@ -141,8 +143,8 @@
         return await self.change(request, edits.Delete())
 
     async def change(self, request: web.Request, edit: edits.Edit) -> web.Response:
-        """Apply a change and answer with what it led to."""
-        asked = decision.ChangeRequest(
+        """Apply a change and answer with its outcome."""
+        change_request = decision.ChangeRequest(
             operator=request[OPERATOR],
             kind=kind_of(request),
             name=request.match_info["name"],
@@ -152,24 +154,28 @@
             idempotency_key=headers.idempotency_key(request),
             dry_run=headers.flag(request, "dry_run"),
         )
-        outcome = await self.store.change(asked)
+        outcome = await self.store.change(change_request)
         if outcome.resource is None:
             return json_response(
                 documents.Deleted(
-                    kind=asked.kind, name=asked.name, revision=outcome.revision
+                    kind=change_request.kind,
+                    name=change_request.name,
+                    revision=outcome.revision,
                 )
             )
-        if asked.dry_run:
+        if change_request.dry_run:
             return json_response(documents.document(outcome.resource, None))
-        return self.shown(outcome.resource, 201 if outcome.created else 200)
+        return self.resource_response(outcome.resource, 201 if outcome.created else 200)
 
     def document(self, resource: kinds.Resource) -> documents.Document:
-        """Return a resource with its present status."""
-        shown_status = documents.status_of(resource, self.status, self.now())
-        return documents.document(resource, shown_status)
-
-    def shown(self, resource: kinds.Resource, code: int = 200) -> web.Response:
-        """Return the response that shows a resource."""
+        """Return the document of a resource with its current status."""
+        resource_status = documents.status_of(resource, self.status, self.now())
+        return documents.document(resource, resource_status)
+
+    def resource_response(
+        self, resource: kinds.Resource, code: int = 200
+    ) -> web.Response:
+        """Return a response with a resource and its ETag."""
         response = json_response(self.document(resource), code)
         response.headers["ETag"] = f'"{resource.metadata.revision}"'
         return response
@@ -177,12 +183,12 @@
 
 def routes(
     resources: store.ResourceStore,
-    own: copy.ConfigurationCopy,
+    local_copy: copy.ConfigurationCopy,
     authorise: Authorise,
     source: status.StatusSource,
 ) -> list[web.RouteDef]:
-    """Return the routes of a resource API whose watches nobody needs to end."""
-    return ResourceApi(resources, own, authorise, source).routes()
+    """Return the routes of a resource API without a way to end its watches."""
+    return ResourceApi(resources, local_copy, authorise, source).routes()
 
 
 def kind_of(request: web.Request) -> kinds.Kind:
--- a/src/tealcove/resources/headers.py
+++ b/src/tealcove/resources/headers.py
@@ -1,4 +1,4 @@
-"""Headers and queries of the resource API's requests."""
+"""Request headers and query parameters of the resource API."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 from tealcove.resources import refusals
 
 ETAG = re.compile(r'"(\d{1,15})"\Z')
-LONGEST_KEY = 255
-LONGEST_PAGE = 1000
-USUAL_PAGE = 100
+MAX_KEY_LENGTH = 255
+MAX_PAGE_SIZE = 1000
+DEFAULT_PAGE_SIZE = 100
 
 
 def if_match(request: web.Request) -> ids.Revision | None:
@@ -47,16 +47,16 @@
     text = request.headers.get("Idempotency-Key")
     if text is None:
         return None
-    if not 1 <= len(text) <= LONGEST_KEY:
+    if not 1 <= len(text) <= MAX_KEY_LENGTH:
         raise refusals.BadRequestError(
             "the Idempotency-Key is empty or too long",
-            f"Send one of 1 to {LONGEST_KEY} characters, drawn for this change.",
+            f"Send one of 1 to {MAX_KEY_LENGTH} characters, drawn for this change.",
         )
     return ids.IdempotencyKey(text)
 
 
 def flag(request: web.Request, name: str) -> bool:
-    """Return a query parameter that is true or false; raises BadRequestError."""
+    """Return a boolean query parameter; raises BadRequestError."""
     text = request.query.get(name, "false")
     if text not in ("true", "false"):
         raise refusals.BadRequestError(
@@ -66,7 +66,7 @@
 
 
 def number(request: web.Request, name: str, default: int) -> int:
-    """Return a query parameter that is a number; raises BadRequestError."""
+    """Return an integer query parameter; raises BadRequestError."""
     text = request.query.get(name)
     if text is None:
         return default
@@ -79,10 +79,10 @@
 
 
 def limit(request: web.Request) -> int:
-    """Return how many items a page may have; raises BadRequestError."""
-    wanted = number(request, "limit", USUAL_PAGE)
-    if not 1 <= wanted <= LONGEST_PAGE:
+    """Return the maximum number of items per page; raises BadRequestError."""
+    wanted = number(request, "limit", DEFAULT_PAGE_SIZE)
+    if not 1 <= wanted <= MAX_PAGE_SIZE:
         raise refusals.BadRequestError(
-            f"limit={wanted} is out of range", f"Send 1 to {LONGEST_PAGE}."
+            f"limit={wanted} is out of range", f"Send 1 to {MAX_PAGE_SIZE}."
         )
     return wanted
--- a/src/tealcove/resources/tests/test_copy.py
+++ b/src/tealcove/resources/tests/test_copy.py
@@ -1,4 +1,4 @@
-"""A copy never goes back and is always whole, whatever moves it."""
+"""Tests that copies never regress and are always complete."""
 
 from __future__ import annotations
 
@@ -27,16 +27,16 @@
 
 
 class Copies(stateful.RuleBasedStateMachine):
-    """Three instances that write, follow, compact, restart and copy from peers."""
+    """Three instances that write, advance, compact, restart and fetch from peers."""
 
     def __init__(self) -> None:
         super().__init__()
         self.runner = asyncio.Runner()
         self.platform = memory.MemoryPlatform()
         self.instances = [builders.instance(self.platform) for _ in range(3)]
-        self.seen = [copy.NOTHING] * 3
+        self.seen = [copy.NO_REVISION] * 3
         self.heads = [log.Head()]
-        # What the configuration holds at each revision, by the writers' answers.
+        # Expected resources at each revision, according to the outcomes of writes.
         self.model: list[dict[str, kinds.Resource]] = [{}]
         self.write(0, builders.put(kinds.Kind.SERVICE_TIER, "gold", builders.tier()))
 
@@ -44,7 +44,7 @@
         self.runner.close()
 
     def write(self, number: int, request) -> None:
-        """Apply a change that must succeed, and note its effect."""
+        """Apply a change that must succeed, and record its effect."""
         outcome = self.runner.run(self.instances[number].store.change(request))
         after = dict(self.model[-1])
         key = log.resource_key(request.kind, request.name)
@@ -79,16 +79,16 @@
 
     @stateful.rule(number=INSTANCES, data=st.data())
     def advance(self, number: int, data: st.DataObject) -> None:
-        """Follow a head that may have been read long ago."""
-        own = self.instances[number]
+        """Advance to a head that may be outdated."""
+        instance = self.instances[number]
         head = data.draw(st.sampled_from(self.heads))
-        self.runner.run(own.log.advance(own.copy, head))
-        assert own.copy.revision >= head.revision
+        self.runner.run(instance.log.advance(instance.copy, head))
+        assert instance.copy.revision >= head.revision
 
     @stateful.rule(number=INSTANCES, peer=INSTANCES)
     def fetch(self, number: int, peer: int) -> None:
         content = snapshots.encode(self.instances[peer].copy.current)
-        self.instances[number].copy.move(snapshots.decode(content))
+        self.instances[number].copy.activate(snapshots.decode(content))
 
     @stateful.rule(number=INSTANCES, retained=st.integers(1, 3), lost=st.booleans())
     def compact(self, number: int, retained: int, lost: bool) -> None:
@@ -103,12 +103,12 @@
     @stateful.rule(number=INSTANCES)
     def restart(self, number: int) -> None:
         self.instances[number] = builders.instance(self.platform)
-        self.seen[number] = copy.NOTHING
+        self.seen[number] = copy.NO_REVISION
 
     @stateful.invariant()
-    def never_back_and_whole(self) -> None:
-        for number, own in enumerate(self.instances):
-            current = own.copy.current
+    def never_regresses_and_is_complete(self) -> None:
+        for number, instance in enumerate(self.instances):
+            current = instance.copy.current
             assert current.revision >= self.seen[number]
             self.seen[number] = current.revision
             assert contents(current) == self.model[current.revision]
@@ -118,7 +118,7 @@
         table = current.resources[ACCOUNT]
         assert table.counts_by_tier.get("gold", 0) == len(table)
         hashes = [h for found in table.values() for h in found.spec.key_hashes]
-        assert len(table.names) == len(hashes)
+        assert len(table.names_by_key_hash) == len(hashes)
         for account in table.values():
             for key_hash in account.spec.key_hashes:
                 assert current.account_by_key_hash(key_hash) == account
@@ -130,26 +130,28 @@
 TestCopies = Copies.TestCase
 
 
-def test_subscribers_learn_of_moves_and_survive_each_other():
-    own = copy.ConfigurationCopy()
-    told = []
+def test_subscribers_are_called_despite_failures_of_others():
+    local_copy = copy.ConfigurationCopy()
+    activations = []
 
     def faulty(before, after):
         raise RuntimeError("a subscriber's fault")
 
-    own.subscribe(faulty)
-    end = own.subscribe(lambda *moved: told.append([each.revision for each in moved]))
+    local_copy.subscribe(faulty)
+    end = local_copy.subscribe(
+        lambda *moved: activations.append([each.revision for each in moved])
+    )
     spec = builders.tier()
-    first = own.current.with_changes(
+    first = local_copy.current.with_changes(
         [builders.change(1, kinds.Kind.SERVICE_TIER, "gold", spec)]
     )
-    assert own.move(first)
-    assert not own.move(first)
+    assert local_copy.activate(first)
+    assert not local_copy.activate(first)
     end()
-    own.move(
+    local_copy.activate(
         first.with_changes([builders.change(2, kinds.Kind.SERVICE_TIER, "tin", spec)])
     )
-    assert told == [[0, 1]]
+    assert activations == [[0, 1]]
 
 
 def test_routes_by_order_then_name():
--- a/src/tealcove/resources/tests/test_role.py
+++ b/src/tealcove/resources/tests/test_role.py
@@ -1,4 +1,4 @@
-"""The configuration's side of a whole instance."""
+"""Tests of the configuration role of an instance."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 
 def make_roles(count: int) -> list[role.ConfigurationRole]:
-    """Return the roles of instances that have all heard each other."""
+    """Return the roles of instances with heartbeats from one another."""
     platform = memory.MemoryPlatform()
     made = []
     for number in range(count):
         known = membership_builders.known(number)
-        # However slow the machine is, nobody counts as silent.
+        # Keeps members from being suspected on a slow machine.
         known.suspect_after = known.forget_after = 3600.0
         for peer in range(count):
             known.record_heartbeat(membership_builders.heartbeat(peer), clock.now())
@@ -38,31 +38,31 @@
     every = roles[0].compactor.settings.every
     for before, after, expected in ((0, every - 1, 0), (every - 1, every, 1)):
         for each in roles:
-            each.compact_now_and_then(at(before), at(after))
-        assert sum(each.compactor.due.is_set() for each in roles) == expected
+            each.schedule_compaction(at(before), at(after))
+        assert sum(each.compactor.requested.is_set() for each in roles) == expected
 
 
 async def test_two_instances_of_a_data_centre_read_the_head_often():
-    """The platform is asked by every instance for what two could tell all.
+    """Guards against reads of the head by every instance.
 
-    Symptom: reads grow with the instances, beyond the platform's rate at 580.
-    Sequence: five instances of one data centre serve; one reader is gone.
-    Cause: nobody was ever told to read less often.
+    Reads would grow with the number of instances, beyond the platform's rate at 580.
+    Of five instances of one data centre, only two may read often, and if one of the
+    two stops, another must take its place.
     """
     roles = make_roles(5)
     for each in roles:
-        each.take_members()
+        each.handle_membership_change()
     readers = [each for each in roles if each.reader.designated]
-    assert len(readers) == role.READERS
+    assert len(readers) == role.READERS_PER_DATA_CENTRE
     gone = readers[0].members.own.instance
     left = [each for each in roles if each is not readers[0]]
     for each in left:
         del each.members.peers[gone]
         each.members.rankings.clear()
-        each.take_members()
-    assert sum(each.reader.designated for each in left) == role.READERS
+        each.handle_membership_change()
+    assert sum(each.reader.designated for each in left) == role.READERS_PER_DATA_CENTRE
     new = [r for r in left if r.reader.designated and r not in readers]
-    assert all(each.reader.news.is_set() for each in new)
+    assert all(each.reader.poll_requested.is_set() for each in new)
 
 
 def at(revision: int) -> copy.Configuration:
--- a/src/tealcove/resources/tests/test_store.py
+++ b/src/tealcove/resources/tests/test_store.py
@@ -1,4 +1,4 @@
-"""Changes of resources race, and their replies get lost."""
+"""Tests of resource changes with concurrent writers and lost replies."""
 
 from __future__ import annotations
 
@@ -20,13 +20,15 @@
 
 
 async def test_create_change_delete(platform):
-    own = builders.instance(platform)
-    created = await own.store.change(builders.put(TIER, "gold", builders.tier(1)))
+    instance = builders.instance(platform)
+    created = await instance.store.change(builders.put(TIER, "gold", builders.tier(1)))
     assert created.created
-    changed = await own.store.change(builders.put(TIER, "gold", builders.tier(2), 1))
+    changed = await instance.store.change(
+        builders.put(TIER, "gold", builders.tier(2), 1)
+    )
     assert changed.resource.metadata.generation == 2
     assert changed.resource.metadata.changed_by == builders.OPERATOR
-    gone = await own.store.change(builders.delete(TIER, "gold", 2))
+    gone = await instance.store.change(builders.delete(TIER, "gold", 2))
     assert gone.revision == 3
     other = builders.instance(platform)
     configuration = await other.catch_up()
@@ -35,27 +37,29 @@
 
 
 async def test_conflict_names_the_current_revision_and_its_author(platform):
-    own = builders.instance(platform)
-    await own.store.change(builders.put(TIER, "gold", builders.tier(1)))
+    instance = builders.instance(platform)
+    await instance.store.change(builders.put(TIER, "gold", builders.tier(1)))
     with pytest.raises(refusals.PreconditionRequiredError):
-        await own.store.change(builders.put(TIER, "gold", builders.tier(2)))
+        await instance.store.change(builders.put(TIER, "gold", builders.tier(2)))
     with pytest.raises(refusals.RevisionConflictError) as caught:
-        await own.store.change(builders.put(TIER, "gold", builders.tier(2), 7))
+        await instance.store.change(builders.put(TIER, "gold", builders.tier(2), 7))
     assert (caught.value.current, caught.value.changed_by) == (1, builders.OPERATOR)
 
 
-async def write_in_turn(own: builders.Instance, name: str, ranks: range) -> list[int]:
-    """Raise a tier's rank as automation does: read, change, on conflict again."""
+async def write_in_turn(
+    instance: builders.Instance, name: str, ranks: range
+) -> list[int]:
+    """Change a tier's rank as automation does: read, change, retry on conflict."""
     applied = []
     for rank in ranks:
         while True:
-            current = (await own.catch_up()).get(TIER, "gold")
+            current = (await instance.catch_up()).get(TIER, "gold")
             base = None if current is None else current.metadata.revision
             request = builders.put(
                 TIER, "gold", builders.tier(rank), base, f"{name}-{rank}", name
             )
             try:
-                applied.append((await own.store.change(request)).revision)
+                applied.append((await instance.store.change(request)).revision)
                 break
             except (
                 refusals.RevisionConflictError,
@@ -65,13 +69,12 @@
     return applied
 
 
-async def test_each_racing_change_is_applied_exactly_once(platform):
-    """Symptom: a change applied twice, or one undone by an older one.
+async def test_each_concurrent_change_is_applied_exactly_once(platform):
+    """Guards against a change applied twice or overwritten by an older one.
 
-    Events: three writers change one tier through three instances; the platform
-    applies writes whose replies it then loses.
-    Cause: a writer that takes a lost reply for a failure writes again over what
-    another wrote in between.
+    Three writers change one tier through three instances, and replies to applied
+    writes are lost. A writer that treats a lost reply as a failure would write again
+    and overwrite a change made by another in between.
     """
     instances = [builders.instance(platform) for _ in range(3)]
     platform.faults.lose_replies = 9
@@ -84,18 +87,18 @@
     assert revisions == list(range(1, 31))
     changes = await instances[0].log.changes_after(0)
     assert sorted(change.resource.spec.rank for change in changes) == list(range(30))
-    for own in instances:
-        await own.catch_up()
-        assert own.copy.current.get(TIER, "gold") == changes[-1].resource
+    for instance in instances:
+        await instance.catch_up()
+        assert instance.copy.current.get(TIER, "gold") == changes[-1].resource
     row = await platform.table.read(log.RESOURCES, "service-tiers/gold")
     assert b'"revision":30' in row.value
 
 
-async def test_repeat_with_the_same_key_answers_the_same(platform):
-    own, other = builders.instance(platform), builders.instance(platform)
+async def test_repeat_with_the_same_key_returns_the_same_outcome(platform):
+    instance, other = builders.instance(platform), builders.instance(platform)
     request = builders.put(TIER, "gold", builders.tier(1), key="k1")
-    first = await own.store.change(request)
-    await own.store.change(builders.put(TIER, "gold", builders.tier(5), 1))
+    first = await instance.store.change(request)
+    await instance.store.change(builders.put(TIER, "gold", builders.tier(5), 1))
     assert await other.store.change(request) == first
     with pytest.raises(refusals.IdempotencyMismatchError):
         await other.store.change(
@@ -103,39 +106,38 @@
         )
 
 
-async def test_platform_that_dies_after_a_lost_reply(platform):
-    """Symptom: a change said to have failed is in force.
+async def test_platform_that_goes_down_after_a_lost_reply(platform):
+    """Guards against a change that is in force although reported as failed.
 
-    Events: the write is applied, its reply is lost, and the platform goes down
-    before the writer can look.
-    Cause: taking "unavailable now" for "not applied then".
+    The write is applied, its reply is lost, and the platform goes down before the
+    writer can check. "Unavailable" then doesn't mean "not applied".
     """
-    own = builders.instance(platform)
+    instance = builders.instance(platform)
     builders.die_after_next_write(platform)
     request = builders.put(TIER, "gold", builders.tier(1), key="k1")
     with pytest.raises(errors.OutcomeUnknownError):
-        await own.store.change(request)
+        await instance.store.change(request)
     platform.faults.down = False
-    assert (await own.store.change(request)).revision == 1
-    assert (await own.catch_up()).revision == 1
+    assert (await instance.store.change(request)).revision == 1
+    assert (await instance.catch_up()).revision == 1
 
 
 async def test_platform_down_means_nothing_applied(platform):
-    """Symptom: a change of which its operator was told "not applied" is in force.
+    """Guards against a change that is in force although reported as not applied.
 
-    Events: the platform is down during the change, then comes back.
-    Cause: a write that is kept and sent later.
+    The platform is down during the change and recovers. The write mustn't be kept
+    and sent later.
     """
-    own = builders.instance(platform)
+    instance = builders.instance(platform)
     platform.faults.down = True
     with pytest.raises(errors.PlatformUnavailableError):
-        await own.store.change(builders.put(TIER, "gold", builders.tier(1)))
+        await instance.store.change(builders.put(TIER, "gold", builders.tier(1)))
     platform.faults.down = False
-    assert (await own.catch_up()).revision == 0
+    assert (await instance.catch_up()).revision == 0
 
 
 class LateTable(builders.YieldingTable):
-    """Applies one write only after it has given up on its reply."""
+    """Applies the first write only after its timeout."""
 
     def __init__(self, inner: table.TableService) -> None:
         super().__init__(inner)
@@ -157,27 +159,26 @@
         return found
 
 
-async def test_write_that_arrives_after_its_time_out(platform):
-    """Symptom: an operator is told of a conflict with a change of their own.
+async def test_write_that_arrives_after_its_timeout(platform):
+    """Guards against reporting a conflict of an operator's change with itself.
 
-    Events: the time-out of a write passes; the writer finds the head unmoved and
-    tries again; then the first write arrives.
-    Cause: taking a write that isn't there yet for one that never will be.
+    A write times out; the writer finds the head unchanged and tries again; then the
+    first write arrives. A write that hasn't arrived yet still may.
     """
-    own = builders.Instance(LateTable(platform.table), platform.objects)
-    outcome = await own.store.change(builders.put(TIER, "gold", builders.tier(1)))
+    instance = builders.Instance(LateTable(platform.table), platform.objects)
+    outcome = await instance.store.change(builders.put(TIER, "gold", builders.tier(1)))
     assert (outcome.revision, outcome.created) == (1, True)
-    assert (await own.catch_up()).revision == 1
+    assert (await instance.catch_up()).revision == 1
 
 
-async def test_foreign_change_of_a_row_is_not_written_over(platform):
-    """Symptom: what was repaired by hand in the table is written over.
+async def test_manual_change_of_a_row_is_not_overwritten(platform):
+    """Guards against overwriting a manual repair of the table.
 
-    Events: a row changes between read and commit, and the head doesn't.
-    Cause: the head as the only condition.
+    A row changes between read and commit, but the head doesn't. The head mustn't be
+    the only condition of the transaction.
     """
-    own = builders.instance(platform)
-    await own.store.change(builders.put(TIER, "gold", builders.tier(1)))
+    instance = builders.instance(platform)
+    await instance.store.change(builders.put(TIER, "gold", builders.tier(1)))
 
     class Racing(builders.YieldingTable):
         async def commit(self, transaction: table.Transaction) -> table.Committed:
@@ -185,14 +186,14 @@
             await platform.table.commit(table.Transaction((), (foreign,)))
             return await platform.table.commit(transaction)
 
-    own.store.rows = Racing(platform.table)
+    instance.store.rows = Racing(platform.table)
     with pytest.raises(table.ConditionFailedError):
-        await own.store.change(builders.put(TIER, "gold", builders.tier(2), 1))
-    assert (await own.catch_up()).revision == 1
+        await instance.store.change(builders.put(TIER, "gold", builders.tier(2), 1))
+    assert (await instance.catch_up()).revision == 1
 
 
 class LosingTable(builders.YieldingTable):
-    """Loses one write on its way, and another writer takes its revision."""
+    """Loses the first write in transit; another writer takes its revision."""
 
     def __init__(self, platform: memory.MemoryPlatform) -> None:
         super().__init__(platform.table)
@@ -208,29 +209,27 @@
 
 
 async def test_write_that_never_arrives(platform):
-    """Symptom: a change is confirmed and in force nowhere.
+    """Guards against confirming a change that was never applied.
 
-    Events: a write is lost on its way, not its reply; another writer's change
-    gets the revision that it would have had.
-    Cause: taking any change at that revision for the own one.
+    A write is lost in transit, rather than its reply, and another writer's change
+    gets its revision. The writer mustn't take that change for its own.
     """
-    own = builders.Instance(LosingTable(platform), platform.objects)
-    outcome = await own.store.change(builders.put(TIER, "gold", builders.tier(1)))
+    instance = builders.Instance(LosingTable(platform), platform.objects)
+    outcome = await instance.store.change(builders.put(TIER, "gold", builders.tier(1)))
     assert outcome.revision == 2
-    assert (await own.catch_up()).names(TIER) == ["gold", "tin"]
+    assert (await instance.catch_up()).names(TIER) == ["gold", "tin"]
 
 
-async def test_table_that_was_put_back_takes_no_change(platform):
-    """Symptom: copies that differ at one revision.
+async def test_restored_table_accepts_no_change(platform):
+    """Guards against copies that differ at the same revision.
 
-    Events: operators restore the table from a backup; instances stay up with
-    later revisions; somebody writes.
-    Cause: giving revisions out a second time.
+    Operators restore the table from a backup while instances keep running at later
+    revisions, and an operator writes. No revision may be assigned twice.
     """
-    own = builders.instance(platform)
-    await own.store.change(builders.put(TIER, "gold", builders.tier(1)))
+    instance = builders.instance(platform)
+    await instance.store.change(builders.put(TIER, "gold", builders.tier(1)))
     backup = memory.MemoryPlatform()
-    own.store.rows = own.log.rows = backup.table
+    instance.store.rows = instance.log.rows = backup.table
     with pytest.raises(refusals.TableRestoredError):
-        await own.store.change(builders.put(TIER, "tin", builders.tier(2)))
+        await instance.store.change(builders.put(TIER, "tin", builders.tier(2)))
     assert await backup.table.scan(log.CHANGES) == ()
--- a/src/tealcove/settingsfile.py
+++ b/src/tealcove/settingsfile.py
@@ -1,4 +1,4 @@
-"""Reading files of JSON with comments into typed structs."""
+"""Reads files of JSON with comments into typed structs."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 T = typing.TypeVar("T")
 
-KEY_WORD = "key"
+SECRET_WORD = "key"
 TYPE_WORDS = {
     "int": "a whole number",
     "float": "a number",
@@ -28,7 +28,7 @@
     "str | null": "a string or null",
     "object | null": "an object in braces, or null",
 }
-# As msgspec's messages show them, which is with quotes and escapes.
+# Patterns as they appear in msgspec's messages: quoted and escaped.
 NAME_PATTERN = repr(kinds.Name.__metadata__[0].pattern)
 KEY_HASH_PATTERN = repr(kinds.KeyHash.__metadata__[0].pattern)
 PATTERNS = {
@@ -49,12 +49,12 @@
     return convert(path, "$", parse(path), shape)
 
 
-def convert(path: str, place: str, content: object, shape: type[T]) -> T:
-    """Check the content of a place in a file; raises errors.SettingsError."""
+def convert(path: str, location: str, content: object, shape: type[T]) -> T:
+    """Convert the content at a location in a file; raises errors.SettingsError."""
     try:
         return msgspec.convert(content, shape, dec_hook=checked.decode_checked)
     except msgspec.ValidationError as failure:
-        raise explained(path, place, str(failure), content, shape) from None
+        raise conversion_error(path, location, str(failure), content, shape) from None
 
 
 def parse(path: str) -> object:
@@ -80,7 +80,7 @@
 
 
 def locate(text: str, message: str) -> str:
-    """Say the line in place of the offset that the parser names."""
+    """Return a message with the line in place of the parser's offset."""
     offset = re.search(r"near (\d+)", message)
     if offset is None:
         return f"isn't JSON: {message}"
@@ -88,39 +88,46 @@
     return f"line {line}: isn't JSON"
 
 
-def refused(path: str, place: str, problem: str, remedy: str) -> errors.SettingsError:
-    """Return the error for one place in a file."""
-    return errors.SettingsError(f"{path}: {place}: {problem}", f"{remedy}.")
+def location_error(
+    path: str, location: str, problem: str, remedy: str
+) -> errors.SettingsError:
+    """Return the error for a location in a file."""
+    return errors.SettingsError(f"{path}: {location}: {problem}", f"{remedy}.")
 
 
-def explained(
+def conversion_error(
     path: str, root: str, message: str, content: object, shape: type
 ) -> errors.SettingsError:
-    """Turn msgspec's message into one line that says what to write."""
+    """Return an error of one line, with a remedy, for a message of msgspec."""
     parts = PLACE.match(message)
     assert parts is not None
     problem = parts["problem"]
     inner = parts["place"] or "$"
-    place = root + inner.removeprefix("$")
+    location = root + inner.removeprefix("$")
     unknown = UNKNOWN_FIELD.search(problem)
     if unknown is not None:
         known = ", ".join(known_fields(shape, inner))
-        return refused(
-            path, f"{place}.{unknown[1]}", "unknown key", f"Write one of: {known}"
+        return location_error(
+            path, f"{location}.{unknown[1]}", "unknown key", f"Write one of: {known}"
         )
     missing = MISSING_FIELD.search(problem)
     if missing is not None:
         remedy = "Write that key; it has no default"
-        return refused(path, f"{place}.{missing[1]}", "missing", remedy)
+        return location_error(path, f"{location}.{missing[1]}", "missing", remedy)
     expected = EXPECTED.match(problem)
     if expected is not None:
-        found = shown_value(content, inner)
-        return refused(path, place, f"{found}doesn't fit", f"Write {wanted(expected)}")
-    return refused(path, place, problem, remedy_for(problem, shape, inner))
+        found = quote_value(content, inner)
+        return location_error(
+            path,
+            location,
+            f"{found}doesn't fit",
+            f"Write {describe_expected(expected)}",
+        )
+    return location_error(path, location, problem, remedy_for(problem, shape, inner))
 
 
-def wanted(expected: re.Match[str]) -> str:
-    """Say in words what msgspec expected."""
+def describe_expected(expected: re.Match[str]) -> str:
+    """Describe in words what msgspec expected."""
     bound = expected["bound"] or ""
     pattern = PATTERN.search(bound)
     if pattern is not None:
@@ -128,12 +135,12 @@
     return TYPE_WORDS.get(expected["type"], expected["type"]) + bound
 
 
-def shown_value(content: object, inner: str) -> str:
-    """Return the refused value in quotes, or "it " for a key or a group.
+def quote_value(content: object, inner: str) -> str:
+    """Return the invalid value in quotes, or "it " for a key or a group.
 
-    A plain key that was written where its hash belongs must not reach a log.
+    A plain key that was written in place of its hash must not reach a log.
     """
-    if KEY_WORD in inner:
+    if SECRET_WORD in inner:
         return "it "
     for step in STEP.finditer(inner):
         key: str | int = step[1] or int(step[2])
@@ -147,7 +154,7 @@
 
 
 def remedy_for(problem: str, shape: type, inner: str) -> str:
-    """Say what to write in the place of what was refused."""
+    """Describe what to write in place of an invalid value."""
     _, refusal, example = problem.partition(" isn't ")
     if refusal:
         return f"Write {example}"
@@ -158,7 +165,7 @@
 
 
 def known_fields(shape: type, inner: str) -> tuple[str, ...]:
-    """Return the keys that may stand at a place such as `$.http`."""
+    """Return the keys that are allowed at a location such as `$.http`."""
     current = type_at(shape, inner)
     if not isinstance(current, msgspec.inspect.StructType):
         return ()
@@ -166,7 +173,7 @@
 
 
 def type_at(shape: type, inner: str) -> msgspec.inspect.Type | None:
-    """Return the type of a place such as `$.http`."""
+    """Return the type at a location such as `$.http`."""
     current: msgspec.inspect.Type | None = msgspec.inspect.type_info(shape)
     for step in STEP.finditer(inner):
         current = inner_type(current, step[1])
@@ -176,7 +183,7 @@
 def inner_type(
     current: msgspec.inspect.Type, key: str | None
 ) -> msgspec.inspect.Type | None:
-    """Return the type one step further; a key of None is an index."""
+    """Return the type of an item of a type; a key of None stands for an index."""
     if isinstance(current, msgspec.inspect.StructType):
         fields = {field.encode_name: field.type for field in current.fields}
         return without_null(fields.get(key))
@@ -190,7 +197,7 @@
 def without_null(
     found: msgspec.inspect.Type | None,
 ) -> msgspec.inspect.Type | None:
-    """Return the struct of an optional group."""
+    """Return the struct of an optional group, or the type itself."""
     if isinstance(found, msgspec.inspect.UnionType):
         return next(
             (one for one in found.types if isinstance(one, msgspec.inspect.StructType)),
--- a/src/tealcove/standins/tests/test_platform.py
+++ b/src/tealcove/standins/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""The platform's stand-in: faults and the instance list by HTTP, and restarts."""
+"""The platform stand-in: faults and instance list over HTTP, and restarts."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 import pytest
 
 from tealcove import errors
-from tealcove.platform import services
 from tealcove.platform import store as store_client
+from tealcove.platform import storeadapter
 from tealcove.standins import platform
 from tealcove.storage import faults, rowlist
 from tealcove.storage.tests import builders
@@ -18,7 +18,7 @@
 
 async def test_faults_are_switched_at_run_time_and_calls_counted():
     async with builders.serving() as (standin, connected), aiohttp.ClientSession() as s:
-        rows = services.StoreTable(connected)
+        rows = storeadapter.StoreTable(connected)
         body = msgspec.json.encode(faults.Faults(down=True))
         async with s.put(f"{standin.url}/standin/faults", data=body) as answer:
             assert answer.status == 204
@@ -36,7 +36,7 @@
 
 async def test_instances_are_registered_and_removed():
     async with builders.serving() as (standin, connected), aiohttp.ClientSession() as s:
-        listing = rowlist.RowInstanceList(services.StoreTable(connected))
+        listing = rowlist.RowInstanceList(storeadapter.StoreTable(connected))
         body = msgspec.json.encode(builders.entry("one"))
         url = f"{standin.url}/standin/instances/"
         async with s.put(url + "other", data=body) as answer:
@@ -49,20 +49,20 @@
         assert await listing.listed() == ()
 
 
-async def test_contents_and_port_stay_over_a_restart():
+async def test_data_and_port_are_kept_across_a_restart():
     async with builders.serving() as (standin, connected):
-        rows = services.StoreTable(connected)
+        rows = storeadapter.StoreTable(connected)
         done = await rows.commit(builders.put("a"))
         await standin.stop()
         await standin.start()
         assert (await rows.read("t", "a")).version == done.version
 
 
-async def test_wrong_address_is_not_taken_for_an_empty_platform():
-    """Symptom: an instance starts with an empty configuration.
+async def test_wrong_address_is_not_mistaken_for_an_empty_platform():
+    """Guards against an instance that starts with an empty configuration.
 
-    Events: the settings name an address at which something else answers 404.
-    Cause: 404 taken for "there is no such row".
+    The settings name the address of another server, which answers 404, and the
+    404 is mistaken for "there is no such row".
     """
     async with builders.serving() as (standin, _):
         elsewhere = store_client.StoreClient(
@@ -70,14 +70,14 @@
         )
         try:
             with pytest.raises(errors.PlatformUnavailableError):
-                await services.StoreTable(elsewhere).read("t", "a")
+                await storeadapter.StoreTable(elsewhere).read("t", "a")
             with pytest.raises(errors.PlatformError):
-                await services.StoreObjects(elsewhere).put("o", b"")
+                await storeadapter.StoreObjects(elsewhere).put("o", b"")
         finally:
             await elsewhere.close()
 
 
-async def test_serve_tells_its_port_and_stops_when_cancelled():
+async def test_serve_reports_its_port_and_stops_when_cancelled():
     started = asyncio.get_running_loop().create_future()
     settings = msgspec.json.decode(
         b'{"weight_rate": 5, "faults": {"down": true}}', type=platform.PlatformSettings
--- a/src/tealcove/storage/rowweights.py
+++ b/src/tealcove/storage/rowweights.py
@@ -1,4 +1,4 @@
-"""The turns of loading weights, kept in one row of the table."""
+"""The schedule of weight loads, kept in one row of the table."""
 
 from __future__ import annotations
 
@@ -9,32 +9,32 @@
 
 TABLE = "weights"
 KEY = "turns"
-# Bytes a second of loads together, where the operator's row names no rate.
+# Total rate of all loads in bytes a second, unless the operator's row sets one.
 DEFAULT_RATE = 1e9
-# Tries of one reservation: each fails only because another one has succeeded.
-MOST_TRIES = 10
+# Attempts per reservation; each fails only because another one succeeded.
+MAX_ATTEMPTS = 10
 
 
-class Turns(msgspec.Struct, frozen=True):
-    """The row: the rate, and until when it's taken by the table's own clock."""
+class LoadSchedule(msgspec.Struct, frozen=True):
+    """The row: the rate, and the end of the last load by the table's clock."""
 
     rate: float = DEFAULT_RATE
     busy_until: float = 0.0
 
 
 class RowWeightStore(weights.WeightStore):
-    """Gives loads their turn one behind the other, over all instances."""
+    """Schedules the loads of all instances one after another."""
 
     def __init__(self, rows: table.TimedTable) -> None:
         self.rows = rows
 
     async def reserve(self, size: int) -> float:
         """Reserve a load; see the base class."""
-        for _ in range(MOST_TRIES):
+        for _ in range(MAX_ATTEMPTS):
             found = await self.rows.read_at(TABLE, KEY)
-            turns = Turns() if found.row is None else decode(found.row)
-            start = max(found.seconds, turns.busy_until)
-            taken = Turns(turns.rate, start + size / turns.rate)
+            schedule = LoadSchedule() if found.row is None else decode(found.row)
+            start = max(found.seconds, schedule.busy_until)
+            taken = LoadSchedule(schedule.rate, start + size / schedule.rate)
             try:
                 await table.replace(
                     self.rows, found.row, TABLE, KEY, msgspec.json.encode(taken)
@@ -47,10 +47,10 @@
         )
 
 
-def decode(row: table.Row) -> Turns:
-    """Return what a row says; raises PlatformUnavailableError."""
+def decode(row: table.Row) -> LoadSchedule:
+    """Decode the row; raises PlatformUnavailableError."""
     try:
-        return msgspec.json.decode(row.value, type=Turns)
+        return msgspec.json.decode(row.value, type=LoadSchedule)
     except msgspec.MsgspecError as error:
         raise errors.PlatformUnavailableError(
             f"the row {TABLE}/{KEY} can't be read: {error}", "Write it anew."
--- a/src/tealcove/storage/tests/test_services.py
+++ b/src/tealcove/storage/tests/test_services.py
@@ -1,4 +1,4 @@
-"""The platform's clients over loopback sockets, with each class of error."""
+"""Tests of the platform's clients over loopback, with each class of error."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 import pytest
 
 from tealcove import errors
-from tealcove.platform import services
 from tealcove.platform import store as store_client
+from tealcove.platform import storeadapter
 from tealcove.storage import faults, rowlist, rowweights, table
 from tealcove.storage.tests import builders
 
 
 async def test_rows_commit_read_scan_delete():
     async with builders.serving() as (_, platform):
-        rows = services.StoreTable(platform)
+        rows = storeadapter.StoreTable(platform)
         for key in ("c", "a/ü ?&", "b"):
             await rows.commit(builders.put(key, key.encode()))
         stored = await rows.read("t", "a/ü ?&")
@@ -30,7 +30,7 @@
 
 async def test_conflict_names_every_failed_condition():
     async with builders.serving() as (_, platform):
-        rows = services.StoreTable(platform)
+        rows = storeadapter.StoreTable(platform)
         done = await rows.commit(builders.put("a"))
         conditions = (
             table.Absent("t", "a"),
@@ -49,16 +49,18 @@
 
 async def test_objects_instances_and_weights():
     async with builders.serving() as (standin, platform):
-        objects = services.StoreObjects(platform)
+        objects = storeadapter.StoreObjects(platform)
         await objects.put("snapshots/7", b"\x00whole")
         assert await objects.get("snapshots/7") == b"\x00whole"
         await objects.delete("snapshots/7")
         await objects.delete("snapshots/7")
         assert await objects.get("snapshots/7") is None
         standin.memory.instances.register(builders.entry("one"))
-        listed = await rowlist.RowInstanceList(services.StoreTable(platform)).listed()
+        listed = await rowlist.RowInstanceList(
+            storeadapter.StoreTable(platform)
+        ).listed()
         assert listed == (builders.entry("one"),)
-        weights = rowweights.RowWeightStore(services.StoreTable(platform))
+        weights = rowweights.RowWeightStore(storeadapter.StoreTable(platform))
         assert await weights.reserve(100_000_000_000) == 0.0
         assert await weights.reserve(1) > 0.0
 
@@ -71,33 +73,33 @@
     ],
     ids=["down", "rate limit"],
 )
-async def test_refused_calls_are_certainly_not_applied(fault):
-    """Symptom: a write reported as failed has been applied all the same.
+async def test_refused_calls_are_not_applied(fault):
+    """Guards against a write that was applied although reported as failed.
 
-    Events: the platform answers 503 (down) or 429 (rate limit).
-    Cause: a refusal taken for a lost reply, or the other way round.
+    The platform responds with 503 (down) or 429 (rate limit). A refusal mustn't be
+    confused with a lost reply, or vice versa.
     """
     async with builders.serving() as (standin, platform):
-        rows = services.StoreTable(platform)
+        rows = storeadapter.StoreTable(platform)
         standin.memory.faults = fault
         with pytest.raises(errors.PlatformUnavailableError):
             await rows.commit(builders.put("a"))
         with pytest.raises(errors.PlatformUnavailableError):
             await rows.read("t", "a")
         with pytest.raises(errors.PlatformUnavailableError):
-            await rowlist.RowInstanceList(services.StoreTable(platform)).listed()
+            await rowlist.RowInstanceList(storeadapter.StoreTable(platform)).listed()
         standin.memory.faults = faults.Faults()
         assert await rows.read("t", "a") is None
 
 
-async def test_refused_connection_is_certainly_not_applied():
-    """Symptom: non-idempotent work waits on a row that nobody wrote.
+async def test_call_over_a_refused_connection_is_not_applied():
+    """Guards against non-idempotent requests that wait for a row never written.
 
-    Events: the platform's process is gone; connections are refused.
-    Cause: a refusal before anything was sent, taken for an unknown outcome.
+    The platform's process has ended and connections are refused. As nothing was sent,
+    the outcome isn't unknown.
     """
     async with builders.serving() as (standin, platform):
-        rows = services.StoreTable(platform)
+        rows = storeadapter.StoreTable(platform)
         await standin.stop()
         with pytest.raises(errors.PlatformUnavailableError):
             await rows.commit(builders.put("a"))
@@ -105,15 +107,15 @@
             await rows.read("t", "a")
 
 
-async def test_lost_reply_is_an_unknown_outcome_and_is_not_sent_again():
-    """Symptom: a write is applied twice, and its lost reply goes unnoticed.
+async def test_lost_reply_is_an_unknown_outcome_and_is_not_retried():
+    """Guards against a write that is applied twice while its lost reply is missed.
 
-    Events: a connection is reused; the write is applied; the reply is lost.
-    Cause: aiohttp sends a PUT or DELETE again when a reused connection breaks.
+    The write is applied over a reused connection and its reply is lost. aiohttp
+    retries a PUT or DELETE when a reused connection breaks.
     """
     async with builders.serving() as (standin, platform):
-        rows = services.StoreTable(platform)
-        objects = services.StoreObjects(platform)
+        rows = storeadapter.StoreTable(platform)
+        objects = storeadapter.StoreObjects(platform)
         await rows.commit(builders.put("a", b"old"))
         standin.memory.faults.lose_replies = 3
         with pytest.raises(errors.OutcomeUnknownError):
@@ -129,14 +131,14 @@
 
 
 async def test_timeout_of_a_sent_write_is_an_unknown_outcome():
-    """Symptom: a write reported as not applied appears later.
+    """Guards against a write that is applied after it was reported as not applied.
 
-    Events: the platform is slow; the caller's timeout passes; then it applies.
-    Cause: a timeout after sending, taken for a refusal.
+    The platform is slow and applies the write after the caller's timeout. A timeout
+    after sending isn't a refusal.
     """
     short = store_client.Timeouts(connect=10.0, total=1.0)
     async with builders.serving(short) as (standin, platform):
-        rows = services.StoreTable(platform)
+        rows = storeadapter.StoreTable(platform)
         released = asyncio.Event()
         standin.memory.gate.delay = released.wait
         with pytest.raises(errors.OutcomeUnknownError):
@@ -159,5 +161,5 @@
 )
 def test_status_of_a_refused_write(status, error):
     with pytest.raises(error) as raised:
-        store_client.reject(store_client.Reply(status, b""))
+        store_client.raise_for_status(store_client.Reply(status, b""))
     assert type(raised.value) is error
--- a/tests/test_not_run.py
+++ b/tests/test_not_run.py
@@ -1,4 +1,4 @@
-"""When a caller is told that a request was not run, it truly was not run."""
+"""A request whose answer is `not_run` was never run."""
 
 from __future__ import annotations
 
@@ -19,14 +19,13 @@
 async def test_a_burst_amid_failures(
     tmp_path: pathlib.Path, snapshot: syrupy.SnapshotAssertion
 ) -> None:
-    """A request that was told `not_run` was run all the same.
-
-    Symptom: a caller sends a quote by hand after `not_run`, and its client gets
-    it twice.
-    Sequence: a burst of all tiers with short deadlines over three instances;
-    engines refuse connections for a while, one is killed, the dispatcher is
-    frozen and killed, the platform is down for non-idempotent requests.
-    Cause: a refusal and a grant, or a refusal and a dispatch, cross each other.
+    """Guards against a request that is run although its answer is `not_run`.
+
+    After `not_run` a caller sends its quote by hand, so its client would receive it
+    twice. The test sends a burst of all tiers with short deadlines to three
+    instances; engines refuse connections for a while, the dispatcher is frozen and
+    killed, and the platform is down for non-idempotent requests. A refusal may race
+    with a grant or a dispatch.
     """
     async with deployment.Deployment(tmp_path) as running:
         for _ in range(3):
@@ -39,19 +38,19 @@
         await running.wait_for_members()
         dispatcher = await running.dispatcher("engines/0")
         others = [i for i in running.instances if i is not dispatcher]
-        choose = random.Random(7)
+        generator = random.Random(7)
         calls = [
-            running.spawn(send(running, choose, number, others))
+            running.spawn(send(running, generator, number, others))
             for number in range(REQUESTS)
         ]
-        await some_done(calls, 30)
+        await wait_for_done(calls, 30)
         await running.set_faults(running.engines[0], {"refuse_seconds": 0.5})
-        await some_done(calls, 80)
+        await wait_for_done(calls, 80)
         dispatcher.freeze()
-        await some_done(calls, 130)
+        await wait_for_done(calls, 130)
         await running.set_faults(running.platform, {"down": True})
         dispatcher.kill()
-        await some_done(calls, 180)
+        await wait_for_done(calls, 180)
         await running.set_faults(running.engines[1], {"refuse_seconds": 0.5})
         await running.set_faults(running.platform, {})
         replies = await asyncio.gather(*calls)
@@ -60,14 +59,14 @@
 
 async def send(
     running: deployment.Deployment,
-    choose: random.Random,
+    generator: random.Random,
     number: int,
     entries: list[deployment.Process],
 ) -> callers.Reply:
     """Send one request of the burst."""
-    tier = choose.choice(("high", "middle", "low"))
-    extra = {"Tealcove-Deadline": choose.choice(DEADLINES)}
-    length = choose.choice(LENGTHS)
+    tier = generator.choice(("high", "middle", "low"))
+    extra = {"Tealcove-Deadline": generator.choice(DEADLINES)}
+    length = generator.choice(LENGTHS)
     if number % 5 == 0:
         extra["Tealcove-Idempotent"] = "no"
         extra["Idempotency-Key"] = f"key-{number}"
@@ -79,8 +78,8 @@
     )
 
 
-async def some_done(calls: list[asyncio.Task[callers.Reply]], count: int) -> None:
-    """Wait until so many calls are done."""
+async def wait_for_done(calls: list[asyncio.Task[callers.Reply]], count: int) -> None:
+    """Wait until `count` calls are done."""
 
     async def enough() -> bool:
         return sum(call.done() for call in calls) >= count
@@ -91,18 +90,18 @@
 async def describe(
     running: deployment.Deployment, replies: list[callers.Reply]
 ) -> list[str]:
-    """Return what was found, in lines that are alike on every run."""
+    """Summarise the replies in lines that are the same on every run."""
     dispatched: collections.Counter[str] = collections.Counter()
     for engine in running.engines:
         dispatched.update((await running.counts(engine))["dispatches"])
     not_run = [reply for reply in replies if reply.outcome == "not_run"]
-    run_all_the_same = [r for r in not_run if dispatched[r.request_id]]
+    run_anyway = [r for r in not_run if dispatched[r.request_id]]
     outcomes = {reply.outcome for reply in replies}
     allowed = {"completed", "not_run", "interrupted", "unknown"}
     return [
         f"every request has a final answer: {outcomes <= allowed}",
         f"some were not run: {len(not_run) > 0}",
         f"some were completed: {'completed' in outcomes}",
-        f"told not run, but dispatched: {len(run_all_the_same)}",
+        f"told not run, but dispatched: {len(run_anyway)}",
         f"dispatched twice: {sum(n > 1 for n in dispatched.values())}",
     ]
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -1,4 +1,4 @@
-"""One trace and a few metrics for each request, over instances."""
+"""The trace and the metrics of each request across instances."""
 
 from __future__ import annotations
 
@@ -19,35 +19,39 @@
 
 
 def spans_of(running: embedded.Pair) -> list[tuple[str, sdk_trace.ReadableSpan]]:
-    """Return all spans with the role of the instance that made each."""
+    """Return all new spans, each with the role of its instance."""
     found = []
     for name, exporter in running.exporters.items():
         instance = running.instances[name]
-        instance.telemetry.spans.force_flush()
+        instance.telemetry.tracer_provider.force_flush()
         role = "entry" if instance is running.entry else "holder"
         found.extend((role, span) for span in exporter.get_finished_spans())
         exporter.clear()
     return found
 
 
-def draw(found: list[tuple[str, sdk_trace.ReadableSpan]], parent: str) -> list[str]:
-    """Return the tree below a parent, a line for each span."""
+def render_tree(
+    found: list[tuple[str, sdk_trace.ReadableSpan]], parent: str
+) -> list[str]:
+    """Return the tree of spans below a parent, one line for each."""
     lines = []
     for role, span in sorted(found, key=lambda one: one[1].start_time):
         if span.parent is None or trace.format_span_id(span.parent.span_id) != parent:
             continue
         assert trace.format_trace_id(span.context.trace_id) == TRACE
-        told = ", ".join(f"{k}={shown(k, v)}" for k, v in span.attributes.items())
+        pairs = ", ".join(
+            f"{k}={stable_value(k, v)}" for k, v in span.attributes.items()
+        )
         events = "".join(f" !{event.name}" for event in span.events)
         status = span.status.description or ""
-        lines.append(f"{span.name} @{role} [{told}]{events} {status}".rstrip())
-        below = draw(found, trace.format_span_id(span.context.span_id))
+        lines.append(f"{span.name} @{role} [{pairs}]{events} {status}".rstrip())
+        below = render_tree(found, trace.format_span_id(span.context.span_id))
         lines.extend(f"  {line}" for line in below)
     return lines
 
 
-def shown(key: str, value: str) -> str:
-    """Return an attribute's value, alike on every run."""
+def stable_value(key: str, value: str) -> str:
+    """Return an attribute's value, or "..." where it differs between runs."""
     return "..." if key.endswith("request_id") else value
 
 
@@ -57,7 +61,7 @@
 
 
 def names(text: str) -> list[str]:
-    """Return the families and labels of our own metrics."""
+    """Return the families and labels of the system's own metrics."""
     found = set()
     for line in text.splitlines():
         if match := re.match(r"(tealcove_\w+)(?:\{(.*)\})? ", line):
@@ -74,12 +78,12 @@
         reply = await callers.complete(running.session, url, PROMPT, extra=traced)
         assert reply.outcome == "completed"
         first = spans_of(running)
-        assert len(draw(first, CALLER)) == len(first)
-        # Most of what the tests of parts can't see: nothing of the content or key.
+        assert len(render_tree(first, CALLER)) == len(first)
+        # No span contains the prompt or the key, which tests of parts can't check.
         assert not any(PROMPT in span.to_json() for _, span in first)
         assert not any(callers.CALLER_KEY in span.to_json() for _, span in first)
         headers = callers.headers(**traced)
-        # Non-idempotent, so that a claim goes before it.
+        # Non-idempotent, so that a claim precedes the call.
         headers |= {"Tealcove-Idempotent": "no", "Idempotency-Key": "k"}
         async with running.session.get(f"{url}/prices/1", headers=headers) as response:
             assert response.status == 200
@@ -92,7 +96,11 @@
         )
         assert refused.reason == "deadline"
         third = spans_of(running)
-        trees = (draw(first, CALLER), draw(second, CALLER), draw(third, CALLER))
+        trees = (
+            render_tree(first, CALLER),
+            render_tree(second, CALLER),
+            render_tree(third, CALLER),
+        )
         assert trees == snapshot
         await callers.complete(
             running.session, url, PROMPT, extra={"traceparent": NOT_SAMPLED}
