--- a/bench/arrivals.py
+++ b/bench/arrivals.py
@@ -11,7 +11,7 @@
 from tealcove.backends import prefixes
 
 # Multiples of the capacity that come on top during a burst.
-BURST_LOAD = 3.0
+EXTRA_BURST_LOAD = 3.0
 
 
 class Request(msgspec.Struct, frozen=True):
@@ -50,20 +50,24 @@
     Each account arrives by a Poisson process with numbers of its own, so that a
     tier's requests are the same whether or not other tiers send any.
     """
-    found: list[Request] = []
+    requests: list[Request] = []
     for account in plan.accounts:
         if account.tier not in tiers:
             continue
         rate = load * plan.capacity() * account.share
-        found.extend(stream(plan, account, rate, (0.0, seconds), f"{seed}"))
+        requests.extend(
+            account_arrivals(plan, account, rate, (0.0, seconds), f"{seed}")
+        )
         if burst is not None and account.tier != plan.tiers[0]:
-            rate = BURST_LOAD * plan.capacity() * account.share
+            rate = EXTRA_BURST_LOAD * plan.capacity() * account.share
             span = (burst.start, burst.stop)
-            found.extend(stream(plan, account, rate, span, f"{seed}-burst"))
-    return sorted(found, key=lambda request: request.at)
+            requests.extend(
+                account_arrivals(plan, account, rate, span, f"{seed}-burst")
+            )
+    return sorted(requests, key=lambda request: request.at)
 
 
-def stream(
+def account_arrivals(
     plan: plans.Plan,
     account: plans.Account,
     rate: float,
@@ -71,37 +75,37 @@
     seed: str,
 ) -> list[Request]:
     """Return one account's arrivals at a rate a second."""
-    drawn = random.Random(f"{plan.name}/{account.name}/{seed}")
+    rng = random.Random(f"{plan.name}/{account.name}/{seed}")
     at, stop = span
-    found: list[Request] = []
+    requests: list[Request] = []
     while True:
-        at += drawn.expovariate(rate)
+        at += rng.expovariate(rate)
         if at >= stop:
-            return found
-        name = f"{account.name}-{seed}-{len(found)}"
-        found.append(draw(plan, account, name, at, drawn))
+            return requests
+        name = f"{account.name}-{seed}-{len(requests)}"
+        requests.append(generate_request(plan, account, name, at, rng))
 
 
-def draw(
+def generate_request(
     plan: plans.Plan,
     account: plans.Account,
     name: str,
     at: float,
-    drawn: random.Random,
+    rng: random.Random,
 ) -> Request:
     """Return one request of an account."""
-    is_long = drawn.random() < plan.long_share
+    is_long = rng.random() < plan.long_share
     length = plans.Length.LONG if is_long else plans.Length.SHORT
     shape = plan.shapes[length]
-    template = drawn.randrange(plan.templates)
-    shared = text(f"{account.name}/{template}", shape.shared_tokens)
-    own = text(f"{plan.name}/{name}", shape.prompt_tokens - shape.shared_tokens)
+    template = rng.randrange(plan.templates)
+    shared = unique_text(f"{account.name}/{template}", shape.shared_tokens)
+    own = unique_text(f"{plan.name}/{name}", shape.prompt_tokens - shape.shared_tokens)
     return Request(
         key=name,
         at=at,
         account=account.name,
         tier=account.tier,
-        data_centre=drawn.choice(plan.data_centres),
+        data_centre=rng.choice(plan.data_centres),
         length=length,
         prompt=shared + own,
         max_tokens=shape.output_tokens,
@@ -109,33 +113,33 @@
     )
 
 
-def calls(plan: plans.Plan, seconds: float, seed: int) -> list[Request]:
+def generate_calls(plan: plans.Plan, seconds: float, seed: int) -> list[Request]:
     """Return the calls of the plain service, every second one not repeatable."""
-    drawn = random.Random(f"{plan.name}/calls/{seed}")
-    found: list[Request] = []
-    at = drawn.expovariate(plans.CALL_RATE)
+    rng = random.Random(f"{plan.name}/calls/{seed}")
+    requests: list[Request] = []
+    at = rng.expovariate(plans.CALL_RATE)
     while at < seconds:
-        name = f"call-{seed}-{len(found)}"
-        folder = plan.once_path if len(found) % 2 else plan.service_path
-        account = drawn.choice(plan.accounts)
+        name = f"call-{seed}-{len(requests)}"
+        folder = plan.non_idempotent_path if len(requests) % 2 else plan.service_path
+        account = rng.choice(plan.accounts)
         call = Request(
             key=name,
             at=at,
             account=account.name,
             tier=account.tier,
-            data_centre=drawn.choice(plan.data_centres),
+            data_centre=rng.choice(plan.data_centres),
             length=plans.Length.CALL,
-            prompt=text(name, 16),
+            prompt=unique_text(name, 16),
             max_tokens=0,
             deadline=plans.CALL_DEADLINE,
             path=f"{folder}{name}",
         )
-        found.append(call)
-        at += drawn.expovariate(plans.CALL_RATE)
-    return found
+        requests.append(call)
+        at += rng.expovariate(plans.CALL_RATE)
+    return requests
 
 
-def text(name: str, tokens: int) -> str:
+def unique_text(name: str, tokens: int) -> str:
     """Return a text of so many tokens that no other name has."""
     size = tokens * prefixes.TOKEN_BYTES
     return hashlib.shake_128(name.encode()).hexdigest(size)[:size]
--- a/bench/callers.py
+++ b/bench/callers.py
@@ -17,13 +17,13 @@
 from tealcove.standins import answers, service
 
 # A caller waits for its deadline and this long, then leaves.
-GRACE = 0.5
-SENDS = 4
+TIMEOUT_MARGIN = 0.5
+MAX_ATTEMPTS = 4
 REQUEST_ID = "X-Request-Id"
 OK = 200
 
 
-class End(enum.Enum):
+class Outcome(enum.Enum):
     """How a request ended, as its caller saw it."""
 
     COMPLETED = "completed"
@@ -34,21 +34,21 @@
     # An answer that isn't the whole one of this very request.
     WRONG = "wrong"
     # The caller left, since there was no final answer.
-    LEFT = "left"
+    TIMED_OUT = "left"
     # Every connection broke.
-    CUT = "cut"
+    DISCONNECTED = "cut"
 
 
 class Reply(msgspec.Struct, frozen=True):
     """What came back on one connection."""
 
-    end: End
+    outcome: Outcome
     reason: str = ""
     request_id: str = ""
     text: str = ""
 
 
-class Sent(msgspec.Struct, frozen=True, kw_only=True):
+class SentRequest(msgspec.Struct, frozen=True, kw_only=True):
     """One request and its end; times in seconds."""
 
     key: str
@@ -59,9 +59,9 @@
     # From the time it was meant to be sent to the end, and how late it was sent.
     seconds: float
     lag: float
-    end: End
+    outcome: Outcome
     reason: str = ""
-    sends: int = 1
+    attempts: int = 1
     request_id: str = ""
     # When the answer came, by the machine's monotonic clock.
     answered: float = 0.0
@@ -69,13 +69,13 @@
     @property
     def is_good(self) -> bool:
         """Whether it was completed whole and in time."""
-        return self.end is End.COMPLETED and self.seconds <= self.deadline
+        return self.outcome is Outcome.COMPLETED and self.seconds <= self.deadline
 
 
 class Caller:
     """A program of one account in one data centre.
 
-    One-way delays are modelled here only: a caller waits before it sends and
+    One-way delays are modelled here only: a caller waits before it attempts and
     after it got the answer, longer for an entry in another data centre.
     """
 
@@ -85,7 +85,7 @@
         session: aiohttp.ClientSession,
         data_centre: str,
         api_key: str,
-        known: list[str],
+        configured_urls: list[str],
         seed: int,
     ) -> None:
         self.plan = plan
@@ -93,22 +93,22 @@
         self.data_centre = data_centre
         self.api_key = api_key
         # URLs from the caller's own settings, for when no answer is at hand.
-        self.known = known
+        self.configured_urls = configured_urls
         self.random = random.Random(seed)
         self.points: list[points.EntryPoint] = []
-        self.kept_until = 0.0
-        self.asking = asyncio.Lock()
+        self.points_valid_until = 0.0
+        self.refresh_lock = asyncio.Lock()
 
-    async def entries(self) -> list[points.EntryPoint]:
+    async def current_entry_points(self) -> list[points.EntryPoint]:
         """Return the addresses to use, asked again once their time is over."""
-        async with self.asking:
-            if time.monotonic() >= self.kept_until:
-                await self.ask()
+        async with self.refresh_lock:
+            if time.monotonic() >= self.points_valid_until:
+                await self.refresh_entry_points()
         return self.points
 
-    async def ask(self) -> None:
+    async def refresh_entry_points(self) -> None:
         """Ask any instance that answers; keep the old answer if none does."""
-        urls = [point.url for point in self.points] + self.known
+        urls = [point.url for point in self.points] + self.configured_urls
         self.random.shuffle(urls)
         for url in urls:
             try:
@@ -121,23 +121,25 @@
                 continue
             answer = msgspec.json.decode(found, type=points.EntryPoints)
             self.points = answer.entry_points
-            self.kept_until = time.monotonic() + answer.ttl_seconds
+            self.points_valid_until = time.monotonic() + answer.ttl_seconds
             return
 
-    async def send(self, request: arrivals.Request, start: float) -> Sent:
+    async def send(self, request: arrivals.Request, start: float) -> SentRequest:
         """Send a request until it has a final answer, and say how it ended."""
         due = start + request.at
         lag = time.monotonic() - due
-        sends = [0]
+        attempts = [0]
         try:
-            async with asyncio.timeout(request.deadline + GRACE - lag):
-                reply = await self.send_until_answered(request, due, sends)
+            async with asyncio.timeout(request.deadline + TIMEOUT_MARGIN - lag):
+                reply = await self.send_until_answered(request, due, attempts)
         except TimeoutError:
-            reply = Reply(End.LEFT)
+            reply = Reply(Outcome.TIMED_OUT)
         now = time.monotonic()
-        if reply.end is End.COMPLETED and not is_own(reply.text, request):
-            reply = Reply(End.WRONG, request_id=reply.request_id)
-        return Sent(
+        if reply.outcome is Outcome.COMPLETED and not is_expected_answer(
+            reply.text, request
+        ):
+            reply = Reply(Outcome.WRONG, request_id=reply.request_id)
+        return SentRequest(
             key=request.key,
             tier=request.tier,
             length=request.length,
@@ -145,35 +147,37 @@
             deadline=request.deadline,
             seconds=now - due,
             lag=lag,
-            end=reply.end,
+            outcome=reply.outcome,
             reason=reply.reason,
-            sends=sends[0],
+            attempts=attempts[0],
             request_id=reply.request_id,
             answered=now,
         )
 
     async def send_until_answered(
-        self, request: arrivals.Request, due: float, sends: list[int]
+        self, request: arrivals.Request, due: float, attempts: list[int]
     ) -> Reply:
         """Send to one entry after the other until a connection stays whole."""
-        reply = Reply(End.CUT)
-        entries = await self.entries()
-        for number in range(SENDS):
+        reply = Reply(Outcome.DISCONNECTED)
+        entries = await self.current_entry_points()
+        for number in range(MAX_ATTEMPTS):
             if not entries:
                 break
             point = entries[number % len(entries)]
-            sends[0] += 1
+            attempts[0] += 1
             delay = plans.CLIENT_DELAY
             if point.data_centre != self.data_centre:
                 delay += self.plan.delay
             await asyncio.sleep(delay)
-            reply = await self.send_once(request, point.url, due)
-            if reply.end is not End.CUT:
+            reply = await self.send_to_entry(request, point.url, due)
+            if reply.outcome is not Outcome.DISCONNECTED:
                 await asyncio.sleep(delay)
                 break
         return reply
 
-    async def send_once(self, request: arrivals.Request, url: str, due: float) -> Reply:
+    async def send_to_entry(
+        self, request: arrivals.Request, url: str, due: float
+    ) -> Reply:
         """Send a request on one connection; its key is the same each time."""
         remaining = max(0.001, due + request.deadline - time.monotonic())
         headers = {
@@ -184,32 +188,36 @@
         }
         try:
             async with self.session.post(
-                f"{url}{request.path}", data=body_of(request), headers=headers
+                f"{url}{request.path}", data=request_body(request), headers=headers
             ) as response:
                 body = await response.read()
         except (aiohttp.ClientError, OSError):
-            return Reply(End.CUT)
+            return Reply(Outcome.DISCONNECTED)
         request_id = response.headers.get(REQUEST_ID, "")
         try:
             content = msgspec.json.decode(body)
         except msgspec.DecodeError:
             # Not of the system's making, such as the library's own 404.
-            return Reply(End.REJECTED, body[:80].decode(errors="replace"), request_id)
+            return Reply(
+                Outcome.REJECTED, body[:80].decode(errors="replace"), request_id
+            )
         if response.status == OK:
-            text = text_of(content)
-            return Reply(End.COMPLETED, request_id=request_id, text=text)
-        return Reply(End(content["outcome"]), content.get("reason", ""), request_id)
+            text = answer_text(content)
+            return Reply(Outcome.COMPLETED, request_id=request_id, text=text)
+        return Reply(Outcome(content["outcome"]), content.get("reason", ""), request_id)
 
 
-def is_own(reply_text: str, request: arrivals.Request) -> bool:
+def is_expected_answer(reply_text: str, request: arrivals.Request) -> bool:
     """Tell whether an answer is the whole one of this very request."""
     if request.length is plans.Length.CALL:
-        digest = hashlib.blake2b(body_of(request), digest_size=service.DIGEST_BYTES)
+        digest = hashlib.blake2b(
+            request_body(request), digest_size=service.DIGEST_BYTES
+        )
         return reply_text == digest.hexdigest()
     return reply_text == answers.expected_answer(request.prompt, request.max_tokens)
 
 
-def body_of(request: arrivals.Request) -> bytes:
+def request_body(request: arrivals.Request) -> bytes:
     """Return what is sent."""
     if request.length is plans.Length.CALL:
         return request.prompt.encode()
@@ -217,7 +225,7 @@
     return msgspec.json.encode(body)
 
 
-def text_of(content: dict[str, typing.Any]) -> str:
+def answer_text(content: dict[str, typing.Any]) -> str:
     """Return an engine's text, or the digest that a plain service answers."""
     if "digest" in content:
         return content["digest"]
--- a/bench/engine.py
+++ b/bench/engine.py
@@ -34,13 +34,13 @@
         super().__init__(settings, engine.exit_process)
         self.counts = Counts()
         self.lose_memory()
-        self.counted_to = 0.0
+        self.counted_until = 0.0
 
     def advance(self, now: ids.Instant) -> None:
         """Count the slots taken since the last step, then take the next one."""
-        seconds = now - self.counted_to if self.counted_to else 0.0
+        seconds = now - self.counted_until if self.counted_until else 0.0
         self.counts.slot_seconds += len(self.batch.running) * seconds
-        self.counted_to = now
+        self.counted_until = now
         super().advance(now)
 
     async def complete(self, request: web.Request) -> web.StreamResponse:
@@ -49,7 +49,7 @@
         engine_counts.add(self.counts.prompts, digest(body.prompt))
         if not self.batch.running:
             # An idle engine takes no steps, so the idle time isn't counted yet.
-            self.counted_to = server.present()
+            self.counted_until = server.present()
         return await super().complete(request)
 
 
--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -20,7 +20,7 @@
 CRASH_MARKER = "crash-marker"
 ENTRY_POINTS_TTL = 2.0
 SERVICE_SLOTS = 16
-CALLER_KEY = "caller-key"
+BEARER_KEY_PREFIX = "caller-key"
 
 POLICIES = {
     "tealcove": "bench.tap:TappedFairScheduler",
@@ -70,12 +70,12 @@
         folder: pathlib.Path,
         plan: plans.Plan,
         policy: str,
-        more: dict[str, object] | None = None,
+        instance_settings: dict[str, object] | None = None,
     ) -> None:
         super().__init__(folder)
         self.plan = plan
         self.policy = policy
-        self.more = more or {}
+        self.instance_settings = instance_settings or {}
         # Of the engines' slots, which long work can't take.
         self.short_share = plan.short_share
         self.data_centres: dict[str, str] = {}
@@ -87,7 +87,7 @@
         for number in range(self.plan.services):
             await self.add_service(slots=SERVICE_SLOTS)
             name = self.services[-1].name
-            self.data_centres[name] = self.cycle(number)
+            self.data_centres[name] = self.data_centre_for(number)
         await self.declare_plan()
         for number in range(self.instance_count()):
             await self.add_planned_instance(number)
@@ -101,7 +101,7 @@
         """Return how many instances the plan has."""
         return len(self.plan.data_centres) * self.plan.instances_per_data_centre
 
-    def cycle(self, number: int) -> str:
+    def data_centre_for(self, number: int) -> str:
         """Return the data centre of the process with this number."""
         return self.plan.data_centres[number % len(self.plan.data_centres)]
 
@@ -142,12 +142,12 @@
             for name in names
         ]
         found = {
-            "data_centre": self.cycle(number),
+            "data_centre": self.data_centre_for(number),
             "data_centres": centres,
             "dispatch": {"policy": POLICIES.get(self.policy, self.policy)},
             "shutdown": {"entry_points_ttl": ENTRY_POINTS_TTL},
         }
-        await self.add_instance(**{**found, **self.more})
+        await self.add_instance(**{**found, **self.instance_settings})
 
     async def declare_plan(self) -> None:
         """Declare the plan's tiers, accounts, pools and rules."""
@@ -156,7 +156,7 @@
             spec = kinds.ServiceTierSpec(rank=rank)
             await self.put(kinds.Kind.SERVICE_TIER, tier, spec)
         for account in plan.accounts:
-            key_hash = bearer.hash_key(key_of(account.name))
+            key_hash = bearer.hash_key(bearer_key(account.name))
             spec = kinds.ClientAccountSpec(tier=account.tier, key_hashes=(key_hash,))
             await self.put(kinds.Kind.CLIENT_ACCOUNT, account.name, spec)
         await self.put(kinds.Kind.MODEL, "m", kinds.ModelSpec(version="1"))
@@ -176,7 +176,10 @@
         rule = kinds.RoutingRuleSpec(pool="services", path_prefix=plan.service_path)
         await self.put(kinds.Kind.ROUTING_RULE, "services", rule)
         rule = kinds.RoutingRuleSpec(
-            order=10, pool="services", path_prefix=plan.once_path, idempotent=False
+            order=10,
+            pool="services",
+            path_prefix=plan.non_idempotent_path,
+            idempotent=False,
         )
         await self.put(kinds.Kind.ROUTING_RULE, "once", rule)
 
@@ -247,15 +250,15 @@
                     found.append(msgspec.json.decode(line, type=LogLine))
         return found
 
-    def notes(self) -> list[tap.Note]:
+    def scheduler_records(self) -> list[tap.Record]:
         """Return what the tapped schedulers noted."""
         return [
-            msgspec.json.decode(line.message, type=tap.Note)
+            msgspec.json.decode(line.message, type=tap.Record)
             for line in self.log_lines()
             if line.channel == tap.CHANNEL
         ]
 
-    def complaints(self) -> list[str]:
+    def warnings_and_errors(self) -> list[str]:
         """Return the instances' warnings and errors."""
         return [
             f"{line.channel}: {line.message}"
@@ -273,11 +276,11 @@
             found[name] = times.user + times.system
         return found
 
-    def leave(self, number: int) -> None:
+    def drain_instance(self, number: int) -> None:
         """Ask an instance to leave gracefully."""
         self.instances[number].send(signal.SIGTERM)
 
 
-def key_of(account: str) -> str:
+def bearer_key(account: str) -> str:
     """Return an account's bearer key."""
-    return f"{CALLER_KEY}-{account}"
+    return f"{BEARER_KEY_PREFIX}-{account}"
--- a/bench/load.py
+++ b/bench/load.py
@@ -20,10 +20,10 @@
 from bench import arrivals, callers, fleet, plans, score, tap
 
 # Callers of an account in each data centre.
-CALLERS = 2
+CALLERS_PER_DATA_CENTRE = 2
 # Seconds into the run at which a scenario strikes, and for how long.
-STRIKE = 4.0
-STRIKE_SECONDS = 3.0
+FAULT_START = 4.0
+FAULT_SECONDS = 3.0
 STRAGGLER_SPEED = 0.2
 PROGRESS_INTERVAL = 5.0
 
@@ -91,7 +91,7 @@
     complaints: list[str]
 
 
-class Stage:
+class LoadRun:
     """A run in progress."""
 
     def __init__(self, run: Run, folder: pathlib.Path) -> None:
@@ -102,22 +102,22 @@
             self.fleet.short_share = run.short_share
         burst = None
         if run.scenario is Scenario.BURST:
-            burst = arrivals.Burst(STRIKE, STRIKE + STRIKE_SECONDS)
+            burst = arrivals.Burst(FAULT_START, FAULT_START + FAULT_SECONDS)
         tiers = self.plan.tiers[:1] if run.alone else self.plan.tiers
         self.requests = arrivals.generate(
             self.plan, run.load, run.seconds, run.seed, tiers, burst
         )
-        self.requests += arrivals.calls(self.plan, run.seconds, run.seed)
+        self.requests += arrivals.generate_calls(self.plan, run.seconds, run.seed)
         self.requests.sort(key=lambda request: request.at)
-        self.sent: list[callers.Sent] = []
+        self.sent: list[callers.SentRequest] = []
         # Calls of the plain service.
-        self.called: list[callers.Sent] = []
+        self.sent_calls: list[callers.SentRequest] = []
         self.cores: dict[str, float] = {}
         self.machine = 0.0
         self.busy = 0.0
 
-    async def play(self) -> Result:
-        """Start everything, send the load, and judge."""
+    async def execute(self) -> Result:
+        """Start everything, send the load, and evaluate."""
         async with self.fleet:
             await self.fleet.start_all()
             connector = aiohttp.TCPConnector(limit=0)
@@ -128,33 +128,33 @@
                 await self.send_all(session)
             counts = await self.fleet.engine_counts()
             calls = await self.fleet.call_counts()
-            return self.judge(counts, calls)
+            return self.evaluate(counts, calls)
 
     async def send_all(self, session: aiohttp.ClientSession) -> None:
         """Send each request at its time, whatever became of those before."""
-        people = self.callers(session)
+        callers_by_origin = self.create_callers(session)
         before = self.fleet.cpu_seconds()
         own = psutil.Process().cpu_times()
         psutil.cpu_percent()
         start = time.monotonic() + 0.2
-        strike = asyncio.create_task(self.strike(start))
+        inject_faults = asyncio.create_task(self.inject_faults(start))
         progress = asyncio.create_task(self.show_progress(start))
         tasks = []
         for number, request in enumerate(self.requests):
             await asyncio.sleep(max(0.0, start + request.at - time.monotonic()))
-            group = people[request.account, request.data_centre]
+            group = callers_by_origin[request.account, request.data_centre]
             sending = self.send(group[number % len(group)], request, start)
             tasks.append(asyncio.create_task(sending))
         passed = time.monotonic() - start
-        self.note_cores(before, own, passed)
+        self.measure_cores(before, own, passed)
         taken = sum(c.slot_seconds for c in await self.fleet.engine_counts())
         slots = sum(found.slots for found in self.plan.engines)
         self.busy = taken / (slots * passed)
         await asyncio.gather(*tasks)
-        await strike
+        await inject_faults
         progress.cancel()
 
-    def callers(
+    def create_callers(
         self, session: aiohttp.ClientSession
     ) -> dict[tuple[str, str], list[callers.Caller]]:
         """Return the callers by account and data centre."""
@@ -165,11 +165,11 @@
                     self.plan,
                     session,
                     data_centre,
-                    fleet.key_of(account.name),
+                    fleet.bearer_key(account.name),
                     known,
-                    seed=self.run.seed * CALLERS + number,
+                    seed=self.run.seed * CALLERS_PER_DATA_CENTRE + number,
                 )
-                for number in range(CALLERS)
+                for number in range(CALLERS_PER_DATA_CENTRE)
             ]
             for account in self.plan.accounts
             for data_centre in self.plan.data_centres
@@ -181,14 +181,14 @@
         """Send one request and keep its end."""
         sent = await caller.send(request, start)
         is_call = request.length is plans.Length.CALL
-        (self.called if is_call else self.sent).append(sent)
+        (self.sent_calls if is_call else self.sent).append(sent)
 
-    async def strike(self, start: float) -> None:
+    async def inject_faults(self, start: float) -> None:
         """Bring about what the scenario says."""
         scenario = self.run.scenario
         if scenario in (Scenario.NONE, Scenario.BURST):
             return
-        await asyncio.sleep(start + STRIKE - time.monotonic())
+        await asyncio.sleep(start + FAULT_START - time.monotonic())
         print(f"  {scenario.value}", file=sys.stderr)
         found = self.fleet
         if scenario is Scenario.STRAGGLER:
@@ -198,7 +198,7 @@
             await self.crash_engine()
         if scenario is Scenario.PLATFORM_OUTAGE:
             await found.set_faults(found.platform, {"down": True})
-            await asyncio.sleep(STRIKE_SECONDS)
+            await asyncio.sleep(FAULT_SECONDS)
             await found.set_faults(found.platform, {})
         if scenario is Scenario.ENTRY_KILLED:
             victims = found.instances
@@ -210,7 +210,7 @@
         with contextlib.suppress(aiohttp.ClientError):
             await self.fleet.crash_engine(0)
         await self.fleet.engines[0].process.wait()
-        await asyncio.sleep(STRIKE_SECONDS)
+        await asyncio.sleep(FAULT_SECONDS)
         await self.fleet.start(self.fleet.engines[0])
 
     async def show_progress(self, start: float) -> None:
@@ -223,7 +223,9 @@
                 f"  {passed:5.1f} s: {len(self.sent)} of {total} ended", file=sys.stderr
             )
 
-    def note_cores(self, before: dict[str, float], own: object, seconds: float) -> None:
+    def measure_cores(
+        self, before: dict[str, float], own: object, seconds: float
+    ) -> None:
         """Work out the cores that each kind of process used while load came in."""
         now = psutil.Process().cpu_times()
         spent = now.user + now.system - own.user - own.system
@@ -235,36 +237,37 @@
         self.machine = psutil.cpu_percent() / 100.0
         self.cores = {kind: round(value, 3) for kind, value in cores.items()}
 
-    def judge(
+    def evaluate(
         self, counts: list[fleet.engine.Counts], calls: list[dict[str, int]]
     ) -> Result:
         """Return what the callers saw and the engines counted."""
-        window = score.Window(min(STRIKE, self.run.seconds / 3), self.run.seconds)
-        work, bound = score.achieved(self.plan, self.sent, window)
-        notes = self.fleet.notes()
-        refusals = self.refusal_times(notes)
+        window = score.Window(min(FAULT_START, self.run.seconds / 3), self.run.seconds)
+        work, bound = score.work_and_bound(self.plan, self.sent, window)
+        records = self.fleet.scheduler_records()
+        refusals = self.refusal_times(records)
         tiers = sorted({s.tier for s in self.sent}, key=self.plan.tiers.index)
         by_tier = {t: [s for s in self.sent if s.tier == t] for t in tiers}
         lengths = {n: [s for s in self.sent if s.length is n] for n in self.plan.shapes}
-        everything = [*self.sent, *self.called]
+        everything = [*self.sent, *self.sent_calls]
         prompts = [found.prompts for found in counts]
         return Result(
             run=self.run,
             goodput={t: score.goodput(found) for t, found in by_tier.items()},
             goodput_by_length={n.value: score.goodput(f) for n, f in lengths.items()},
-            ends={t: score.ends(found) for t, found in by_tier.items()},
+            ends={t: score.outcome_counts(found) for t, found in by_tier.items()},
             work=work,
             bound=bound,
             prefill_tokens=sum(c.prefill_tokens for c in counts),
             prefill_wasted=sum(c.prefill_wasted for c in counts),
-            second_dispatches=repeats(prompts) + repeats(calls),
+            second_dispatches=count_repeats(prompts) + count_repeats(calls),
             unanswered=sum(
-                s.end in (callers.End.LEFT, callers.End.CUT) for s in everything
+                s.outcome in (callers.Outcome.TIMED_OUT, callers.Outcome.DISCONNECTED)
+                for s in everything
             ),
-            wrong=sum(s.end is callers.End.WRONG for s in everything),
-            sent_again=sum(s.sends > 1 for s in everything),
-            calls=score.goodput(self.called),
-            call_ends=score.ends(self.called),
+            wrong=sum(s.outcome is callers.Outcome.WRONG for s in everything),
+            sent_again=sum(s.attempts > 1 for s in everything),
+            calls=score.goodput(self.sent_calls),
+            call_ends=score.outcome_counts(self.sent_calls),
             latency={n.value: latency(found) for n, found in lengths.items()},
             refusal=quantiles(refusals),
             refusals=len(refusals),
@@ -272,22 +275,26 @@
             cores=self.cores,
             machine=self.machine,
             busy=self.busy,
-            scheduler_call=call_cost(notes),
-            complaints=self.fleet.complaints()[:20],
+            scheduler_call=scheduler_call_microseconds(records),
+            complaints=self.fleet.warnings_and_errors()[:20],
         )
 
-    def refusal_times(self, notes: list[tap.Note]) -> list[float]:
+    def refusal_times(self, records: list[tap.Record]) -> list[float]:
         """Return the seconds from each decision against a request to its answer."""
-        decided = {n.request: n.at for n in notes if isinstance(n, tap.Decision)}
-        ended = (callers.End.NOT_RUN, callers.End.INTERRUPTED)
+        decided = {
+            record.request: record.at
+            for record in records
+            if isinstance(record, tap.Decision)
+        }
+        ended = (callers.Outcome.NOT_RUN, callers.Outcome.INTERRUPTED)
         return [
             s.answered - decided[s.request_id]
             for s in self.sent
-            if s.request_id in decided and s.end in ended
+            if s.request_id in decided and s.outcome in ended
         ]
 
 
-def repeats(counts: list[dict[str, int]]) -> int:
+def count_repeats(counts: list[dict[str, int]]) -> int:
     """Return how often anything arrived again, at the same server or another."""
     seen: dict[str, int] = {}
     for found in counts:
@@ -296,9 +303,9 @@
     return sum(times - 1 for times in seen.values())
 
 
-def latency(sent: list[callers.Sent]) -> list[float]:
+def latency(sent: list[callers.SentRequest]) -> list[float]:
     """Return p50 and p95 of the completed requests' times, if there are any."""
-    found = [s.seconds for s in sent if s.end is callers.End.COMPLETED]
+    found = [s.seconds for s in sent if s.outcome is callers.Outcome.COMPLETED]
     return [score.percentile(found, percent) for percent in (50, 95) if found]
 
 
@@ -307,9 +314,9 @@
     return [score.percentile(found, percent) for percent in (50, 95, 100) if found]
 
 
-def call_cost(notes: list[tap.Note]) -> float:
+def scheduler_call_microseconds(records: list[tap.Record]) -> float:
     """Return the mean microseconds of a call of the scheduler."""
-    costs = [n for n in notes if isinstance(n, tap.Cost)]
+    costs = [record for record in records if isinstance(record, tap.Cost)]
     if not costs:
         return 0.0
     last = max(costs, key=lambda cost: cost.calls)
@@ -332,9 +339,9 @@
     out: Annotated[str, cappa.Arg(long=True)] = ""
 
 
-async def play(run: Run, folder: pathlib.Path) -> Result:
+async def execute_run(run: Run, folder: pathlib.Path) -> Result:
     """Run once with all files in a folder."""
-    return await Stage(run, folder).play()
+    return await LoadRun(run, folder).execute()
 
 
 def main() -> None:
@@ -351,7 +358,7 @@
         short_share=found.short_share,
     )
     with tempfile.TemporaryDirectory() as folder:
-        result = asyncio.run(play(run, pathlib.Path(folder)))
+        result = asyncio.run(execute_run(run, pathlib.Path(folder)))
     text = msgspec.json.format(msgspec.json.encode(result))
     if found.out:
         pathlib.Path(found.out).write_bytes(text)
--- a/bench/plans.py
+++ b/bench/plans.py
@@ -98,7 +98,7 @@
     cache_blocks: int
 
     @property
-    def once_path(self) -> str:
+    def non_idempotent_path(self) -> str:
         """Where the calls go that may not be repeated."""
         return f"{self.service_path}once/"
 
--- a/bench/score.py
+++ b/bench/score.py
@@ -34,23 +34,23 @@
         """How long it is."""
         return self.stop - self.start
 
-    def holds(self, at: float) -> bool:
+    def contains(self, at: float) -> bool:
         """Tell whether a moment lies in it."""
         return self.start <= at < self.stop
 
 
-def goodput(sent: Iterable[callers.Sent]) -> Share:
+def goodput(sent: Iterable[callers.SentRequest]) -> Share:
     """Return the requests completed whole and in time, of all sent."""
     found = list(sent)
     return Share(sum(one.is_good for one in found), len(found))
 
 
-def ends(sent: Iterable[callers.Sent]) -> dict[str, int]:
+def outcome_counts(sent: Iterable[callers.SentRequest]) -> dict[str, int]:
     """Return how many requests ended in each way, late ones apart."""
     found: dict[str, int] = {}
     for one in sent:
-        name = f"{one.end.value} {one.reason}".strip()
-        if one.end is callers.End.COMPLETED and not one.is_good:
+        name = f"{one.outcome.value} {one.reason}".strip()
+        if one.outcome is callers.Outcome.COMPLETED and not one.is_good:
             name = "completed late"
         found[name] = found.get(name, 0) + 1
     return dict(sorted(found.items()))
@@ -64,8 +64,8 @@
     return work / (plan.capacity() * seconds)
 
 
-def achieved(
-    plan: plans.Plan, sent: Iterable[callers.Sent], window: Window
+def work_and_bound(
+    plan: plans.Plan, sent: Iterable[callers.SentRequest], window: Window
 ) -> tuple[float, float]:
     """Return the good work done and the bound on it, as multiples of the capacity.
 
@@ -73,8 +73,8 @@
     the capacity at the most.
     """
     found = list(sent)
-    done = [s.length for s in found if s.is_good and window.holds(s.at + s.seconds)]
-    offered = [s.length for s in found if window.holds(s.at)]
+    done = [s.length for s in found if s.is_good and window.contains(s.at + s.seconds)]
+    offered = [s.length for s in found if window.contains(s.at)]
     bound = min(1.0, work_rate(plan, offered, window.seconds))
     return work_rate(plan, done, window.seconds), bound
 
--- a/bench/tap.py
+++ b/bench/tap.py
@@ -13,7 +13,7 @@
 
 # The log channel of the notes; `bench.fleet` reads them.
 CHANNEL = "tap"
-NOTE_INTERVAL = 1.0
+COST_INTERVAL = 1.0
 
 log = logbook.Logger(CHANNEL)
 
@@ -33,7 +33,7 @@
     seconds: float
 
 
-Note = Decision | Cost
+Record = Decision | Cost
 
 
 class TappedFairScheduler(fair.FairScheduler):
@@ -41,67 +41,67 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.requests: dict[ids.TicketId, ids.RequestId] = {}
+        self.request_ids: dict[ids.TicketId, ids.RequestId] = {}
         self.calls = 0
         self.seconds = 0.0
-        self.nesting = 0
-        self.began = 0.0
-        self.next_note = 0.0
+        self.call_depth = 0
+        self.call_start = 0.0
+        self.next_cost_record = 0.0
 
-    def enter(self) -> None:
+    def begin_call(self) -> None:
         """Begin to count a call, unless it's made by another one."""
-        self.nesting += 1
-        if self.nesting == 1:
-            self.began = time.monotonic()
+        self.call_depth += 1
+        if self.call_depth == 1:
+            self.call_start = time.monotonic()
 
-    def leave(self, decided: list[scheduler.Outgoing]) -> list[scheduler.Outgoing]:
+    def end_call(self, decided: list[scheduler.Outgoing]) -> list[scheduler.Outgoing]:
         """Count a call and note the requests that it ended."""
-        self.nesting -= 1
-        if self.nesting:
+        self.call_depth -= 1
+        if self.call_depth:
             return decided
         now = time.monotonic()
         self.calls += 1
-        self.seconds += now - self.began
+        self.seconds += now - self.call_start
         for out in decided:
             if isinstance(out.message, messages.Refusal | messages.Preempt):
-                request = self.requests.get(out.message.ticket_id, "")
-                note(Decision(request, type(out.message).__name__, now))
-        if now >= self.next_note:
-            self.next_note = now + NOTE_INTERVAL
-            note(Cost(self.calls, self.seconds))
+                request = self.request_ids.get(out.message.ticket_id, "")
+                log_record(Decision(request, type(out.message).__name__, now))
+        if now >= self.next_cost_record:
+            self.next_cost_record = now + COST_INTERVAL
+            log_record(Cost(self.calls, self.seconds))
         return decided
 
     def configure(self, cell: cells.Cell, now: ids.Instant) -> list[scheduler.Outgoing]:
         """See Scheduler."""
-        self.enter()
-        return self.leave(super().configure(cell, now))
+        self.begin_call()
+        return self.end_call(super().configure(cell, now))
 
     def enqueue(
         self, ticket: messages.Ticket, now: ids.Instant
     ) -> list[scheduler.Outgoing]:
         """See Scheduler."""
-        self.requests[ticket.ticket_id] = ticket.request_id
-        self.enter()
-        return self.leave(super().enqueue(ticket, now))
+        self.request_ids[ticket.ticket_id] = ticket.request_id
+        self.begin_call()
+        return self.end_call(super().enqueue(ticket, now))
 
     def withdraw(
         self, ticket_id: ids.TicketId, now: ids.Instant
     ) -> list[scheduler.Outgoing]:
         """See Scheduler."""
-        self.enter()
-        return self.leave(super().withdraw(ticket_id, now))
+        self.begin_call()
+        return self.end_call(super().withdraw(ticket_id, now))
 
     def progress(
         self, progress: messages.Progress, now: ids.Instant
     ) -> list[scheduler.Outgoing]:
         """See Scheduler."""
-        self.enter()
-        return self.leave(super().progress(progress, now))
+        self.begin_call()
+        return self.end_call(super().progress(progress, now))
 
     def done(self, done: messages.Done, now: ids.Instant) -> list[scheduler.Outgoing]:
         """See Scheduler."""
-        self.enter()
-        return self.leave(super().done(done, now))
+        self.begin_call()
+        return self.end_call(super().done(done, now))
 
     def report(
         self,
@@ -110,22 +110,22 @@
         now: ids.Instant,
     ) -> list[scheduler.Outgoing]:
         """See Scheduler."""
-        self.enter()
-        return self.leave(super().report(server, load, now))
+        self.begin_call()
+        return self.end_call(super().report(server, load, now))
 
     def lose_entry(
         self, entry: ids.InstanceId, now: ids.Instant
     ) -> list[scheduler.Outgoing]:
         """See Scheduler."""
-        self.enter()
-        return self.leave(super().lose_entry(entry, now))
+        self.begin_call()
+        return self.end_call(super().lose_entry(entry, now))
 
     def tick(self, now: ids.Instant) -> list[scheduler.Outgoing]:
         """See Scheduler."""
-        self.enter()
-        return self.leave(super().tick(now))
+        self.begin_call()
+        return self.end_call(super().tick(now))
 
 
-def note(found: Note) -> None:
+def log_record(record: Record) -> None:
     """Write a note into the instance's log."""
-    log.info("{}", msgspec.json.encode(found).decode())
+    log.info("{}", msgspec.json.encode(record).decode())
--- a/bench/witness.py
+++ b/bench/witness.py
@@ -27,14 +27,14 @@
 MOST_LAG = 0.03
 
 
-class Stage(load.Stage):
+class WitnessRun(load.LoadRun):
     """A load during which one entry after the other is killed, or none."""
 
     def __init__(
         self, run: load.Run, folder: pathlib.Path, timeout: float, deaths: int
     ) -> None:
         super().__init__(run, folder)
-        self.fleet.more = {
+        self.fleet.instance_settings = {
             "dispatch": {
                 "policy": fleet.POLICIES[run.policy],
                 "witness_timeout": timeout,
@@ -43,10 +43,10 @@
         self.deaths = deaths
         self.found: dict[str, float] = {}
 
-    async def strike(self, start: float) -> None:
+    async def inject_faults(self, start: float) -> None:
         """Kill entries, and start each again later."""
         for number in range(self.deaths):
-            at = start + load.STRIKE + number * DEATH_INTERVAL
+            at = start + load.FAULT_START + number * DEATH_INTERVAL
             await asyncio.sleep(at - time.monotonic())
             victim = self.fleet.instances[number]
             victim.kill()
@@ -68,17 +68,17 @@
                         total += float(line.rpartition(" ")[2])
         return total
 
-    def judge(
+    def evaluate(
         self, counts: list[fleet.engine.Counts], calls: list[dict[str, int]]
     ) -> load.Result:
         """Note what is about requests to engines only."""
-        again = [sent for sent in self.sent if sent.sends > 1]
-        result = super().judge(counts, calls)
-        completed = [s.seconds for s in again if s.end is callers.End.COMPLETED]
+        again = [sent for sent in self.sent if sent.attempts > 1]
+        result = super().evaluate(counts, calls)
+        completed = [s.seconds for s in again if s.outcome is callers.Outcome.COMPLETED]
         self.found |= {
             "requests": len(self.sent),
             "sent again": len(again),
-            "second dispatches": load.repeats([c.prompts for c in counts]),
+            "second dispatches": load.count_repeats([c.prompts for c in counts]),
             "of those sent again, % in time": percent(again),
             "of all, % in time": percent(self.sent),
             "% of prefill wasted": 100 * result.prefill_wasted / result.prefill_tokens,
@@ -89,22 +89,26 @@
             "instances' cores": result.cores["instance"],
             "wrong": result.wrong,
             "unanswered": unanswered(self.sent),
-            "calls unanswered": unanswered(self.called),
+            "calls unanswered": unanswered(self.sent_calls),
             "lag s": result.lag,
             "machine": result.machine,
         }
         return result
 
 
-def unanswered(sent: list[callers.Sent]) -> int:
+def unanswered(sent: list[callers.SentRequest]) -> int:
     """Return how many got no final answer, and say which."""
-    found = [s for s in sent if s.end in (callers.End.LEFT, callers.End.CUT)]
+    found = [
+        s
+        for s in sent
+        if s.outcome in (callers.Outcome.TIMED_OUT, callers.Outcome.DISCONNECTED)
+    ]
     for one in found:
         print(f"  {one}", file=sys.stderr)
     return len(found)
 
 
-def percent(sent: list[callers.Sent]) -> float:
+def percent(sent: list[callers.SentRequest]) -> float:
     """Return the part that was completed whole and in time."""
     return 100 * mean([float(one.is_good) for one in sent])
 
@@ -126,10 +130,10 @@
         seconds=found.seconds,
     )
     with tempfile.TemporaryDirectory() as name:
-        stage = Stage(run, pathlib.Path(name), timeout, found.deaths)
-        result = await stage.play()
+        witness_run = WitnessRun(run, pathlib.Path(name), timeout, found.deaths)
+        result = await witness_run.execute()
     print(result.complaints[:3], file=sys.stderr)
-    return stage.found
+    return witness_run.found
 
 
 async def run(found: argparse.Namespace) -> None:
--- a/tests/test_bench.py
+++ b/tests/test_bench.py
@@ -12,9 +12,9 @@
     at: float = 0.0,
     seconds: float = 1.0,
     length: plans.Length = plans.Length.SHORT,
-    end: callers.End = callers.End.COMPLETED,
-) -> callers.Sent:
-    return callers.Sent(
+    outcome: callers.Outcome = callers.Outcome.COMPLETED,
+) -> callers.SentRequest:
+    return callers.SentRequest(
         key="k",
         tier="line",
         length=length,
@@ -22,7 +22,7 @@
         deadline=SHAPES[length].deadline,
         seconds=seconds,
         lag=0.0,
-        end=end,
+        outcome=outcome,
     )
 
 
@@ -30,11 +30,11 @@
     found = [
         sent(),
         sent(seconds=1.6),
-        sent(end=callers.End.NOT_RUN),
-        sent(end=callers.End.WRONG),
+        sent(outcome=callers.Outcome.NOT_RUN),
+        sent(outcome=callers.Outcome.WRONG),
     ]
     assert score.goodput(found) == score.Share(1, 4)
-    assert score.ends(found) == {
+    assert score.outcome_counts(found) == {
         "completed": 1,
         "completed late": 1,
         "not_run": 1,
@@ -68,12 +68,12 @@
         sent(at=7.0, seconds=2.0, length=long),
         sent(at=5.0, seconds=9.0, length=long),
     ]
-    done, bound = score.achieved(plan, found, window)
+    done, bound = score.work_and_bound(plan, found, window)
     one = plan.work(long) / (plan.capacity() * 4.0)
     assert done == pytest.approx(one)
     assert bound == pytest.approx(2 * one)
     many = [sent(at=5.0, length=long)] * 1000
-    assert score.achieved(plan, many, window)[1] == 1.0
+    assert score.work_and_bound(plan, many, window)[1] == 1.0
 
 
 def test_a_tier_sends_the_same_requests_alone() -> None:
