--- a/bench/baselines.py
+++ b/bench/baselines.py
@@ -29,7 +29,7 @@
         """The server's name."""
         return ids.BackendServerId(self.spec.name)
 
-    def takes_work(self) -> bool:
+    def is_available(self) -> bool:
         """Tell whether the server is there; how busy it is doesn't matter."""
         wanted = self.spec.state is kinds.ServerState.SERVING
         leaving = self.load is not None and self.load.state == "leaving"
@@ -63,22 +63,24 @@
         """See Scheduler."""
         if ticket.running_on is not None:
             return []
-        return [scheduler.Outgoing(ticket.entry, self.answer(ticket))]
+        return [scheduler.Outgoing(ticket.entry, self.grant_or_refuse(ticket))]
 
-    def answer(self, ticket: messages.Ticket) -> messages.Grant | messages.Refusal:
+    def grant_or_refuse(
+        self, ticket: messages.Ticket
+    ) -> messages.Grant | messages.Refusal:
         """Return a grant, or a refusal when no server is there."""
-        found = [
+        available = [
             server
             for server in self.servers.values()
-            if server.takes_work() and server.name not in ticket.excluded
+            if server.is_available() and server.name not in ticket.excluded
         ]
-        if not found:
+        if not available:
             return messages.Refusal(
                 ticket_id=ticket.ticket_id,
                 reason=messages.RefusalReason.NO_BACKEND_SERVER,
                 retry_after=RETRY_AFTER,
             )
-        chosen = self.choose(found)
+        chosen = self.choose(available)
         return messages.Grant(
             ticket_id=ticket.ticket_id,
             cell=ticket.cell,
--- a/bench/cost.py
+++ b/bench/cost.py
@@ -37,7 +37,7 @@
 STREAM_RATE = 20.0
 LATENCY_RATE = 40.0
 ACCOUNTS = 39_000
-SETTLE_SECONDS = 5.0
+IDLE_SECONDS = 5.0
 MILLION = 1e6
 MIB = 2**20
 PROMPT = "x" * 160
@@ -56,7 +56,7 @@
     figures: dict[str, float]
 
 
-class Bench:
+class MeasuredDeployment:
     """A small deployment whose instances are watched."""
 
     def __init__(self, folder: pathlib.Path) -> None:
@@ -82,7 +82,7 @@
         """Return the cores that the instances use without any request."""
         await asyncio.sleep(1.0)
         before, began = self.cpu_seconds(), time.monotonic()
-        await asyncio.sleep(SETTLE_SECONDS)
+        await asyncio.sleep(IDLE_SECONDS)
         return (self.cpu_seconds() - before) / (time.monotonic() - began)
 
     async def load(self, send: Send, rate: float, seconds: float) -> tuple[int, float]:
@@ -110,19 +110,19 @@
     return times.user + times.system
 
 
-def body(tokens: int, stream: bool) -> dict[str, object]:
+def request_body(tokens: int, stream: bool) -> dict[str, object]:
     """Return a request's body; the prompt is one that no other request has."""
     prompt = secrets.token_hex(16) + PROMPT
     return {"model": "m", "prompt": prompt, "max_tokens": tokens, "stream": stream}
 
 
-def sender(tokens: int, stream: bool) -> Send:
+def request_sender(tokens: int, stream: bool) -> Send:
     """Return a function that sends one request and reads its answer."""
 
     async def send(session: aiohttp.ClientSession, url: str) -> None:
         async with session.post(
             f"{url}/v1/completions",
-            json=body(tokens, stream),
+            json=request_body(tokens, stream),
             headers=callers.headers(),
         ) as response:
             found = await response.read()
@@ -136,21 +136,23 @@
     """Send one request straight to an engine."""
     headers = {"X-Request-Id": secrets.token_hex(10)}
     async with session.post(
-        f"{url}/v1/completions", json=body(LATENCY_TOKENS, True), headers=headers
+        f"{url}/v1/completions",
+        json=request_body(LATENCY_TOKENS, True),
+        headers=headers,
     ) as response:
         await response.read()
 
 
 async def measure_requests(folder: pathlib.Path, seconds: float) -> dict[str, float]:
     """Return the processor time per buffered request, all roles together."""
-    bench = Bench(folder)
-    async with bench.fleet:
-        await bench.start(FAST_ENGINE, INSTANCES)
-        await bench.load(sender(SHORT_TOKENS, False), REQUEST_RATE, 2.0)
-        idle = await bench.idle_cores()
+    deployed = MeasuredDeployment(folder)
+    async with deployed.fleet:
+        await deployed.start(FAST_ENGINE, INSTANCES)
+        await deployed.load(request_sender(SHORT_TOKENS, False), REQUEST_RATE, 2.0)
+        idle = await deployed.idle_cores()
         began = time.monotonic()
-        count, spent = await bench.load(
-            sender(SHORT_TOKENS, False), REQUEST_RATE, seconds
+        count, spent = await deployed.load(
+            request_sender(SHORT_TOKENS, False), REQUEST_RATE, seconds
         )
         spent -= idle * (time.monotonic() - began)
     return {
@@ -161,36 +163,40 @@
 
 async def measure_chunks(folder: pathlib.Path, seconds: float) -> dict[str, float]:
     """Return the processor time per streamed chunk, and per buffered one."""
-    bench = Bench(folder)
+    deployed = MeasuredDeployment(folder)
     found = {}
-    async with bench.fleet:
-        await bench.start(CHUNK_ENGINE, INSTANCES)
+    async with deployed.fleet:
+        await deployed.start(CHUNK_ENGINE, INSTANCES)
         for name, stream in (("streamed", True), ("buffered", False)):
-            slope = await chunk_slope(bench, stream, seconds)
+            slope = await seconds_per_chunk(deployed, stream, seconds)
             found[f"{name} chunk, us of a core"] = slope * MILLION
     return found
 
 
-async def chunk_slope(bench: Bench, stream: bool, seconds: float) -> float:
+async def seconds_per_chunk(
+    deployed: MeasuredDeployment, stream: bool, seconds: float
+) -> float:
     """Return the seconds per chunk: the slope between short and long answers."""
     spent = []
     for tokens in (FEW_CHUNKS, MANY_CHUNKS):
-        idle = await bench.idle_cores()
+        idle = await deployed.idle_cores()
         began = time.monotonic()
-        count, used = await bench.load(sender(tokens, stream), STREAM_RATE, seconds)
+        count, used = await deployed.load(
+            request_sender(tokens, stream), STREAM_RATE, seconds
+        )
         spent.append((used - idle * (time.monotonic() - began)) / count)
     return (spent[1] - spent[0]) / (MANY_CHUNKS - FEW_CHUNKS)
 
 
 async def measure_latency(folder: pathlib.Path, seconds: float) -> dict[str, float]:
     """Return what the system adds to a direct call, the two taking turns."""
-    bench = Bench(folder)
+    deployed = MeasuredDeployment(folder)
     times: dict[bool, list[float]] = {True: [], False: []}
-    through = sender(LATENCY_TOKENS, False)
-    async with bench.fleet:
-        await bench.start(FAST_ENGINE, INSTANCES)
-        await bench.load(through, LATENCY_RATE, 2.0)
-        engine = bench.fleet.engines[0].url
+    through = request_sender(LATENCY_TOKENS, False)
+    async with deployed.fleet:
+        await deployed.start(FAST_ENGINE, INSTANCES)
+        await deployed.load(through, LATENCY_RATE, 2.0)
+        engine = deployed.fleet.engines[0].url
 
         async def timed(session: aiohttp.ClientSession, url: str, direct: bool) -> None:
             began = time.monotonic()
@@ -201,9 +207,9 @@
             start = time.monotonic()
             tasks = []
             for number in range(int(LATENCY_RATE * seconds)):
-                due = start + number / LATENCY_RATE
-                await asyncio.sleep(max(0.0, due - time.monotonic()))
-                url = bench.fleet.instances[number // 2 % INSTANCES].url
+                send_at = start + number / LATENCY_RATE
+                await asyncio.sleep(max(0.0, send_at - time.monotonic()))
+                url = deployed.fleet.instances[number // 2 % INSTANCES].url
                 tasks.append(asyncio.create_task(timed(session, url, number % 2 == 0)))
             await asyncio.gather(*tasks)
     found = {}
@@ -216,7 +222,7 @@
     return found
 
 
-async def bare_imports() -> float:
+async def import_memory() -> float:
     """Return the MiB of a process that has imported all and does nothing."""
     process = await asyncio.create_subprocess_exec(
         sys.executable,
@@ -226,32 +232,32 @@
         stdout=asyncio.subprocess.PIPE,
     )
     await process.stdout.readline()
-    found = resident(process.pid)
+    found = resident_mib(process.pid)
     process.kill()
     await process.wait()
     return found
 
 
-def resident(pid: int) -> float:
+def resident_mib(pid: int) -> float:
     """Return the resident memory of a process in MiB."""
     return psutil.Process(pid).memory_info().rss / MIB
 
 
 async def measure_memory(folder: pathlib.Path, accounts: int) -> dict[str, float]:
     """Return the memory of an idle instance beyond that of the bare imports."""
-    bare = await bare_imports()
-    bench = Bench(folder)
-    async with bench.fleet:
-        await bench.start(FAST_ENGINE, INSTANCES)
-        await asyncio.sleep(SETTLE_SECONDS)
-        idle = [resident(i.process.pid) for i in bench.fleet.instances]
-        await declare_accounts(bench.fleet, accounts)
-        await bench.fleet.add_instance()
-        started = bench.fleet.instances[-1]
-        await bench.fleet.wait_until_ready(started)
-        await asyncio.sleep(SETTLE_SECONDS)
-        followed = [resident(i.process.pid) for i in bench.fleet.instances[:-1]]
-        fresh = resident(started.process.pid)
+    bare = await import_memory()
+    deployed = MeasuredDeployment(folder)
+    async with deployed.fleet:
+        await deployed.start(FAST_ENGINE, INSTANCES)
+        await asyncio.sleep(IDLE_SECONDS)
+        idle = [resident_mib(i.process.pid) for i in deployed.fleet.instances]
+        await declare_accounts(deployed.fleet, accounts)
+        await deployed.fleet.add_instance()
+        started = deployed.fleet.instances[-1]
+        await deployed.fleet.wait_until_ready(started)
+        await asyncio.sleep(IDLE_SECONDS)
+        followed = [resident_mib(i.process.pid) for i in deployed.fleet.instances[:-1]]
+        fresh = resident_mib(started.process.pid)
     return {
         "bare imports, MiB": bare,
         "idle above bare imports, MiB": max(idle) - bare,
@@ -339,10 +345,10 @@
     rounded = {name: round(value, 3) for name, value in figures.items()}
     print(json.dumps(rounded, indent=2))
     if found.out:
-        store(pathlib.Path(found.out), Cost(found.label, rounded))
+        append_cost(pathlib.Path(found.out), Cost(found.label, rounded))
 
 
-def store(path: pathlib.Path, cost: Cost) -> None:
+def append_cost(path: pathlib.Path, cost: Cost) -> None:
     """Add the figures of a run to a file."""
     kept = []
     if path.exists():
--- a/bench/dispatch_cost.py
+++ b/bench/dispatch_cost.py
@@ -21,10 +21,10 @@
 DEADLINE = 3600.0
 TICK_SECONDS = 0.05
 # Requests a second of a cell, for the share of a core.
-RATE = 100.0
+REQUEST_RATE = 100.0
 
 
-def open_cell() -> fair.FairScheduler:
+def create_scheduler() -> fair.FairScheduler:
     """Return a scheduler of a full-sized cell."""
     servers = tuple(
         kinds.BackendServerSpec(
@@ -55,7 +55,7 @@
     )
 
 
-def done(grant: messages.Grant) -> messages.Done:
+def completion(grant: messages.Grant) -> messages.Done:
     """Return the end of a granted request."""
     return messages.Done(
         ticket_id=grant.ticket_id,
@@ -70,38 +70,38 @@
     )
 
 
-class Run:
+class FullCell:
     """A cell whose slots are all taken, with a queue of constant length."""
 
     def __init__(self, queued: int) -> None:
-        self.scheduler = open_cell()
+        self.scheduler = create_scheduler()
         self.now = 0.0
         self.grants: list[messages.Grant] = []
         self.numbers = iter(range(10**9))
         for _ in range(SERVERS * SLOTS + queued):
-            self.arrive()
+            self.enqueue_ticket()
 
-    def take(self, outgoing: list) -> None:
+    def collect_grants(self, outgoing: list) -> None:
         """Remember the grants."""
         for out in outgoing:
             if isinstance(out.message, messages.Grant):
                 self.grants.append(out.message)
 
-    def arrive(self) -> None:
+    def enqueue_ticket(self) -> None:
         """Let a ticket come."""
         arriving = ticket(next(self.numbers))
-        self.take(self.scheduler.enqueue(arriving, ids.Instant(self.now)))
+        self.collect_grants(self.scheduler.enqueue(arriving, ids.Instant(self.now)))
 
-    def end(self) -> None:
+    def complete_oldest(self) -> None:
         """Let the oldest running request end."""
-        ended = done(self.grants.pop(0))
-        self.take(self.scheduler.done(ended, ids.Instant(self.now)))
+        ended = completion(self.grants.pop(0))
+        self.collect_grants(self.scheduler.done(ended, ids.Instant(self.now)))
 
     def step(self) -> None:
         """One request's whole way: it comes, another one ends."""
-        self.now += 1.0 / RATE
-        self.arrive()
-        self.end()
+        self.now += 1.0 / REQUEST_RATE
+        self.enqueue_ticket()
+        self.complete_oldest()
 
     def tick(self) -> None:
         """Let the scheduler see time pass; each fifth tick reviews all servers."""
@@ -109,11 +109,11 @@
         self.scheduler.tick(ids.Instant(self.now))
 
 
-def measure(act: Callable[[], None], count: int) -> float:
+def measure(step: Callable[[], None], count: int) -> float:
     """Return the mean microseconds of the processor that a step takes."""
     began = time.process_time()
     for _ in range(count):
-        act()
+        step()
     return (time.process_time() - began) / count * 1e6
 
 
@@ -128,11 +128,11 @@
     for queued in found.queued:
         tickets, ticks = [], []
         for _ in range(found.repeats):
-            run = Run(queued)
-            tickets.append(measure(run.step, found.count))
-            ticks.append(measure(run.tick, 100))
+            cell_run = FullCell(queued)
+            tickets.append(measure(cell_run.step, found.count))
+            ticks.append(measure(cell_run.tick, 100))
         each, tick = statistics.median(tickets), statistics.median(ticks)
-        share = (each * RATE + tick / TICK_SECONDS) / 1e6 * 100
+        share = (each * REQUEST_RATE + tick / TICK_SECONDS) / 1e6 * 100
         print(
             f"{queued:6}  {each:11.1f}  ({min(tickets):.1f} - {max(tickets):.1f})"
             f"  {tick:9.1f}  {share:.2f}"
--- a/bench/limits_cost.py
+++ b/bench/limits_cost.py
@@ -20,21 +20,21 @@
 TOKENS = 300.0
 ACCOUNT = ids.AccountId("account")
 MICROSECONDS = 1e6
-PLENTY = limit.Limit(rate=1e12, burst=1e12)
-NOTHING = limit.Limit(rate=1e-9, burst=1e-9)
+NEVER_REACHED = limit.Limit(rate=1e12, burst=1e12)
+ALWAYS_EXCEEDED = limit.Limit(rate=1e-9, burst=1e-9)
 
 
-def admission(found: limit.Limit | None) -> float:
+def admission_microseconds(found: limit.Limit | None) -> float:
     """Return the microseconds of one admission, or refusal, and its settling."""
     known = population.deployment(1)
     limits = role.Limits(slope.Wire(), known, lambda _: found, population.NOW)
     with contextlib.suppress(role.OverLimitError):
         limits.charge(ACCOUNT, TOKENS, population.NOW)
-    began = time.process_time()
+    started = time.process_time()
     for _ in range(ADMISSIONS):
         with contextlib.suppress(role.OverLimitError):
             limits.charge(ACCOUNT, TOKENS, population.NOW).settle(TOKENS)
-    return (time.process_time() - began) / ADMISSIONS * MICROSECONDS
+    return (time.process_time() - started) / ADMISSIONS * MICROSECONDS
 
 
 def main() -> None:
@@ -44,9 +44,13 @@
     parser.add_argument("--instances", type=int, default=580)
     parser.add_argument("--runs", type=int, default=3)
     found = parser.parse_args()
-    kinds = {"no limit": None, "admitted": PLENTY, "over its limit": NOTHING}
+    kinds = {
+        "no limit": None,
+        "admitted": NEVER_REACHED,
+        "over its limit": ALWAYS_EXCEEDED,
+    }
     for name, kind in kinds.items():
-        runs = [admission(kind) for _ in range(found.runs)]
+        runs = [admission_microseconds(kind) for _ in range(found.runs)]
         print(f"{name}: {size.text(size.summary(runs), 2)} us")
     runs = [slope.measure(found.instances, found.accounts) for _ in range(found.runs)]
     for name in ("bytes out a second", "bytes in a second"):
--- a/bench/policy.py
+++ b/bench/policy.py
@@ -23,15 +23,15 @@
 ALL = "all"
 # A tool that sends so late measures the machine's other work: once 1 in 100
 # requests was later than this, in seconds, the run is thrown away and repeated.
-MOST_LAG = 0.03
+MAX_LAG = 0.03
 ATTEMPTS = 5
 # A run waits for a second in which no more than this part of the machine was
 # busy, but for so many seconds at the most.
-CALM = 0.5
-LONGEST_WAIT = 120
+MAX_BUSY_SHARE = 0.5
+MAX_IDLE_WAIT_SECONDS = 120
 
 
-class Labelled(msgspec.Struct, frozen=True):
+class LabelledResult(msgspec.Struct, frozen=True):
     """A result and the revision of the source that gave it."""
 
     label: str
@@ -59,18 +59,18 @@
     jobs: Annotated[int, cappa.Arg(long=True)] = 1
 
 
-def choose(text: str, every: list[str]) -> list[str]:
+def parse_names(text: str, every: list[str]) -> list[str]:
     """Return the names of a list parted by commas."""
     return every if text == ALL else text.split(",")
 
 
-def runs(found: Arguments) -> list[load.Run]:
+def planned_runs(found: Arguments) -> list[load.Run]:
     """Return what is to be run."""
     table = itertools.product(
         [int(seed) for seed in found.seeds.split(",")],
-        choose(found.plans, list(plans.PLANS)),
-        scenarios(found),
-        choose(found.policies, list(fleet.POLICIES)),
+        parse_names(found.plans, list(plans.PLANS)),
+        loads_and_scenarios(found),
+        parse_names(found.policies, list(fleet.POLICIES)),
     )
     return [
         load.Run(
@@ -87,7 +87,7 @@
     ]
 
 
-def scenarios(found: Arguments) -> list[tuple[float, load.Scenario]]:
+def loads_and_scenarios(found: Arguments) -> list[tuple[float, load.Scenario]]:
     """Return the loads, each with what goes wrong under it."""
     if found.scenarios:
         wrong = [s for s in load.Scenario if s is not load.Scenario.NONE]
@@ -96,27 +96,27 @@
     return [(multiple, load.Scenario.NONE) for multiple in loads]
 
 
-async def play(run: load.Run, folder: str) -> load.Result | None:
+async def run_undisturbed(run: load.Run, folder: str) -> load.Result | None:
     """Run until a run wasn't disturbed; None when none succeeded."""
     for _ in range(ATTEMPTS):
-        await calm()
-        result = await play_once(run, folder)
-        if result is not None and result.lag <= MOST_LAG:
+        await wait_until_idle()
+        result = await run_once(run, folder)
+        if result is not None and result.lag <= MAX_LAG:
             return result
         if result is not None:
             print(f"disturbed, lag {result.lag:.3f} s: {describe(result)}", flush=True)
     return None
 
 
-async def calm() -> None:
-    """Wait for a calm second, at most LONGEST_WAIT of them."""
-    for _ in range(LONGEST_WAIT):
+async def wait_until_idle() -> None:
+    """Wait for a calm second, at most MAX_IDLE_WAIT_SECONDS of them."""
+    for _ in range(MAX_IDLE_WAIT_SECONDS):
         busy = await asyncio.to_thread(psutil.cpu_percent, 1.0)
-        if busy <= 100.0 * CALM:
+        if busy <= 100.0 * MAX_BUSY_SHARE:
             return
 
 
-async def play_once(run: load.Run, folder: str) -> load.Result | None:
+async def run_once(run: load.Run, folder: str) -> load.Result | None:
     """Run once in a process of its own; None when it failed."""
     out = pathlib.Path(folder) / f"{time.monotonic_ns()}.json"
     arguments = [
@@ -137,9 +137,9 @@
     process = await asyncio.create_subprocess_exec(
         sys.executable, *arguments, stderr=asyncio.subprocess.PIPE
     )
-    _, told = await process.communicate()
+    _, stderr = await process.communicate()
     if process.returncode != 0:
-        print(told.decode(errors="replace")[-2000:], file=sys.stderr)
+        print(stderr.decode(errors="replace")[-2000:], file=sys.stderr)
         return None
     return msgspec.json.decode(out.read_bytes(), type=load.Result)
 
@@ -160,45 +160,45 @@
     )
 
 
-def store(path: pathlib.Path, label: str, result: load.Result) -> None:
+def add_result(path: pathlib.Path, label: str, result: load.Result) -> None:
     """Add a result to the file, in place of an earlier one of the same run."""
-    kept: list[Labelled] = []
+    kept: list[LabelledResult] = []
     if path.exists():
-        kept = msgspec.json.decode(path.read_bytes(), type=list[Labelled])
+        kept = msgspec.json.decode(path.read_bytes(), type=list[LabelledResult])
     kept = [one for one in kept if (one.label, one.result.run) != (label, result.run)]
-    kept.append(Labelled(label, result))
+    kept.append(LabelledResult(label, result))
     lines = [msgspec.json.encode(one) for one in kept]
     path.write_bytes(b"[\n" + b",\n".join(lines) + b"\n]\n")
 
 
-async def play_all(found: Arguments) -> int:
+async def run_all(found: Arguments) -> int:
     """Run everything, a few at once; return how many runs failed."""
-    todo = runs(found)
+    planned = planned_runs(found)
     path = pathlib.Path(found.out)
-    free = asyncio.Semaphore(found.jobs)
+    job_slots = asyncio.Semaphore(found.jobs)
     failed = 0
 
-    async def play_one(number: int, run: load.Run, folder: str) -> None:
+    async def run_one(number: int, run: load.Run, folder: str) -> None:
         nonlocal failed
-        async with free:
-            result = await play(run, folder)
+        async with job_slots:
+            result = await run_undisturbed(run, folder)
         if result is None:
             failed += 1
-            print(f"{number + 1}/{len(todo)} failed: {run}", flush=True)
+            print(f"{number + 1}/{len(planned)} failed: {run}", flush=True)
             return
-        store(path, found.label, result)
-        print(f"{number + 1}/{len(todo)} {describe(result)}", flush=True)
+        add_result(path, found.label, result)
+        print(f"{number + 1}/{len(planned)} {describe(result)}", flush=True)
 
     with tempfile.TemporaryDirectory() as folder:
         await asyncio.gather(
-            *(play_one(number, run, folder) for number, run in enumerate(todo))
+            *(run_one(number, run, folder) for number, run in enumerate(planned))
         )
     return failed
 
 
 def main() -> None:
     """Run as the command line says; exit code 1 when a run failed."""
-    sys.exit(1 if asyncio.run(play_all(cappa.parse(Arguments))) else 0)
+    sys.exit(1 if asyncio.run(run_all(cappa.parse(Arguments))) else 0)
 
 
 if __name__ == "__main__":
--- a/bench/report.py
+++ b/bench/report.py
@@ -15,34 +15,34 @@
 from bench import cost, fleet, load, plans, policy, score
 
 PAGE = "docs/MEASUREMENTS.md"
-OWN = "tealcove"
+OWN_POLICY = "tealcove"
 
 Results = list[load.Result]
 
 
-def read(path: str, label: str) -> Results:
+def read_results(path: str, label: str) -> Results:
     """Return the results of one revision."""
     found = msgspec.json.decode(
-        pathlib.Path(path).read_bytes(), type=list[policy.Labelled]
+        pathlib.Path(path).read_bytes(), type=list[policy.LabelledResult]
     )
     return [one.result for one in found if one.label == label]
 
 
-def select(results: Results, **wanted: object) -> Results:
+def select(results: Results, **criteria: object) -> Results:
     """Return the results whose run has these values."""
     return [
         result
         for result in results
-        if all(getattr(result.run, name) == value for name, value in wanted.items())
+        if all(getattr(result.run, name) == value for name, value in criteria.items())
     ]
 
 
-def wasted(result: load.Result) -> float:
+def wasted_share(result: load.Result) -> float:
     """Return the wasted part of the prefill computed."""
     return result.prefill_wasted / max(1, result.prefill_tokens)
 
 
-def of_bound(result: load.Result) -> float:
+def share_of_bound(result: load.Result) -> float:
     """Return the good work as a part of its bound."""
     return result.work / result.bound if result.bound else 1.0
 
@@ -62,19 +62,19 @@
     return row(names) + row(["---"] * len(names))
 
 
-def cells(results: Results, plan: plans.Plan) -> list[str]:
+def run_cells(results: Results, plan: plans.Plan) -> list[str]:
     """Return the columns that all tables of runs share."""
     return [
         *(tier_goodput(results, tier) for tier in plan.tiers),
-        score.spread(of_bound(result) for result in results),
-        score.spread(wasted(result) for result in results),
+        score.spread(share_of_bound(result) for result in results),
+        score.spread(wasted_share(result) for result in results),
         str(sum(result.second_dispatches for result in results)),
         str(sum(result.unanswered for result in results)),
         str(len(results)),
     ]
 
 
-def columns(plan: plans.Plan) -> list[str]:
+def run_columns(plan: plans.Plan) -> list[str]:
     """Return the names of the columns that all tables of runs share."""
     return [
         *(f"goodput {tier}" for tier in plan.tiers),
@@ -90,7 +90,7 @@
     """Return the policies at each load."""
     text = ""
     for plan in plans.PLANS.values():
-        text += f"\n{plan.name}\n\n" + header(["load", "policy", *columns(plan)])
+        text += f"\n{plan.name}\n\n" + header(["load", "policy", *run_columns(plan)])
         of_plan = select(
             results, plan=plan.name, scenario=load.Scenario.NONE, alone=False
         )
@@ -98,7 +98,7 @@
             for name in fleet.POLICIES:
                 found = select(of_plan, load=multiple, policy=name)
                 if found:
-                    text += row([f"{multiple:g}", name, *cells(found, plan)])
+                    text += row([f"{multiple:g}", name, *run_cells(found, plan)])
     return text
 
 
@@ -106,48 +106,50 @@
     """Return what went wrong, and what it did to each policy."""
     text = ""
     for plan in plans.PLANS.values():
-        text += f"\n{plan.name}\n\n" + header(["scenario", "policy", *columns(plan)])
+        text += f"\n{plan.name}\n\n" + header(
+            ["scenario", "policy", *run_columns(plan)]
+        )
         for scenario in load.Scenario:
             for name in fleet.POLICIES:
                 found = select(
                     results, plan=plan.name, scenario=scenario, policy=name, alone=False
                 )
                 if found and scenario is not load.Scenario.NONE:
-                    text += row([scenario.value, name, *cells(found, plan)])
+                    text += row([scenario.value, name, *run_cells(found, plan)])
     return text
 
 
-def wanted_table(results: Results) -> str:
+def target_table(results: Results) -> str:
     """Return the wanted figures beside the measured ones, at 1.5 times capacity."""
     text = header(["wanted at 1.5 times the capacity", *plans.PLANS])
-    judged = [
-        ("highest tier, of what alone would fit: 0.99", of_alone),
+    targets = [
+        ("highest tier, of what alone would fit: 0.99", ratio_to_alone),
         ("all tiers, work of the bound: 0.90", bound_figure),
         ("wasted prefill: below 0.05", wasted_figure),
-        ("wasted prefill, of the best baseline's: below 0.5", of_baseline),
+        ("wasted prefill, of the best baseline's: below 0.5", ratio_to_best_baseline),
         ("refusal to its answer, worst: 0.1 s", refusal_figure),
         ("second dispatches: 0", lambda r, p: count(r, p, "second_dispatches")),
         ("callers without a final answer: 0", lambda r, p: count(r, p, "unanswered")),
         ("wrong answers: 0", lambda r, p: count(r, p, "wrong")),
     ]
-    for name, judge in judged:
-        text += row([name, *(judge(results, plan) for plan in plans.PLANS.values())])
+    for name, measured in targets:
+        text += row([name, *(measured(results, plan) for plan in plans.PLANS.values())])
     return text
 
 
 def at_overload(results: Results, plan: plans.Plan, **more: object) -> Results:
     """Return the runs at 1.5 times the capacity without a scenario."""
-    wanted = {"scenario": load.Scenario.NONE, "alone": False, **more}
-    return select(results, plan=plan.name, load=policy.SCENARIO_LOAD, **wanted)
+    criteria = {"scenario": load.Scenario.NONE, "alone": False, **more}
+    return select(results, plan=plan.name, load=policy.SCENARIO_LOAD, **criteria)
 
 
-def of_alone(results: Results, plan: plans.Plan) -> str:
+def ratio_to_alone(results: Results, plan: plans.Plan) -> str:
     """Return the highest tier's goodput over that of the tier alone, by seed."""
     tier = plan.tiers[0]
     found = []
-    for mixed in at_overload(results, plan, policy=OWN):
+    for mixed in at_overload(results, plan, policy=OWN_POLICY):
         for alone in at_overload(
-            results, plan, policy=OWN, alone=True, seed=mixed.run.seed
+            results, plan, policy=OWN_POLICY, alone=True, seed=mixed.run.seed
         ):
             fits = max(1, alone.goodput[tier].part)
             found.append(mixed.goodput[tier].part / fits)
@@ -156,28 +158,32 @@
 
 def bound_figure(results: Results, plan: plans.Plan) -> str:
     """Return the work of the bound."""
-    return score.spread(map(of_bound, at_overload(results, plan, policy=OWN)))
+    return score.spread(
+        map(share_of_bound, at_overload(results, plan, policy=OWN_POLICY))
+    )
 
 
 def wasted_figure(results: Results, plan: plans.Plan) -> str:
     """Return the wasted part of prefill."""
-    return score.spread(map(wasted, at_overload(results, plan, policy=OWN)))
+    return score.spread(
+        map(wasted_share, at_overload(results, plan, policy=OWN_POLICY))
+    )
 
 
-def of_baseline(results: Results, plan: plans.Plan) -> str:
+def ratio_to_best_baseline(results: Results, plan: plans.Plan) -> str:
     """Return the wasted part over the least of any baseline's, mean over mean."""
     means = {}
     for name in fleet.POLICIES:
-        found = [wasted(r) for r in at_overload(results, plan, policy=name)]
+        found = [wasted_share(r) for r in at_overload(results, plan, policy=name)]
         if found:
             means[name] = sum(found) / len(found)
-    own = means.pop(OWN, 0.0)
+    own = means.pop(OWN_POLICY, 0.0)
     return f"{own / min(means.values()):.3f}" if means else "-"
 
 
 def refusal_figure(results: Results, plan: plans.Plan) -> str:
     """Return p95 and the worst time from a refusal's decision to its answer."""
-    found = [r for r in at_overload(results, plan, policy=OWN) if r.refusals]
+    found = [r for r in at_overload(results, plan, policy=OWN_POLICY) if r.refusals]
     p95 = score.spread(r.refusal[1] for r in found)
     worst = max((r.refusal[2] for r in found), default=0.0)
     total = sum(r.refusals for r in found)
@@ -186,7 +192,7 @@
 
 def count(results: Results, plan: plans.Plan, name: str) -> str:
     """Return a sum over all runs of the system under any load and scenario."""
-    found = select(results, plan=plan.name, policy=OWN)
+    found = select(results, plan=plan.name, policy=OWN_POLICY)
     return f"{sum(getattr(r, name) for r in found)} in {len(found)} runs"
 
 
@@ -211,11 +217,11 @@
         )
         for axis, tier in zip(line, plan.tiers, strict=False):
             axis.set_title(f"{plan.name}: goodput, {tier}")
-            draw(axis, of_plan, lambda r, tier=tier: r.goodput[tier].value)
+            draw_metric(axis, of_plan, lambda r, tier=tier: r.goodput[tier].value)
         line[3].set_title("good work of the bound")
-        draw(line[3], of_plan, of_bound)
+        draw_metric(line[3], of_plan, share_of_bound)
         line[4].set_title("wasted prefill")
-        draw(line[4], of_plan, wasted)
+        draw_metric(line[4], of_plan, wasted_share)
     for axis in lines[1]:
         axis.set_xlabel("load, of the capacity")
     lines[0][0].legend()
@@ -223,7 +229,7 @@
     drawn.savefig(path, dpi=80)
 
 
-def draw(
+def draw_metric(
     axis: axes.Axes, results: Results, value: Callable[[load.Result], float]
 ) -> None:
     """Draw one figure of each policy: means as lines, the range as bars."""
@@ -241,7 +247,7 @@
             )
 
 
-def fill(page: str, tables: dict[str, str]) -> str:
+def replace_tables(page: str, tables: dict[str, str]) -> str:
     """Return a page with the text between its marks replaced."""
 
     def replaced(found: re.Match[str]) -> str:
@@ -270,19 +276,19 @@
 def main() -> None:
     """Write as the command line says."""
     found = cappa.parse(Arguments)
-    results = read(found.results, found.label)
+    results = read_results(found.results, found.label)
     tables = {
         "loads": load_table(results),
         "scenarios": scenario_table(results),
-        "wanted": wanted_table(results),
+        "wanted": target_table(results),
     }
     if found.after:
-        later = read(found.results, found.after)
+        later = read_results(found.results, found.after)
         tables["after"] = load_table(later) + scenario_table(later)
     if pathlib.Path(found.costs).exists():
         tables["cost"] = cost_table(found.costs)
     page = pathlib.Path(found.page)
-    page.write_text(fill(page.read_text("utf-8"), tables), "utf-8")
+    page.write_text(replace_tables(page.read_text("utf-8"), tables), "utf-8")
     plot(results, found.plot)
 
 
--- a/bench/slopes/traffic.py
+++ b/bench/slopes/traffic.py
@@ -62,7 +62,7 @@
 
 async def send(roles: Roles, rate: float, seconds: float) -> int:
     """Send requests to the entry at a steady rate; return their number."""
-    request = cost.sender(TOKENS, False)
+    request = cost.request_sender(TOKENS, False)
     began = time.monotonic()
     tasks = []
     async with aiohttp.ClientSession(connector=aiohttp.TCPConnector(limit=0)) as http:
--- a/bench/witness.py
+++ b/bench/witness.py
@@ -18,13 +18,13 @@
 from bench.slopes import size
 
 # Entries that are killed, the seconds between two, and those until one is back.
-DEATHS = 3
-DEATH_INTERVAL = 4.0
-BACK_AFTER = 2.0
-TIMEOUTS = {"without": 0.0, "with": 0.05}
-SENT = "tealcove_mesh_sent_total"
+KILLS = 3
+KILL_INTERVAL = 4.0
+RESTART_DELAY = 2.0
+WITNESS_TIMEOUTS = {"without": 0.0, "with": 0.05}
+SENT_METRIC = "tealcove_mesh_sent_total"
 # A run whose tool was later than this measures the machine's other work.
-MOST_LAG = 0.03
+MAX_LAG = 0.03
 
 
 class WitnessRun(load.LoadRun):
@@ -41,30 +41,30 @@
             }
         }
         self.deaths = deaths
-        self.found: dict[str, float] = {}
+        self.figures: dict[str, float] = {}
 
     async def inject_faults(self, start: float) -> None:
         """Kill entries, and start each again later."""
         for number in range(self.deaths):
-            at = start + load.FAULT_START + number * DEATH_INTERVAL
+            at = start + load.FAULT_START + number * KILL_INTERVAL
             await asyncio.sleep(at - time.monotonic())
             victim = self.fleet.instances[number]
             victim.kill()
             await victim.process.wait()
-            await asyncio.sleep(BACK_AFTER)
+            await asyncio.sleep(RESTART_DELAY)
             await self.fleet.start(victim)
         if not self.deaths:
             await asyncio.sleep(start + self.run.seconds - time.monotonic())
-            self.found["messages"] = await self.messages() / len(self.requests)
+            self.figures["messages"] = await self.count_messages() / len(self.requests)
 
-    async def messages(self) -> int:
+    async def count_messages(self) -> int:
         """Return the messages that all instances have sent to each other."""
         total = 0.0
         for instance in self.fleet.instances:
             url = f"{instance.url}/metrics"
             async with self.fleet.session.get(url) as response:
                 for line in (await response.text()).splitlines():
-                    if line.startswith(SENT):
+                    if line.startswith(SENT_METRIC):
                         total += float(line.rpartition(" ")[2])
         return total
 
@@ -75,12 +75,12 @@
         again = [sent for sent in self.sent if sent.attempts > 1]
         result = super().evaluate(counts, calls)
         completed = [s.seconds for s in again if s.outcome is callers.Outcome.COMPLETED]
-        self.found |= {
+        self.figures |= {
             "requests": len(self.sent),
             "sent again": len(again),
             "second dispatches": load.count_repeats([c.prompts for c in counts]),
-            "of those sent again, % in time": percent(again),
-            "of all, % in time": percent(self.sent),
+            "of those sent again, % in time": good_percent(again),
+            "of all, % in time": good_percent(self.sent),
             "% of prefill wasted": 100 * result.prefill_wasted / result.prefill_tokens,
             "prefill tokens": result.prefill_tokens,
             "mean s of those sent again": mean(completed),
@@ -88,15 +88,15 @@
             "long p50 s": result.latency["long"][0],
             "instances' cores": result.cores["instance"],
             "wrong": result.wrong,
-            "unanswered": unanswered(self.sent),
-            "calls unanswered": unanswered(self.sent_calls),
+            "unanswered": count_unanswered(self.sent),
+            "calls unanswered": count_unanswered(self.sent_calls),
             "lag s": result.lag,
             "machine": result.machine,
         }
         return result
 
 
-def unanswered(sent: list[callers.SentRequest]) -> int:
+def count_unanswered(sent: list[callers.SentRequest]) -> int:
     """Return how many got no final answer, and say which."""
     found = [
         s
@@ -108,7 +108,7 @@
     return len(found)
 
 
-def percent(sent: list[callers.SentRequest]) -> float:
+def good_percent(sent: list[callers.SentRequest]) -> float:
     """Return the part that was completed whole and in time."""
     return 100 * mean([float(one.is_good) for one in sent])
 
@@ -133,14 +133,14 @@
         witness_run = WitnessRun(run, pathlib.Path(name), timeout, found.deaths)
         result = await witness_run.execute()
     print(result.complaints[:3], file=sys.stderr)
-    return witness_run.found
+    return witness_run.figures
 
 
 async def run(found: argparse.Namespace) -> None:
     """Run each way with the same seeds, in turn, and print the figures."""
-    results: dict[str, list[dict[str, float]]] = {name: [] for name in TIMEOUTS}
+    results: dict[str, list[dict[str, float]]] = {name: [] for name in WITNESS_TIMEOUTS}
     for seed in range(1, found.runs + 1):
-        for name, timeout in TIMEOUTS.items():
+        for name, timeout in WITNESS_TIMEOUTS.items():
             one = await measure(found, seed, timeout)
             results[name].append(one)
             print(name, seed, msgspec.json.encode(one).decode(), file=sys.stderr)
@@ -157,7 +157,7 @@
     parser.add_argument("--load", type=float, default=0.7)
     parser.add_argument("--seconds", type=float, default=16.0)
     parser.add_argument("--runs", type=int, default=3)
-    parser.add_argument("--deaths", type=int, default=DEATHS)
+    parser.add_argument("--deaths", type=int, default=KILLS)
     asyncio.run(run(parser.parse_args()))
 
 
