--- a/bench/cost.py
+++ b/bench/cost.py
@@ -319,33 +319,33 @@
     out: Annotated[str, cappa.Arg(long=True)] = ""
 
 
-async def measure(found: Arguments) -> dict[str, float]:
+async def measure(arguments: Arguments) -> dict[str, float]:
     """Measure the parts that are asked for, one after the other."""
     figures: dict[str, float] = {}
-    for part in found.parts.split(","):
+    for part in arguments.parts.split(","):
         print(f"  {part}", file=sys.stderr)
         with tempfile.TemporaryDirectory() as name:
             folder = pathlib.Path(name)
             if part == "memory":
-                figures.update(await measure_memory(folder, found.accounts))
+                figures.update(await measure_memory(folder, arguments.accounts))
                 continue
             measures = {
                 "requests": measure_requests,
                 "chunks": measure_chunks,
                 "latency": measure_latency,
             }
-            figures.update(await measures[part](folder, found.seconds))
+            figures.update(await measures[part](folder, arguments.seconds))
     return figures
 
 
 def main() -> None:
     """Run as the command line says."""
-    found = cappa.parse(Arguments)
-    figures = asyncio.run(measure(found))
+    arguments = cappa.parse(Arguments)
+    figures = asyncio.run(measure(arguments))
     rounded = {name: round(value, 3) for name, value in figures.items()}
     print(json.dumps(rounded, indent=2))
-    if found.out:
-        append_cost(pathlib.Path(found.out), Cost(found.label, rounded))
+    if arguments.out:
+        append_cost(pathlib.Path(arguments.out), Cost(arguments.label, rounded))
 
 
 def append_cost(path: pathlib.Path, cost: Cost) -> None:
--- a/bench/dispatch_cost.py
+++ b/bench/dispatch_cost.py
@@ -32,10 +32,10 @@
         )
         for n in range(SERVERS)
     )
-    found = fair.FairScheduler()
+    created = fair.FairScheduler()
     cell = cells.Cell(CELL, ids.PoolId("engines"), servers, 0.25, 256)
-    found.configure(cell, ids.Instant(0.0))
-    return found
+    created.configure(cell, ids.Instant(0.0))
+    return created
 
 
 def ticket(number: int, remaining: float = DEADLINE) -> messages.Ticket:
@@ -123,13 +123,13 @@
     parser.add_argument("--count", type=int, default=2000)
     parser.add_argument("--repeats", type=int, default=3)
     parser.add_argument("--queued", type=int, nargs="+", default=[0, 100, 1000, 10000])
-    found = parser.parse_args()
+    arguments = parser.parse_args()
     print("queued  us a ticket  (least - most)  us a tick  % of a core at 100/s")
-    for queued in found.queued:
+    for queued in arguments.queued:
         tickets, ticks = [], []
-        for _ in range(found.repeats):
+        for _ in range(arguments.repeats):
             cell_run = FullCell(queued)
-            tickets.append(measure(cell_run.step, found.count))
+            tickets.append(measure(cell_run.step, arguments.count))
             ticks.append(measure(cell_run.tick, 100))
         each, tick = statistics.median(tickets), statistics.median(ticks)
         share = (each * REQUEST_RATE + tick / TICK_SECONDS) / 1e6 * 100
--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -82,8 +82,8 @@
 
     async def start_all(self) -> None:
         """Start all processes, declare the resources, wait until all serve."""
-        for found in self.plan.engines:
-            await self.add_planned_engine(found)
+        for planned in self.plan.engines:
+            await self.add_planned_engine(planned)
         for number in range(self.plan.services):
             await self.add_service(slots=SERVICE_SLOTS)
             name = self.services[-1].name
@@ -105,7 +105,7 @@
         """Return the data centre of the process with this number."""
         return self.plan.data_centres[number % len(self.plan.data_centres)]
 
-    async def add_planned_engine(self, found: plans.Engine) -> None:
+    async def add_planned_engine(self, planned: plans.Engine) -> None:
         """Start an engine of the plan."""
         number = len(self.engines)
         name = f"engine-{number}"
@@ -114,10 +114,11 @@
             "name": name,
             "host": host,
             "port": deployment.HTTP_PORT,
-            "generation": found.generation,
-            "slots": found.slots,
-            "prefill_tokens_per_second": plans.PREFILL_TOKENS_PER_SECOND * found.speed,
-            "decode_seconds_per_token": plans.DECODE_SECONDS_PER_TOKEN / found.speed,
+            "generation": planned.generation,
+            "slots": planned.slots,
+            "prefill_tokens_per_second": plans.PREFILL_TOKENS_PER_SECOND
+            * planned.speed,
+            "decode_seconds_per_token": plans.DECODE_SECONDS_PER_TOKEN / planned.speed,
             "batch_slowdown": plans.BATCH_SLOWDOWN,
             "cache_blocks": self.plan.cache_blocks,
             "tick_seconds": TICK_SECONDS,
@@ -127,7 +128,7 @@
         }
         path = self.write(name, content)
         started = EngineProcess(name, [path], host, deployment.HTTP_PORT)
-        self.data_centres[name] = found.data_centre
+        self.data_centres[name] = planned.data_centre
         self.engines.append(started)
         await self.start(started)
 
@@ -141,13 +142,13 @@
             }
             for name in names
         ]
-        found = {
+        settings = {
             "data_centre": self.data_centre_for(number),
             "data_centres": centres,
             "dispatch": {"policy": POLICIES.get(self.policy, self.policy)},
             "shutdown": {"entry_points_ttl": ENTRY_POINTS_TTL},
         }
-        await self.add_instance(**{**found, **self.instance_settings})
+        await self.add_instance(**{**settings, **self.instance_settings})
 
     async def declare_plan(self) -> None:
         """Declare the plan's tiers, accounts, pools and rules."""
@@ -216,39 +217,43 @@
 
     async def engine_counts(self) -> list[engine.Counts]:
         """Return the counts of all engines, also of those that crashed."""
-        found = []
+        all_counts = []
         for process in self.engines:
             if process.process.returncode is None:
                 counts = await self.counts(process)
-                found.append(msgspec.convert(counts, engine.Counts))
-            found.extend(self.counts_at_crash(process))
-        return found
+                all_counts.append(msgspec.convert(counts, engine.Counts))
+            all_counts.extend(self.counts_at_crash(process))
+        return all_counts
 
     async def call_counts(self) -> list[dict[str, int]]:
         """Return how often each caller's call arrived at each plain service."""
-        found = []
+        all_counts = []
         for process in self.services:
             calls = (await self.counts(process))["calls"]
             marker = f" {self.plan.service_path}"
-            found.append({name: n for name, n in calls.items() if marker in name})
-        return found
+            all_counts.append({name: n for name, n in calls.items() if marker in name})
+        return all_counts
 
     def counts_at_crash(self, process: deployment.Process) -> list[engine.Counts]:
-        """Return what an engine told when it crashed."""
+        """Return what an engine announcements when it crashed."""
         text = (self.folder / f"{process.name}.log").read_bytes()
         lines = [line for line in text.splitlines() if line.startswith(b'{"event"')]
-        told = [msgspec.json.decode(line, type=Announcement) for line in lines]
-        return [one.counts for one in told if one.counts is not None]
+        announcements = [msgspec.json.decode(line, type=Announcement) for line in lines]
+        return [
+            announcement.counts
+            for announcement in announcements
+            if announcement.counts is not None
+        ]
 
     def log_lines(self) -> list[LogLine]:
         """Return the lines that the instances logged."""
-        found = []
+        lines = []
         for instance in self.instances:
             text = (self.folder / f"{instance.name}.log").read_bytes()
             for line in text.splitlines():
                 if line.startswith(b"{"):
-                    found.append(msgspec.json.decode(line, type=LogLine))
-        return found
+                    lines.append(msgspec.json.decode(line, type=LogLine))
+        return lines
 
     def scheduler_records(self) -> list[tap.Record]:
         """Return what the tapped schedulers noted."""
@@ -268,13 +273,13 @@
 
     def cpu_seconds(self) -> dict[str, float]:
         """Return the processor time that each running process has spent."""
-        found = {}
+        spent = {}
         for name, process in self.processes.items():
             if process.process is None or process.process.returncode is not None:
                 continue
             times = psutil.Process(process.process.pid).cpu_times()
-            found[name] = times.user + times.system
-        return found
+            spent[name] = times.user + times.system
+        return spent
 
     def drain_instance(self, number: int) -> None:
         """Ask an instance to leave gracefully."""
--- a/bench/limits_cost.py
+++ b/bench/limits_cost.py
@@ -24,10 +24,10 @@
 ALWAYS_EXCEEDED = limit.Limit(rate=1e-9, burst=1e-9)
 
 
-def admission_microseconds(found: limit.Limit | None) -> float:
+def admission_microseconds(account_limit: limit.Limit | None) -> float:
     """Return the microseconds of one admission, or refusal, and its settling."""
     known = population.deployment(1)
-    limits = role.Limits(slope.Wire(), known, lambda _: found, population.NOW)
+    limits = role.Limits(slope.Wire(), known, lambda _: account_limit, population.NOW)
     with contextlib.suppress(role.OverLimitError):
         limits.charge(ACCOUNT, TOKENS, population.NOW)
     started = time.process_time()
@@ -43,18 +43,21 @@
     parser.add_argument("--accounts", type=int, default=300)
     parser.add_argument("--instances", type=int, default=580)
     parser.add_argument("--runs", type=int, default=3)
-    found = parser.parse_args()
+    arguments = parser.parse_args()
     kinds = {
         "no limit": None,
         "admitted": NEVER_REACHED,
         "over its limit": ALWAYS_EXCEEDED,
     }
     for name, kind in kinds.items():
-        runs = [admission_microseconds(kind) for _ in range(found.runs)]
+        runs = [admission_microseconds(kind) for _ in range(arguments.runs)]
         print(f"{name}: {size.text(size.summary(runs), 2)} us")
-    runs = [slope.measure(found.instances, found.accounts) for _ in range(found.runs)]
+    runs = [
+        slope.measure(arguments.instances, arguments.accounts)
+        for _ in range(arguments.runs)
+    ]
     for name in ("bytes out a second", "bytes in a second"):
-        each = [run[name] / found.accounts for run in runs]
+        each = [run[name] / arguments.accounts for run in runs]
         print(f"{name} and account: {size.text(size.summary(each), 1)}")
 
 
--- a/bench/load.py
+++ b/bench/load.py
@@ -190,18 +190,18 @@
             return
         await asyncio.sleep(start + FAULT_START - time.monotonic())
         print(f"  {scenario.value}", file=sys.stderr)
-        found = self.fleet
+        deployed = self.fleet
         if scenario is Scenario.STRAGGLER:
             faults = {"speed_factor": STRAGGLER_SPEED}
-            await found.set_faults(found.engines[0], faults)
+            await deployed.set_faults(deployed.engines[0], faults)
         if scenario is Scenario.ENGINE_CRASH:
             await self.crash_engine()
         if scenario is Scenario.PLATFORM_OUTAGE:
-            await found.set_faults(found.platform, {"down": True})
+            await deployed.set_faults(deployed.platform, {"down": True})
             await asyncio.sleep(FAULT_SECONDS)
-            await found.set_faults(found.platform, {})
+            await deployed.set_faults(deployed.platform, {})
         if scenario is Scenario.ENTRY_KILLED:
-            victims = found.instances
+            victims = deployed.instances
             victims[self.run.seed % len(victims)].kill()
 
     async def crash_engine(self) -> None:
@@ -248,7 +248,7 @@
         tiers = sorted({s.tier for s in self.sent}, key=self.plan.tiers.index)
         by_tier = {t: [s for s in self.sent if s.tier == t] for t in tiers}
         lengths = {n: [s for s in self.sent if s.length is n] for n in self.plan.shapes}
-        everything = [*self.sent, *self.sent_calls]
+        all_sent = [*self.sent, *self.sent_calls]
         prompts = [found.prompts for found in counts]
         return Result(
             run=self.run,
@@ -262,10 +262,10 @@
             second_dispatches=count_repeats(prompts) + count_repeats(calls),
             unanswered=sum(
                 s.outcome in (callers.Outcome.TIMED_OUT, callers.Outcome.DISCONNECTED)
-                for s in everything
+                for s in all_sent
             ),
-            wrong=sum(s.outcome is callers.Outcome.WRONG for s in everything),
-            sent_again=sum(s.attempts > 1 for s in everything),
+            wrong=sum(s.outcome is callers.Outcome.WRONG for s in all_sent),
+            sent_again=sum(s.attempts > 1 for s in all_sent),
             calls=score.goodput(self.sent_calls),
             call_ends=score.outcome_counts(self.sent_calls),
             latency={n.value: latency(found) for n, found in lengths.items()},
@@ -346,22 +346,22 @@
 
 def main() -> None:
     """Run as the command line says."""
-    found = cappa.parse(Arguments)
+    arguments = cappa.parse(Arguments)
     run = Run(
-        plan=found.plan,
-        policy=found.policy,
-        load=found.load,
-        seed=found.seed,
-        seconds=found.seconds,
-        scenario=Scenario(found.scenario),
-        alone=found.alone,
-        short_share=found.short_share,
+        plan=arguments.plan,
+        policy=arguments.policy,
+        load=arguments.load,
+        seed=arguments.seed,
+        seconds=arguments.seconds,
+        scenario=Scenario(arguments.scenario),
+        alone=arguments.alone,
+        short_share=arguments.short_share,
     )
     with tempfile.TemporaryDirectory() as folder:
         result = asyncio.run(execute_run(run, pathlib.Path(folder)))
     text = msgspec.json.format(msgspec.json.encode(result))
-    if found.out:
-        pathlib.Path(found.out).write_bytes(text)
+    if arguments.out:
+        pathlib.Path(arguments.out).write_bytes(text)
     else:
         print(text.decode())
 
--- a/bench/policy.py
+++ b/bench/policy.py
@@ -64,13 +64,13 @@
     return every if text == ALL else text.split(",")
 
 
-def planned_runs(found: Arguments) -> list[load.Run]:
+def planned_runs(arguments: Arguments) -> list[load.Run]:
     """Return what is to be run."""
     table = itertools.product(
-        [int(seed) for seed in found.seeds.split(",")],
-        parse_names(found.plans, list(plans.PLANS)),
-        loads_and_scenarios(found),
-        parse_names(found.policies, list(fleet.POLICIES)),
+        [int(seed) for seed in arguments.seeds.split(",")],
+        parse_names(arguments.plans, list(plans.PLANS)),
+        loads_and_scenarios(arguments),
+        parse_names(arguments.policies, list(fleet.POLICIES)),
     )
     return [
         load.Run(
@@ -78,21 +78,21 @@
             policy=policy,
             load=multiple,
             seed=seed,
-            seconds=found.seconds,
+            seconds=arguments.seconds,
             scenario=scenario,
-            alone=found.alone,
-            short_share=found.short_share,
+            alone=arguments.alone,
+            short_share=arguments.short_share,
         )
         for seed, plan, (multiple, scenario), policy in table
     ]
 
 
-def loads_and_scenarios(found: Arguments) -> list[tuple[float, load.Scenario]]:
+def loads_and_scenarios(arguments: Arguments) -> list[tuple[float, load.Scenario]]:
     """Return the loads, each with what goes wrong under it."""
-    if found.scenarios:
+    if arguments.scenarios:
         wrong = [s for s in load.Scenario if s is not load.Scenario.NONE]
         return [(SCENARIO_LOAD, scenario) for scenario in wrong]
-    loads = [float(multiple) for multiple in found.loads.split(",")]
+    loads = [float(multiple) for multiple in arguments.loads.split(",")]
     return [(multiple, load.Scenario.NONE) for multiple in loads]
 
 
@@ -171,11 +171,11 @@
     path.write_bytes(b"[\n" + b",\n".join(lines) + b"\n]\n")
 
 
-async def run_all(found: Arguments) -> int:
+async def run_all(arguments: Arguments) -> int:
     """Run everything, a few at once; return how many runs failed."""
-    planned = planned_runs(found)
-    path = pathlib.Path(found.out)
-    job_slots = asyncio.Semaphore(found.jobs)
+    planned = planned_runs(arguments)
+    path = pathlib.Path(arguments.out)
+    job_slots = asyncio.Semaphore(arguments.jobs)
     failed = 0
 
     async def run_one(number: int, run: load.Run, folder: str) -> None:
@@ -186,7 +186,7 @@
             failed += 1
             print(f"{number + 1}/{len(planned)} failed: {run}", flush=True)
             return
-        add_result(path, found.label, result)
+        add_result(path, arguments.label, result)
         print(f"{number + 1}/{len(planned)} {describe(result)}", flush=True)
 
     with tempfile.TemporaryDirectory() as folder:
--- a/bench/report.py
+++ b/bench/report.py
@@ -275,21 +275,21 @@
 
 def main() -> None:
     """Write as the command line says."""
-    found = cappa.parse(Arguments)
-    results = read_results(found.results, found.label)
+    arguments = cappa.parse(Arguments)
+    results = read_results(arguments.results, arguments.label)
     tables = {
         "loads": load_table(results),
         "scenarios": scenario_table(results),
         "wanted": target_table(results),
     }
-    if found.after:
-        later = read_results(found.results, found.after)
+    if arguments.after:
+        later = read_results(arguments.results, arguments.after)
         tables["after"] = load_table(later) + scenario_table(later)
-    if pathlib.Path(found.costs).exists():
-        tables["cost"] = cost_table(found.costs)
-    page = pathlib.Path(found.page)
+    if pathlib.Path(arguments.costs).exists():
+        tables["cost"] = cost_table(arguments.costs)
+    page = pathlib.Path(arguments.page)
     page.write_text(replace_tables(page.read_text("utf-8"), tables), "utf-8")
-    plot(results, found.plot)
+    plot(results, arguments.plot)
 
 
 if __name__ == "__main__":
--- a/bench/witness.py
+++ b/bench/witness.py
@@ -119,29 +119,29 @@
 
 
 async def measure(
-    found: argparse.Namespace, seed: int, timeout: float
+    arguments: argparse.Namespace, seed: int, timeout: float
 ) -> dict[str, float]:
     """Return the figures of one run."""
     run = load.Run(
-        plan=found.plan,
+        plan=arguments.plan,
         policy="tealcove",
-        load=found.load,
+        load=arguments.load,
         seed=seed,
-        seconds=found.seconds,
+        seconds=arguments.seconds,
     )
     with tempfile.TemporaryDirectory() as name:
-        witness_run = WitnessRun(run, pathlib.Path(name), timeout, found.deaths)
+        witness_run = WitnessRun(run, pathlib.Path(name), timeout, arguments.deaths)
         result = await witness_run.execute()
     print(result.complaints[:3], file=sys.stderr)
     return witness_run.figures
 
 
-async def run(found: argparse.Namespace) -> None:
+async def run(arguments: argparse.Namespace) -> None:
     """Run each way with the same seeds, in turn, and print the figures."""
     results: dict[str, list[dict[str, float]]] = {name: [] for name in WITNESS_TIMEOUTS}
-    for seed in range(1, found.runs + 1):
+    for seed in range(1, arguments.runs + 1):
         for name, timeout in WITNESS_TIMEOUTS.items():
-            one = await measure(found, seed, timeout)
+            one = await measure(arguments, seed, timeout)
             results[name].append(one)
             print(name, seed, msgspec.json.encode(one).decode(), file=sys.stderr)
     for figure in results["with"][0]:
