--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements against real processes; see docs/MEASUREMENTS.md."""
+"""Benchmarks against real processes; see docs/MEASUREMENTS.md."""
--- a/bench/arrivals.py
+++ b/bench/arrivals.py
@@ -1,4 +1,4 @@
-"""The requests of a run, the same for the same plan, load and seed."""
+"""Generates a run's requests deterministically from its plan, load and seed."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from bench import plans
 from tealcove.backends import prefixes
 
-# Multiples of the capacity that come on top during a burst.
+# Load added during a burst, as a multiple of the capacity.
 EXTRA_BURST_LOAD = 3.0
 
 
 class Request(msgspec.Struct, frozen=True):
-    """One request that a caller is going to send, `at` seconds into the run."""
+    """A request that a caller sends `at` seconds into the run."""
 
     key: str
     at: float
@@ -26,12 +26,12 @@
     prompt: str
     max_tokens: int
     deadline: float
-    # Of a call of the plain service.
+    # Calls of the plain service have a path of their own.
     path: str = "/v1/completions"
 
 
 class Burst(msgspec.Struct, frozen=True):
-    """A time in which all but the highest tier send much more."""
+    """A period in which all tiers but the highest send more requests."""
 
     start: float
     stop: float
@@ -47,7 +47,7 @@
 ) -> list[Request]:
     """Return the arrivals of a run in order of time.
 
-    Each account arrives by a Poisson process with numbers of its own, so that a
+    Each account is a Poisson process with its own random generator, so that a
     tier's requests are the same whether or not other tiers send any.
     """
     requests: list[Request] = []
@@ -74,7 +74,7 @@
     span: tuple[float, float],
     seed: str,
 ) -> list[Request]:
-    """Return one account's arrivals at a rate a second."""
+    """Return one account's arrivals at a rate in requests per second."""
     rng = random.Random(f"{plan.name}/{account.name}/{seed}")
     at, stop = span
     requests: list[Request] = []
@@ -93,7 +93,7 @@
     at: float,
     rng: random.Random,
 ) -> Request:
-    """Return one request of an account."""
+    """Return a random request of an account."""
     is_long = rng.random() < plan.long_share
     length = plans.Length.LONG if is_long else plans.Length.SHORT
     shape = plan.shapes[length]
@@ -114,7 +114,7 @@
 
 
 def generate_calls(plan: plans.Plan, seconds: float, seed: int) -> list[Request]:
-    """Return the calls of the plain service, every second one not repeatable."""
+    """Return the calls of the plain service, every second one not idempotent."""
     rng = random.Random(f"{plan.name}/calls/{seed}")
     requests: list[Request] = []
     at = rng.expovariate(plans.CALL_RATE)
@@ -140,6 +140,6 @@
 
 
 def unique_text(name: str, tokens: int) -> str:
-    """Return a text of so many tokens that no other name has."""
+    """Return a text of the given number of tokens, unique to the name."""
     size = tokens * prefixes.TOKEN_BYTES
     return hashlib.shake_128(name.encode()).hexdigest(size)[:size]
--- a/bench/baselines.py
+++ b/bench/baselines.py
@@ -1,4 +1,4 @@
-"""Policies to compare with: each grants at once, and knows no tiers."""
+"""Baseline policies, which grant every ticket at once and ignore tiers."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Server(msgspec.Struct):
-    """A backend server and its last load report."""
+    """A backend server, its last load report and its reachability."""
 
     spec: kinds.BackendServerSpec
     load: engine.LoadReport | None = None
@@ -30,14 +30,14 @@
         return ids.BackendServerId(self.spec.name)
 
     def is_available(self) -> bool:
-        """Tell whether the server is there; how busy it is doesn't matter."""
+        """Return whether the server is serving and reachable, whatever its load."""
         wanted = self.spec.state is kinds.ServerState.SERVING
         leaving = self.load is not None and self.load.state == "leaving"
         return wanted and self.reachable and not leaving
 
 
 class ImmediateScheduler(scheduler.Scheduler):
-    """Grants every ticket at once and leaves the waiting to the engines."""
+    """Grants every ticket at once, so that requests queue in the engines."""
 
     def __init__(self) -> None:
         self.servers: dict[ids.BackendServerId, Server] = {}
@@ -45,7 +45,7 @@
 
     @abc.abstractmethod
     def choose(self, servers: list[Server]) -> Server:
-        """Return one of the servers, of which there is at least one."""
+        """Return one of the servers; the list is never empty."""
 
     def configure(self, cell: cells.Cell, now: ids.Instant) -> list[scheduler.Outgoing]:
         """See Scheduler."""
@@ -68,7 +68,7 @@
     def grant_or_refuse(
         self, ticket: messages.Ticket
     ) -> messages.Grant | messages.Refusal:
-        """Return a grant, or a refusal when no server is there."""
+        """Return a grant, or a refusal when no server is available."""
         available = [
             server
             for server in self.servers.values()
@@ -133,7 +133,7 @@
 
 
 class RandomScheduler(ImmediateScheduler):
-    """Any server, by chance."""
+    """Chooses a random server."""
 
     def choose(self, servers: list[Server]) -> Server:
         """See ImmediateScheduler."""
@@ -141,7 +141,7 @@
 
 
 class RoundRobinScheduler(ImmediateScheduler):
-    """One server after the other."""
+    """Chooses the servers in turn."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -153,7 +153,7 @@
 
 
 class LeastLoadScheduler(ImmediateScheduler):
-    """The server whose last report says the least work per slot."""
+    """Chooses the server with the least reported work per slot."""
 
     def choose(self, servers: list[Server]) -> Server:
         """See ImmediateScheduler."""
@@ -162,7 +162,7 @@
 
 
 def load_per_slot(server: Server) -> float:
-    """Return the reported work by slot; a server without a report has none."""
+    """Return the reported requests per slot; 0 for a server without a report."""
     if server.load is None:
         return 0.0
     return (server.load.running + server.load.waiting) / server.load.slots
--- a/bench/callers.py
+++ b/bench/callers.py
@@ -1,4 +1,4 @@
-"""Callers who ask which entries to use, and send again elsewhere when cut off."""
+"""Clients that look up entry points and retry at another when disconnected."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from tealcove.entry import points
 from tealcove.standins import answers, service
 
-# A caller waits for its deadline and this long, then leaves.
+# Seconds after its deadline at which a caller gives up.
 TIMEOUT_MARGIN = 0.5
 MAX_ATTEMPTS = 4
 REQUEST_ID = "X-Request-Id"
@@ -24,23 +24,23 @@
 
 
 class Outcome(enum.Enum):
-    """How a request ended, as its caller saw it."""
+    """The outcome of a request as its caller saw it."""
 
     COMPLETED = "completed"
     NOT_RUN = "not_run"
     INTERRUPTED = "interrupted"
     UNKNOWN = "unknown"
     REJECTED = "rejected"
-    # An answer that isn't the whole one of this very request.
+    # The answer is incomplete or belongs to another request.
     WRONG = "wrong"
-    # The caller left, since there was no final answer.
+    # The caller gave up without a final answer.
     TIMED_OUT = "left"
-    # Every connection broke.
+    # Every attempt's connection broke.
     DISCONNECTED = "cut"
 
 
 class Reply(msgspec.Struct, frozen=True):
-    """What came back on one connection."""
+    """The outcome of one attempt."""
 
     outcome: Outcome
     reason: str = ""
@@ -49,34 +49,34 @@
 
 
 class SentRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """One request and its end; times in seconds."""
+    """A request and its outcome; times in seconds."""
 
     key: str
     tier: str
     length: plans.Length
     at: float
     deadline: float
-    # From the time it was meant to be sent to the end, and how late it was sent.
+    # Time from the scheduled sending to the outcome, and the delay of the sending.
     seconds: float
     lag: float
     outcome: Outcome
     reason: str = ""
     attempts: int = 1
     request_id: str = ""
-    # When the answer came, by the machine's monotonic clock.
+    # When the answer arrived, by the machine's monotonic clock.
     answered: float = 0.0
 
     @property
     def is_good(self) -> bool:
-        """Whether it was completed whole and in time."""
+        """Whether it was completed by its deadline."""
         return self.outcome is Outcome.COMPLETED and self.seconds <= self.deadline
 
 
 class Caller:
-    """A program of one account in one data centre.
+    """A client of one account in one data centre.
 
-    One-way delays are modelled here only: a caller waits before it attempts and
-    after it got the answer, longer for an entry in another data centre.
+    One-way delays are modelled here only: a caller waits before it sends and
+    after it received the answer, longer for an entry in another data centre.
     """
 
     def __init__(
@@ -92,7 +92,7 @@
         self.session = session
         self.data_centre = data_centre
         self.api_key = api_key
-        # URLs from the caller's own settings, for when no answer is at hand.
+        # Fallback URLs for when no entry point is known or answers.
         self.configured_urls = configured_urls
         self.random = random.Random(seed)
         self.points: list[points.EntryPoint] = []
@@ -100,14 +100,14 @@
         self.refresh_lock = asyncio.Lock()
 
     async def current_entry_points(self) -> list[points.EntryPoint]:
-        """Return the addresses to use, asked again once their time is over."""
+        """Return the entry points, refreshed once their time to live is over."""
         async with self.refresh_lock:
             if time.monotonic() >= self.points_valid_until:
                 await self.refresh_entry_points()
         return self.points
 
     async def refresh_entry_points(self) -> None:
-        """Ask any instance that answers; keep the old answer if none does."""
+        """Fetch the entry points from any instance; keep the old ones on failure."""
         urls = [point.url for point in self.points] + self.configured_urls
         self.random.shuffle(urls)
         for url in urls:
@@ -125,7 +125,7 @@
             return
 
     async def send(self, request: arrivals.Request, start: float) -> SentRequest:
-        """Send a request until it has a final answer, and say how it ended."""
+        """Send a request until it has a final answer, and return its outcome."""
         due = start + request.at
         lag = time.monotonic() - due
         attempts = [0]
@@ -157,7 +157,7 @@
     async def send_until_answered(
         self, request: arrivals.Request, due: float, attempts: list[int]
     ) -> Reply:
-        """Send to one entry after the other until a connection stays whole."""
+        """Try one entry after the other until a connection doesn't break."""
         reply = Reply(Outcome.DISCONNECTED)
         entries = await self.current_entry_points()
         for number in range(MAX_ATTEMPTS):
@@ -178,7 +178,7 @@
     async def send_to_entry(
         self, request: arrivals.Request, url: str, due: float
     ) -> Reply:
-        """Send a request on one connection; its key is the same each time."""
+        """Send a request to an entry, with the same idempotency key on each attempt."""
         remaining = max(0.001, due + request.deadline - time.monotonic())
         headers = {
             "Authorization": f"Bearer {self.api_key}",
@@ -197,7 +197,7 @@
         try:
             content = msgspec.json.decode(body)
         except msgspec.DecodeError:
-            # Not of the system's making, such as the library's own 404.
+            # Not an answer of the system, such as the HTTP library's own 404.
             return Reply(
                 Outcome.REJECTED, body[:80].decode(errors="replace"), request_id
             )
@@ -208,7 +208,7 @@
 
 
 def is_expected_answer(reply_text: str, request: arrivals.Request) -> bool:
-    """Tell whether an answer is the whole one of this very request."""
+    """Return whether an answer is complete and belongs to the request."""
     if request.length is plans.Length.CALL:
         digest = hashlib.blake2b(
             request_body(request), digest_size=service.DIGEST_BYTES
@@ -218,7 +218,7 @@
 
 
 def request_body(request: arrivals.Request) -> bytes:
-    """Return what is sent."""
+    """Return the body of a request."""
     if request.length is plans.Length.CALL:
         return request.prompt.encode()
     body = {"model": "m", "prompt": request.prompt, "max_tokens": request.max_tokens}
@@ -226,7 +226,7 @@
 
 
 def answer_text(content: dict[str, typing.Any]) -> str:
-    """Return an engine's text, or the digest that a plain service answers."""
+    """Return an engine's text, or the digest in a plain service's answer."""
     if "digest" in content:
         return content["digest"]
     return content["choices"][0]["text"]
--- a/bench/cost.py
+++ b/bench/cost.py
@@ -1,4 +1,4 @@
-"""What an instance costs: processor time, added latency, memory."""
+"""Measures an instance's processor time, added latency and memory."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 INSTANCES = 2
 SLOTS = 64
-# One token an event, so that chunks can be counted by tokens.
+# One token per event, so that the number of chunks is that of tokens.
 CHUNK_ENGINE = {"decode_seconds_per_token": 0.01, "tick_seconds": 0.005}
 FAST_ENGINE = {"decode_seconds_per_token": 0.002, "tick_seconds": 0.001}
 SHORT_TOKENS = 4
@@ -50,14 +50,14 @@
 
 
 class Cost(msgspec.Struct, frozen=True):
-    """Figures of one run, by name with the unit in it."""
+    """The figures of one run by name; the name includes the unit."""
 
     label: str
     figures: dict[str, float]
 
 
 class MeasuredDeployment:
-    """A small deployment whose instances are watched."""
+    """A small deployment whose instances' processor time is measured."""
 
     def __init__(self, folder: pathlib.Path) -> None:
         self.fleet = deployment.Deployment(folder)
@@ -75,18 +75,18 @@
         await fleet.wait_for_members()
 
     def cpu_seconds(self) -> float:
-        """Return the processor time of all instances."""
+        """Return the seconds of processor time of all instances so far."""
         return sum(cpu_seconds(i.process.pid) for i in self.fleet.instances)
 
     async def idle_cores(self) -> float:
-        """Return the cores that the instances use without any request."""
+        """Return the cores that the instances use while idle."""
         await asyncio.sleep(1.0)
         before, began = self.cpu_seconds(), time.monotonic()
         await asyncio.sleep(IDLE_SECONDS)
         return (self.cpu_seconds() - before) / (time.monotonic() - began)
 
     async def load(self, send: Send, rate: float, seconds: float) -> tuple[int, float]:
-        """Send at a steady rate; return the requests and the processor time."""
+        """Send at a steady rate; return the request count and the processor time."""
         before = self.cpu_seconds()
         timeout = aiohttp.ClientTimeout(total=60.0)
         connector = aiohttp.TCPConnector(limit=0)
@@ -111,7 +111,7 @@
 
 
 def request_body(tokens: int, stream: bool) -> dict[str, object]:
-    """Return a request's body; the prompt is one that no other request has."""
+    """Return a request's body with a unique prompt."""
     prompt = secrets.token_hex(16) + PROMPT
     return {"model": "m", "prompt": prompt, "max_tokens": tokens, "stream": stream}
 
@@ -144,7 +144,7 @@
 
 
 async def measure_requests(folder: pathlib.Path, seconds: float) -> dict[str, float]:
-    """Return the processor time per buffered request, all roles together."""
+    """Return the processor time per buffered request, over all roles."""
     deployed = MeasuredDeployment(folder)
     async with deployed.fleet:
         await deployed.start(FAST_ENGINE, INSTANCES)
@@ -176,7 +176,7 @@
 async def seconds_per_chunk(
     deployed: MeasuredDeployment, stream: bool, seconds: float
 ) -> float:
-    """Return the seconds per chunk: the slope between short and long answers."""
+    """Return the processor seconds per chunk, from short and long answers."""
     spent = []
     for tokens in (FEW_CHUNKS, MANY_CHUNKS):
         idle = await deployed.idle_cores()
@@ -189,7 +189,7 @@
 
 
 async def measure_latency(folder: pathlib.Path, seconds: float) -> dict[str, float]:
-    """Return what the system adds to a direct call, the two taking turns."""
+    """Return the latency added to a direct call, alternating the two."""
     deployed = MeasuredDeployment(folder)
     times: dict[bool, list[float]] = {True: [], False: []}
     through = request_sender(LATENCY_TOKENS, False)
@@ -223,7 +223,7 @@
 
 
 async def import_memory() -> float:
-    """Return the MiB of a process that has imported all and does nothing."""
+    """Return the resident MiB of a process that only imports the modules."""
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-c",
@@ -244,7 +244,7 @@
 
 
 async def measure_memory(folder: pathlib.Path, accounts: int) -> dict[str, float]:
-    """Return the memory of an idle instance beyond that of the bare imports."""
+    """Return the memory of an idle instance above that of the imports."""
     bare = await import_memory()
     deployed = MeasuredDeployment(folder)
     async with deployed.fleet:
@@ -267,7 +267,7 @@
 
 
 async def declare_accounts(fleet: deployment.Deployment, count: int) -> None:
-    """Put many client accounts into the platform as one snapshot."""
+    """Write many client accounts to the platform as one snapshot."""
     own = fleet.resources
     first = own.current.revision + 1
     changes = [account_change(ids.Revision(first + n), n) for n in range(count)]
@@ -284,7 +284,7 @@
 
 
 def account_change(revision: ids.Revision, number: int) -> codec.Change:
-    """Return the change that adds one account, with a key and limits."""
+    """Return the change that adds an account with a key and a rate limit."""
     name = f"account-{number:05d}"
     spec = kinds.ClientAccountSpec(
         tier="low",
@@ -320,7 +320,7 @@
 
 
 async def measure(arguments: Arguments) -> dict[str, float]:
-    """Measure the parts that are asked for, one after the other."""
+    """Measure the requested parts, one after the other."""
     figures: dict[str, float] = {}
     for part in arguments.parts.split(","):
         print(f"  {part}", file=sys.stderr)
@@ -339,7 +339,7 @@
 
 
 def main() -> None:
-    """Run as the command line says."""
+    """Measure, print the figures and append them to a file if one is given."""
     arguments = cappa.parse(Arguments)
     figures = asyncio.run(measure(arguments))
     rounded = {name: round(value, 3) for name, value in figures.items()}
@@ -349,7 +349,7 @@
 
 
 def append_cost(path: pathlib.Path, cost: Cost) -> None:
-    """Add the figures of a run to a file."""
+    """Append the figures of a run to a JSON file."""
     kept = []
     if path.exists():
         kept = msgspec.json.decode(path.read_bytes(), type=list[Cost])
--- a/bench/dispatch_cost.py
+++ b/bench/dispatch_cost.py
@@ -17,15 +17,15 @@
 SLOTS = 8
 ACCOUNTS = 5
 PREFIX = tuple(range(32))
-# A ticket of the queue, and one that comes and goes while it is measured.
+# Remaining seconds of each ticket; none expires during a measurement.
 DEADLINE = 3600.0
 TICK_SECONDS = 0.05
-# Requests a second of a cell, for the share of a core.
+# Requests per second of a cell, for the share of a core.
 REQUEST_RATE = 100.0
 
 
 def create_scheduler() -> fair.FairScheduler:
-    """Return a scheduler of a full-sized cell."""
+    """Return the scheduler of a cell with SERVERS servers."""
     servers = tuple(
         kinds.BackendServerSpec(
             name=f"s{n}", host="127.0.0.1", port=9000, data_centre="dc", slots=SLOTS
@@ -39,7 +39,7 @@
 
 
 def ticket(number: int, remaining: float = DEADLINE) -> messages.Ticket:
-    """Return a ticket, in turn of each tier and account."""
+    """Return a ticket; tiers and accounts alternate with its number."""
     return messages.Ticket(
         ticket_id=ids.TicketId(f"tkt-{number}"),
         request_id=ids.RequestId(f"req-{number}"),
@@ -56,7 +56,7 @@
 
 
 def completion(grant: messages.Grant) -> messages.Done:
-    """Return the end of a granted request."""
+    """Return the message that a granted request is completed."""
     return messages.Done(
         ticket_id=grant.ticket_id,
         cell=CELL,
@@ -82,35 +82,35 @@
             self.enqueue_ticket()
 
     def collect_grants(self, outgoing: list) -> None:
-        """Remember the grants."""
+        """Record the grants among outgoing messages."""
         for out in outgoing:
             if isinstance(out.message, messages.Grant):
                 self.grants.append(out.message)
 
     def enqueue_ticket(self) -> None:
-        """Let a ticket come."""
+        """Enqueue a new ticket."""
         arriving = ticket(next(self.numbers))
         self.collect_grants(self.scheduler.enqueue(arriving, ids.Instant(self.now)))
 
     def complete_oldest(self) -> None:
-        """Let the oldest running request end."""
+        """Complete the oldest running request."""
         ended = completion(self.grants.pop(0))
         self.collect_grants(self.scheduler.done(ended, ids.Instant(self.now)))
 
     def step(self) -> None:
-        """One request's whole way: it comes, another one ends."""
+        """Enqueue a ticket and complete a running request."""
         self.now += 1.0 / REQUEST_RATE
         self.enqueue_ticket()
         self.complete_oldest()
 
     def tick(self) -> None:
-        """Let the scheduler see time pass; each fifth tick reviews all servers."""
+        """Advance the time by one tick; each fifth tick reviews all servers."""
         self.now += TICK_SECONDS
         self.scheduler.tick(ids.Instant(self.now))
 
 
 def measure(step: Callable[[], None], count: int) -> float:
-    """Return the mean microseconds of the processor that a step takes."""
+    """Return the mean processor time of a step in microseconds."""
     began = time.process_time()
     for _ in range(count):
         step()
@@ -118,7 +118,7 @@
 
 
 def main() -> None:
-    """Print a line for each length of the queue."""
+    """Print a line for each queue length."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--count", type=int, default=2000)
     parser.add_argument("--repeats", type=int, default=3)
--- a/bench/engine.py
+++ b/bench/engine.py
@@ -1,7 +1,7 @@
-"""The engine stand-in as a process that also counts dispatches by prompt.
+"""Runs the engine stand-in with dispatches counted by prompt.
 
-A caller that sends again to another entry gets another request id, so counts by
-request id alone can't show that its work was dispatched a second time.
+A retry at another entry gets another request id, so counts by request id alone
+can't show that its work was dispatched a second time.
 """
 
 from __future__ import annotations
@@ -20,15 +20,15 @@
 
 
 class Counts(engine_counts.EngineCounts):
-    """The stand-in's counts, dispatches by digest of the prompt, and slot use."""
+    """The stand-in's counts, with dispatches by prompt digest and slot use."""
 
     prompts: dict[str, int] = msgspec.field(default_factory=dict)
-    # Taken slots, integrated over the seconds since the start.
+    # Occupied slots, integrated over the seconds since the start.
     slot_seconds: float = 0.0
 
 
 class CountingEngine(engine.EngineStandin):
-    """Counts each admitted prompt."""
+    """An engine stand-in that counts requests by prompt and measures slot use."""
 
     def __init__(self, settings: engine.EngineSettings) -> None:
         super().__init__(settings, engine.exit_process)
@@ -37,14 +37,14 @@
         self.counted_until = 0.0
 
     def advance(self, now: ids.Instant) -> None:
-        """Count the slots taken since the last step, then take the next one."""
+        """Add the slot use since the last step, then run the next step."""
         seconds = now - self.counted_until if self.counted_until else 0.0
         self.counts.slot_seconds += len(self.batch.running) * seconds
         self.counted_until = now
         super().advance(now)
 
     async def complete(self, request: web.Request) -> web.StreamResponse:
-        """Count the prompt, then admit the request."""
+        """Count the prompt, then handle the request."""
         body = msgspec.json.decode(await request.read(), type=engine.CompletionRequest)
         engine_counts.add(self.counts.prompts, digest(body.prompt))
         if not self.batch.running:
@@ -54,12 +54,12 @@
 
 
 def digest(prompt: str) -> str:
-    """Return the name of a prompt in the counts."""
+    """Return the key of a prompt in the counts."""
     return hashlib.blake2b(prompt.encode(), digest_size=DIGEST_BYTES).hexdigest()
 
 
 async def serve(path: str) -> None:
-    """Run until SIGTERM."""
+    """Run the engine until SIGTERM."""
     settings = settingsfile.read(path, engine.EngineSettings)
     await backend.serve_until_signal(CountingEngine(settings))
 
--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -1,4 +1,4 @@
-"""A plan's deployment as separate processes."""
+"""Runs a plan's deployment as separate processes."""
 
 from __future__ import annotations
 
@@ -15,7 +15,8 @@
 from tealcove import bearer
 from tealcove.resources import kinds
 
-# A step of an engine stand-in; more steps cost more processor time than they tell.
+# Step length of an engine stand-in; shorter steps cost more processor time
+# than the added precision is worth.
 TICK_SECONDS = 0.01
 CRASH_MARKER = "crash-marker"
 ENTRY_POINTS_TTL = 2.0
@@ -31,10 +32,10 @@
 
 
 class EngineProcess(deployment.Process):
-    """An engine stand-in that counts by prompt too."""
+    """The process of an engine stand-in that also counts by prompt."""
 
     async def start(self, log: pathlib.Path) -> None:
-        """Start it; its output is appended to a log file."""
+        """Start the process and append its output to a log file."""
         with log.open("ab") as sink:
             self.process = await asyncio.create_subprocess_exec(
                 sys.executable,
@@ -48,7 +49,7 @@
 
 
 class LogLine(msgspec.Struct):
-    """What is read of a line of an instance's log."""
+    """The fields read from a line of an instance's log."""
 
     channel: str
     message: str
@@ -56,7 +57,7 @@
 
 
 class Announcement(msgspec.Struct):
-    """What is read of an engine's last line."""
+    """The fields read from an engine's announcement, which it prints on a crash."""
 
     event: str
     counts: engine.Counts | None = None
@@ -76,12 +77,12 @@
         self.plan = plan
         self.policy = policy
         self.instance_settings = instance_settings or {}
-        # Of the engines' slots, which long work can't take.
+        # Share of the engines' slots that is reserved for short requests.
         self.short_share = plan.short_share
         self.data_centres: dict[str, str] = {}
 
     async def start_all(self) -> None:
-        """Start all processes, declare the resources, wait until all serve."""
+        """Start all processes, declare the resources and wait until all serve."""
         for planned in self.plan.engines:
             await self.add_planned_engine(planned)
         for number in range(self.plan.services):
@@ -98,7 +99,7 @@
         await self.wait_for_members()
 
     def instance_count(self) -> int:
-        """Return how many instances the plan has."""
+        """Return the plan's number of instances."""
         return len(self.plan.data_centres) * self.plan.instances_per_data_centre
 
     def data_centre_for(self, number: int) -> str:
@@ -208,7 +209,7 @@
         )
 
     async def crash_engine(self, number: int) -> None:
-        """Let an engine die by a prompt sent straight to it."""
+        """Crash an engine with a prompt sent directly to it."""
         body = {"model": "m", "prompt": CRASH_MARKER, "max_tokens": 1}
         url = f"{self.engines[number].url}/v1/completions"
         headers = {"X-Request-Id": CRASH_MARKER}
@@ -226,7 +227,7 @@
         return all_counts
 
     async def call_counts(self) -> list[dict[str, int]]:
-        """Return how often each caller's call arrived at each plain service."""
+        """Return how often each call arrived, for each plain service."""
         all_counts = []
         for process in self.services:
             calls = (await self.counts(process))["calls"]
@@ -235,7 +236,7 @@
         return all_counts
 
     def counts_at_crash(self, process: deployment.Process) -> list[engine.Counts]:
-        """Return what an engine announcements when it crashed."""
+        """Return the counts that an engine announced when it crashed."""
         text = (self.folder / f"{process.name}.log").read_bytes()
         lines = [line for line in text.splitlines() if line.startswith(b'{"event"')]
         announcements = [msgspec.json.decode(line, type=Announcement) for line in lines]
@@ -246,7 +247,7 @@
         ]
 
     def log_lines(self) -> list[LogLine]:
-        """Return the lines that the instances logged."""
+        """Return the parsed log lines of all instances."""
         lines = []
         for instance in self.instances:
             text = (self.folder / f"{instance.name}.log").read_bytes()
@@ -256,7 +257,7 @@
         return lines
 
     def scheduler_records(self) -> list[tap.Record]:
-        """Return what the tapped schedulers noted."""
+        """Return the records that the tapped schedulers logged."""
         return [
             msgspec.json.decode(line.message, type=tap.Record)
             for line in self.log_lines()
@@ -264,7 +265,7 @@
         ]
 
     def warnings_and_errors(self) -> list[str]:
-        """Return the instances' warnings and errors."""
+        """Return the warnings and errors that the instances logged."""
         return [
             f"{line.channel}: {line.message}"
             for line in self.log_lines()
@@ -272,7 +273,7 @@
         ]
 
     def cpu_seconds(self) -> dict[str, float]:
-        """Return the processor time that each running process has spent."""
+        """Return each running process's processor time in seconds."""
         spent = {}
         for name, process in self.processes.items():
             if process.process is None or process.process.returncode is not None:
--- a/bench/limits_cost.py
+++ b/bench/limits_cost.py
@@ -25,7 +25,7 @@
 
 
 def admission_microseconds(account_limit: limit.Limit | None) -> float:
-    """Return the microseconds of one admission, or refusal, and its settling."""
+    """Return the microseconds of admitting or refusing a request and settling it."""
     known = population.deployment(1)
     limits = role.Limits(slope.Wire(), known, lambda _: account_limit, population.NOW)
     with contextlib.suppress(role.OverLimitError):
@@ -38,7 +38,7 @@
 
 
 def main() -> None:
-    """Print the figures."""
+    """Measure and print the figures."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--accounts", type=int, default=300)
     parser.add_argument("--instances", type=int, default=580)
--- a/bench/load.py
+++ b/bench/load.py
@@ -1,4 +1,4 @@
-"""One run: an open-loop load on a plan's deployment, and what became of it."""
+"""Runs an open-loop load on a plan's deployment and evaluates the outcomes."""
 
 from __future__ import annotations
 
@@ -19,9 +19,9 @@
 
 from bench import arrivals, callers, fleet, plans, score, tap
 
-# Callers of an account in each data centre.
+# Callers of each account in each data centre.
 CALLERS_PER_DATA_CENTRE = 2
-# Seconds into the run at which a scenario strikes, and for how long.
+# Seconds into the run at which a scenario's fault starts, and its duration.
 FAULT_START = 4.0
 FAULT_SECONDS = 3.0
 STRAGGLER_SPEED = 0.2
@@ -29,7 +29,7 @@
 
 
 class Scenario(enum.Enum):
-    """What goes wrong during a run."""
+    """The fault that is injected during a run."""
 
     NONE = "none"
     BURST = "burst"
@@ -40,7 +40,7 @@
 
 
 class Run(msgspec.Struct, frozen=True, kw_only=True):
-    """What was run."""
+    """The parameters of a run."""
 
     plan: str
     policy: str
@@ -50,12 +50,12 @@
     scenario: Scenario = Scenario.NONE
     # Only the highest tier sends anything.
     alone: bool = False
-    # In place of the plan's share of slots that long work can't take.
+    # Overrides the plan's share of slots reserved for short requests.
     short_share: float | None = None
 
 
 class Result(msgspec.Struct, frozen=True, kw_only=True):
-    """What came of a run; shares are parts of 1, times seconds."""
+    """The result of a run; shares are fractions of 1, times are in seconds."""
 
     run: Run
     goodput: dict[str, score.Share]
@@ -75,18 +75,18 @@
     calls: score.Share = score.Share(0, 0)
     call_ends: dict[str, int] = msgspec.field(default_factory=dict)
     latency: dict[str, list[float]]
-    # From a decision to refuse or stop a request to its answer: p50, p95, worst.
+    # From the decision to refuse or preempt a request to its answer: p50, p95, worst.
     refusal: list[float]
     refusals: int
-    # How late requests were sent: p99. A late tool measures itself.
+    # p99 of the sending delay. With a high one, the tool measures its own load.
     lag: float
     # Cores used, by kind of process.
     cores: dict[str, float]
-    # Part of the engines' slots that was taken while requests came in.
+    # Share of the engines' slots that was occupied while requests were sent.
     busy: float = 0.0
-    # Part of the machine's cores that was busy, with work of others.
+    # Share of the machine's cores that was busy, including other programs.
     machine: float = 0.0
-    # Microseconds of a core that a call of the scheduler takes.
+    # Mean microseconds of a scheduler call.
     scheduler_call: float
     complaints: list[str]
 
@@ -117,7 +117,7 @@
         self.busy = 0.0
 
     async def execute(self) -> Result:
-        """Start everything, send the load, and evaluate."""
+        """Start the deployment, send the load and evaluate the outcomes."""
         async with self.fleet:
             await self.fleet.start_all()
             connector = aiohttp.TCPConnector(limit=0)
@@ -131,7 +131,7 @@
             return self.evaluate(counts, calls)
 
     async def send_all(self, session: aiohttp.ClientSession) -> None:
-        """Send each request at its time, whatever became of those before."""
+        """Send each request at its time, without waiting for earlier ones."""
         callers_by_origin = self.create_callers(session)
         before = self.fleet.cpu_seconds()
         own = psutil.Process().cpu_times()
@@ -157,7 +157,7 @@
     def create_callers(
         self, session: aiohttp.ClientSession
     ) -> dict[tuple[str, str], list[callers.Caller]]:
-        """Return the callers by account and data centre."""
+        """Create the callers by account and data centre."""
         known = [instance.url for instance in self.fleet.instances]
         return {
             (account.name, data_centre): [
@@ -178,13 +178,13 @@
     async def send(
         self, caller: callers.Caller, request: arrivals.Request, start: float
     ) -> None:
-        """Send one request and keep its end."""
+        """Send one request and record its outcome."""
         sent = await caller.send(request, start)
         is_call = request.length is plans.Length.CALL
         (self.sent_calls if is_call else self.sent).append(sent)
 
     async def inject_faults(self, start: float) -> None:
-        """Bring about what the scenario says."""
+        """Inject the scenario's fault."""
         scenario = self.run.scenario
         if scenario in (Scenario.NONE, Scenario.BURST):
             return
@@ -205,8 +205,8 @@
             victims[self.run.seed % len(victims)].kill()
 
     async def crash_engine(self) -> None:
-        """Let the fastest engine die, and start again later."""
-        # It dies without an answer.
+        """Crash the first engine, one of the fastest, and restart it later."""
+        # It crashes without an answer.
         with contextlib.suppress(aiohttp.ClientError):
             await self.fleet.crash_engine(0)
         await self.fleet.engines[0].process.wait()
@@ -214,7 +214,7 @@
         await self.fleet.start(self.fleet.engines[0])
 
     async def show_progress(self, start: float) -> None:
-        """Tell now and then how far the run is."""
+        """Print the progress every PROGRESS_INTERVAL seconds."""
         while True:
             await asyncio.sleep(PROGRESS_INTERVAL)
             passed = time.monotonic() - start
@@ -226,7 +226,7 @@
     def measure_cores(
         self, before: dict[str, float], own: object, seconds: float
     ) -> None:
-        """Work out the cores that each kind of process used while load came in."""
+        """Compute the cores that each kind of process used while requests were sent."""
         now = psutil.Process().cpu_times()
         spent = now.user + now.system - own.user - own.system
         cores = {"callers": spent / seconds}
@@ -240,7 +240,7 @@
     def evaluate(
         self, counts: list[fleet.engine.Counts], calls: list[dict[str, int]]
     ) -> Result:
-        """Return what the callers saw and the engines counted."""
+        """Return the result from the callers' outcomes and the engines' counts."""
         window = score.Window(min(FAULT_START, self.run.seconds / 3), self.run.seconds)
         work, bound = score.work_and_bound(self.plan, self.sent, window)
         records = self.fleet.scheduler_records()
@@ -280,7 +280,7 @@
         )
 
     def refusal_times(self, records: list[tap.Record]) -> list[float]:
-        """Return the seconds from each decision against a request to its answer."""
+        """Return the seconds from each refusal or preemption to its answer."""
         decided = {
             record.request: record.at
             for record in records
@@ -295,7 +295,7 @@
 
 
 def count_repeats(counts: list[dict[str, int]]) -> int:
-    """Return how often anything arrived again, at the same server or another."""
+    """Return the number of repeated arrivals, at the same server or another."""
     seen: dict[str, int] = {}
     for found in counts:
         for name, times in found.items():
@@ -304,18 +304,18 @@
 
 
 def latency(sent: list[callers.SentRequest]) -> list[float]:
-    """Return p50 and p95 of the completed requests' times, if there are any."""
+    """Return p50 and p95 of the completed requests' times, or an empty list."""
     found = [s.seconds for s in sent if s.outcome is callers.Outcome.COMPLETED]
     return [score.percentile(found, percent) for percent in (50, 95) if found]
 
 
 def quantiles(found: list[float]) -> list[float]:
-    """Return p50, p95 and the worst; nothing when there was none."""
+    """Return p50, p95 and the maximum, or an empty list."""
     return [score.percentile(found, percent) for percent in (50, 95, 100) if found]
 
 
 def scheduler_call_microseconds(records: list[tap.Record]) -> float:
-    """Return the mean microseconds of a call of the scheduler."""
+    """Return the mean microseconds of a scheduler call."""
     costs = [record for record in records if isinstance(record, tap.Cost)]
     if not costs:
         return 0.0
@@ -335,17 +335,17 @@
     scenario: Annotated[str, cappa.Arg(long=True)] = Scenario.NONE.value
     alone: Annotated[bool, cappa.Arg(long=True)] = False
     short_share: Annotated[float | None, cappa.Arg(long=True)] = None
-    # Where the result goes; standard output without it.
+    # File for the result; standard output if empty.
     out: Annotated[str, cappa.Arg(long=True)] = ""
 
 
 async def execute_run(run: Run, folder: pathlib.Path) -> Result:
-    """Run once with all files in a folder."""
+    """Execute one run with all files in a folder."""
     return await LoadRun(run, folder).execute()
 
 
 def main() -> None:
-    """Run as the command line says."""
+    """Execute the run and write its result as JSON."""
     arguments = cappa.parse(Arguments)
     run = Run(
         plan=arguments.plan,
--- a/bench/plans.py
+++ b/bench/plans.py
@@ -1,4 +1,4 @@
-"""The two deployments that are measured: their sizes, engines and callers."""
+"""Defines the two measured deployments: their sizes, engines and callers."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 
 from tealcove.backends import prefixes
 
-# Of an engine of generation g3; the others are slower by one factor throughout,
-# so that the capacity doesn't depend on which engine takes which request.
+# For an engine of generation g3. Other generations are slower by one factor in
+# all respects, so that the capacity doesn't depend on the placement of requests.
 PREFILL_TOKENS_PER_SECOND = 16_000.0
 DECODE_SECONDS_PER_TOKEN = 0.004
 BATCH_SLOWDOWN = 0.02
@@ -26,8 +26,8 @@
     CALL = "call"
 
 
-# Calls of the plain service a second, and their deadline in seconds. Half of
-# them may not be repeated.
+# Calls of the plain service per second, and their deadline in seconds. Half of
+# them are not idempotent.
 CALL_RATE = 10.0
 CALL_DEADLINE = 2.0
 
@@ -36,7 +36,7 @@
     """The size of a kind of request, in tokens, and its deadline in seconds."""
 
     prompt_tokens: int
-    # Tokens of the prompt that all requests of one template share.
+    # Length of the prompt prefix that all requests of one template share.
     shared_tokens: int
     output_tokens: int
     deadline: float
@@ -51,24 +51,24 @@
 
     @property
     def speed(self) -> float:
-        """How fast it is, as a part of the fastest generation's speed."""
+        """The speed as a fraction of the fastest generation's."""
         return SPEEDS[self.generation]
 
     @property
     def full_step_seconds(self) -> float:
-        """Duration of a decode step when every slot is taken."""
+        """Duration of a decode step when every slot is occupied."""
         slowdown = 1.0 + BATCH_SLOWDOWN * (self.slots - 1)
         return DECODE_SECONDS_PER_TOKEN / self.speed * slowdown
 
     def slot_seconds(self, shape: Shape) -> float:
-        """Return how long a request holds a slot of the full, warm engine."""
+        """Return the seconds a request occupies a slot of a full, warm engine."""
         uncached = shape.prompt_tokens - shape.shared_tokens
         prefill = uncached / (PREFILL_TOKENS_PER_SECOND * self.speed)
         return prefill + shape.output_tokens * self.full_step_seconds
 
 
 class Account(msgspec.Struct, frozen=True):
-    """A client account and its part of all requests."""
+    """A client account and its share of all requests."""
 
     name: str
     tier: str
@@ -76,7 +76,7 @@
 
 
 class Plan(msgspec.Struct, frozen=True):
-    """One deployment."""
+    """A deployment and its workload."""
 
     name: str
     data_centres: tuple[str, ...]
@@ -93,37 +93,37 @@
     long_share: float
     # Prompt templates of each account.
     templates: int
-    # Of each engine's slots, which long work can't take.
+    # Share of each engine's slots that is reserved for short requests.
     short_share: float
     cache_blocks: int
 
     @property
     def non_idempotent_path(self) -> str:
-        """Where the calls go that may not be repeated."""
+        """Path prefix of the calls that are not idempotent."""
         return f"{self.service_path}once/"
 
     def share(self, length: Length) -> float:
-        """Return the part of all requests that are of a kind."""
+        """Return the share of requests of this length."""
         return self.long_share if length is Length.LONG else 1.0 - self.long_share
 
     def mean_slot_seconds(self, engine: Engine) -> float:
-        """Return the mean time that a request of the mix holds a slot."""
+        """Return the mean seconds that a request of the mix occupies a slot."""
         return sum(
             self.share(length) * engine.slot_seconds(shape)
             for length, shape in self.shapes.items()
         )
 
     def capacity(self) -> float:
-        """Return the bound in requests of the mix a second.
+        """Return the maximum throughput in requests of the mix per second.
 
-        The sum over the engines of slots / mean slot seconds: every slot is taken
-        all the time, decode steps last as long as with full slots, and the shared
-        part of a prompt is always cached. No policy can pass it in the long run.
+        The sum over the engines of slots / mean slot seconds: every slot is
+        always occupied, decode steps last as long as with all slots occupied, and the
+        shared part of a prompt is always cached. No policy can sustain more.
         """
         return sum(e.slots / self.mean_slot_seconds(e) for e in self.engines)
 
     def work(self, length: Length) -> float:
-        """Return a request's part of the capacity, in units of mean requests."""
+        """Return a request's cost in units of the mean request of the mix."""
         first = self.engines[0]
         return first.slot_seconds(self.shapes[length]) / self.mean_slot_seconds(first)
 
@@ -131,7 +131,7 @@
 def shapes(
     short: tuple[int, int, float], shared: int, long_deadline: float
 ) -> dict[Length, Shape]:
-    """Return a short kind (prompt, output, deadline) and one a hundred times longer."""
+    """Return the short shape (prompt, output, deadline) and one 100 times as long."""
     prompt, output, deadline = short
     return {
         Length.SHORT: Shape(prompt, 0, output, deadline),
--- a/bench/policy.py
+++ b/bench/policy.py
@@ -1,4 +1,4 @@
-"""Runs of `bench.load` for many policies, loads, seeds and scenarios."""
+"""Runs `bench.load` for combinations of policy, load, seed and scenario."""
 
 from __future__ import annotations
 
@@ -21,18 +21,18 @@
 SEEDS = "1,2,3"
 SCENARIO_LOAD = 1.5
 ALL = "all"
-# A tool that sends so late measures the machine's other work: once 1 in 100
-# requests was later than this, in seconds, the run is thrown away and repeated.
+# If the p99 of the sending delay exceeds this many seconds, the result reflects
+# other load on the machine: the run is discarded and repeated.
 MAX_LAG = 0.03
 ATTEMPTS = 5
-# A run waits for a second in which no more than this part of the machine was
-# busy, but for so many seconds at the most.
+# A run starts after a second in which at most this share of the machine was busy,
+# or after this many seconds.
 MAX_BUSY_SHARE = 0.5
 MAX_IDLE_WAIT_SECONDS = 120
 
 
 class LabelledResult(msgspec.Struct, frozen=True):
-    """A result and the revision of the source that gave it."""
+    """A result and the source revision that was measured."""
 
     label: str
     result: load.Result
@@ -43,29 +43,29 @@
     """Run a table of loads and add the results to a JSON file."""
 
     out: Annotated[str, cappa.Arg(long=True)]
-    # Names the source that runs, such as a commit.
+    # The source revision that is measured, such as a commit.
     label: Annotated[str, cappa.Arg(long=True)]
     plans: Annotated[str, cappa.Arg(long=True)] = ALL
     policies: Annotated[str, cappa.Arg(long=True)] = ALL
     loads: Annotated[str, cappa.Arg(long=True)] = LOADS
     seeds: Annotated[str, cappa.Arg(long=True)] = SEEDS
     seconds: Annotated[float, cappa.Arg(long=True)] = 14.0
-    # Instead of all loads: each scenario at 1.5 times the capacity.
+    # Run each scenario at 1.5 times the capacity, in place of all loads.
     scenarios: Annotated[bool, cappa.Arg(long=True)] = False
-    # Instead of all tiers: the highest one by itself.
+    # Send requests of the highest tier only.
     alone: Annotated[bool, cappa.Arg(long=True)] = False
-    # In place of the plans' shares of slots that long work can't take.
+    # Overrides the plans' share of slots reserved for short requests.
     short_share: Annotated[float | None, cappa.Arg(long=True)] = None
     jobs: Annotated[int, cappa.Arg(long=True)] = 1
 
 
 def parse_names(text: str, every: list[str]) -> list[str]:
-    """Return the names of a list parted by commas."""
+    """Return the names in a comma-separated list, or all of them."""
     return every if text == ALL else text.split(",")
 
 
 def planned_runs(arguments: Arguments) -> list[load.Run]:
-    """Return what is to be run."""
+    """Return the runs that the arguments select."""
     table = itertools.product(
         [int(seed) for seed in arguments.seeds.split(",")],
         parse_names(arguments.plans, list(plans.PLANS)),
@@ -88,7 +88,7 @@
 
 
 def loads_and_scenarios(arguments: Arguments) -> list[tuple[float, load.Scenario]]:
-    """Return the loads, each with what goes wrong under it."""
+    """Return the pairs of load and scenario that the arguments select."""
     if arguments.scenarios:
         wrong = [s for s in load.Scenario if s is not load.Scenario.NONE]
         return [(SCENARIO_LOAD, scenario) for scenario in wrong]
@@ -97,7 +97,7 @@
 
 
 async def run_undisturbed(run: load.Run, folder: str) -> load.Result | None:
-    """Run until a run wasn't disturbed; None when none succeeded."""
+    """Repeat a run until it is undisturbed; return None when all attempts failed."""
     for _ in range(ATTEMPTS):
         await wait_until_idle()
         result = await run_once(run, folder)
@@ -109,7 +109,7 @@
 
 
 async def wait_until_idle() -> None:
-    """Wait for a calm second, at most MAX_IDLE_WAIT_SECONDS of them."""
+    """Wait for a second of low load, at most MAX_IDLE_WAIT_SECONDS."""
     for _ in range(MAX_IDLE_WAIT_SECONDS):
         busy = await asyncio.to_thread(psutil.cpu_percent, 1.0)
         if busy <= 100.0 * MAX_BUSY_SHARE:
@@ -117,7 +117,7 @@
 
 
 async def run_once(run: load.Run, folder: str) -> load.Result | None:
-    """Run once in a process of its own; None when it failed."""
+    """Execute a run in its own process; return None when it failed."""
     out = pathlib.Path(folder) / f"{time.monotonic_ns()}.json"
     arguments = [
         "-m",
@@ -145,7 +145,7 @@
 
 
 def describe(result: load.Result) -> str:
-    """Return one line about a result."""
+    """Return a one-line summary of a result."""
     run = result.run
     shares = "/".join(f"{share.value:.2f}" for share in result.goodput.values())
     return (
@@ -161,7 +161,7 @@
 
 
 def add_result(path: pathlib.Path, label: str, result: load.Result) -> None:
-    """Add a result to the file, in place of an earlier one of the same run."""
+    """Add a result to the file, replacing an earlier one of the same run."""
     kept: list[LabelledResult] = []
     if path.exists():
         kept = msgspec.json.decode(path.read_bytes(), type=list[LabelledResult])
@@ -172,7 +172,7 @@
 
 
 async def run_all(arguments: Arguments) -> int:
-    """Run everything, a few at once; return how many runs failed."""
+    """Execute all runs, a few concurrently; return the number that failed."""
     planned = planned_runs(arguments)
     path = pathlib.Path(arguments.out)
     job_slots = asyncio.Semaphore(arguments.jobs)
@@ -197,7 +197,7 @@
 
 
 def main() -> None:
-    """Run as the command line says; exit code 1 when a run failed."""
+    """Execute the selected runs; exit with code 1 when one failed."""
     sys.exit(1 if asyncio.run(run_all(cappa.parse(Arguments))) else 0)
 
 
--- a/bench/report.py
+++ b/bench/report.py
@@ -1,4 +1,4 @@
-"""Tables and a plot from the results of `bench.policy` and `bench.cost`."""
+"""Writes tables and a plot of the results of `bench.policy` and `bench.cost`."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 def select(results: Results, **criteria: object) -> Results:
-    """Return the results whose run has these values."""
+    """Return the results whose run has the given field values."""
     return [
         result
         for result in results
@@ -38,32 +38,32 @@
 
 
 def wasted_share(result: load.Result) -> float:
-    """Return the wasted part of the prefill computed."""
+    """Return the share of computed prefill tokens that was wasted."""
     return result.prefill_wasted / max(1, result.prefill_tokens)
 
 
 def share_of_bound(result: load.Result) -> float:
-    """Return the good work as a part of its bound."""
+    """Return the good work as a fraction of its bound."""
     return result.work / result.bound if result.bound else 1.0
 
 
 def tier_goodput(results: Results, tier: str) -> str:
-    """Return the spread of one tier's goodput."""
+    """Return the mean and range of one tier's goodput."""
     return score.spread(r.goodput[tier].value for r in results if tier in r.goodput)
 
 
 def row(cells: Iterable[str]) -> str:
-    """Return a line of a table."""
+    """Return a row of a Markdown table."""
     return "| " + " | ".join(cells) + " |\n"
 
 
 def header(names: list[str]) -> str:
-    """Return the first two lines of a table."""
+    """Return the header lines of a Markdown table."""
     return row(names) + row(["---"] * len(names))
 
 
 def run_cells(results: Results, plan: plans.Plan) -> list[str]:
-    """Return the columns that all tables of runs share."""
+    """Return the cells of the columns that all tables of runs share."""
     return [
         *(tier_goodput(results, tier) for tier in plan.tiers),
         score.spread(share_of_bound(result) for result in results),
@@ -87,7 +87,7 @@
 
 
 def load_table(results: Results) -> str:
-    """Return the policies at each load."""
+    """Return a table of the policies at each load."""
     text = ""
     for plan in plans.PLANS.values():
         text += f"\n{plan.name}\n\n" + header(["load", "policy", *run_columns(plan)])
@@ -103,7 +103,7 @@
 
 
 def scenario_table(results: Results) -> str:
-    """Return what went wrong, and what it did to each policy."""
+    """Return a table of the policies under each scenario."""
     text = ""
     for plan in plans.PLANS.values():
         text += f"\n{plan.name}\n\n" + header(
@@ -120,7 +120,7 @@
 
 
 def target_table(results: Results) -> str:
-    """Return the wanted figures beside the measured ones, at 1.5 times capacity."""
+    """Return a table of target and measured figures at 1.5 times the capacity."""
     text = header(["wanted at 1.5 times the capacity", *plans.PLANS])
     targets = [
         ("highest tier, of what alone would fit: 0.99", ratio_to_alone),
@@ -144,7 +144,7 @@
 
 
 def ratio_to_alone(results: Results, plan: plans.Plan) -> str:
-    """Return the highest tier's goodput over that of the tier alone, by seed."""
+    """Return the highest tier's goodput relative to the tier alone, by seed."""
     tier = plan.tiers[0]
     found = []
     for mixed in at_overload(results, plan, policy=OWN_POLICY):
@@ -157,21 +157,21 @@
 
 
 def bound_figure(results: Results, plan: plans.Plan) -> str:
-    """Return the work of the bound."""
+    """Return the good work as a fraction of its bound, over all runs."""
     return score.spread(
         map(share_of_bound, at_overload(results, plan, policy=OWN_POLICY))
     )
 
 
 def wasted_figure(results: Results, plan: plans.Plan) -> str:
-    """Return the wasted part of prefill."""
+    """Return the wasted share of prefill, over all runs."""
     return score.spread(
         map(wasted_share, at_overload(results, plan, policy=OWN_POLICY))
     )
 
 
 def ratio_to_best_baseline(results: Results, plan: plans.Plan) -> str:
-    """Return the wasted part over the least of any baseline's, mean over mean."""
+    """Return the mean wasted share relative to the lowest mean of any baseline."""
     means = {}
     for name in fleet.POLICIES:
         found = [wasted_share(r) for r in at_overload(results, plan, policy=name)]
@@ -182,7 +182,7 @@
 
 
 def refusal_figure(results: Results, plan: plans.Plan) -> str:
-    """Return p95 and the worst time from a refusal's decision to its answer."""
+    """Return p95 and maximum of the time from a refusal's decision to its answer."""
     found = [r for r in at_overload(results, plan, policy=OWN_POLICY) if r.refusals]
     p95 = score.spread(r.refusal[1] for r in found)
     worst = max((r.refusal[2] for r in found), default=0.0)
@@ -191,13 +191,13 @@
 
 
 def count(results: Results, plan: plans.Plan, name: str) -> str:
-    """Return a sum over all runs of the system under any load and scenario."""
+    """Return a field's sum over all of Tealcove's runs, at any load and scenario."""
     found = select(results, plan=plan.name, policy=OWN_POLICY)
     return f"{sum(getattr(r, name) for r in found)} in {len(found)} runs"
 
 
 def cost_table(path: str) -> str:
-    """Return the figures of all runs of `bench.cost`."""
+    """Return a table of the figures of all runs of `bench.cost`."""
     found = msgspec.json.decode(pathlib.Path(path).read_bytes(), type=list[cost.Cost])
     names = list(dict.fromkeys(name for one in found for name in one.figures))
     text = header(["figure", *(one.label for one in found)])
@@ -208,7 +208,7 @@
 
 
 def plot(results: Results, path: str) -> None:
-    """Draw goodput by tier, work and waste over the load, with their spread."""
+    """Plot goodput by tier, work and wasted prefill over the load, with ranges."""
     drawn = figure.Figure(figsize=(18, 7))
     lines = drawn.subplots(2, 5, sharex=True)
     for line, plan in zip(lines, plans.PLANS.values(), strict=True):
@@ -232,7 +232,7 @@
 def draw_metric(
     axis: axes.Axes, results: Results, value: Callable[[load.Result], float]
 ) -> None:
-    """Draw one figure of each policy: means as lines, the range as bars."""
+    """Plot a metric for each policy: means as lines, ranges as error bars."""
     axis.set_ylim(0, 1.05)
     for name in fleet.POLICIES:
         own = select(results, policy=name)
@@ -248,7 +248,7 @@
 
 
 def replace_tables(page: str, tables: dict[str, str]) -> str:
-    """Return a page with the text between its marks replaced."""
+    """Return a page with the tables between its HTML comments replaced."""
 
     def replaced(found: re.Match[str]) -> str:
         name = found.group(2)
@@ -265,7 +265,7 @@
     """Write the tables into a page and draw the plot."""
 
     label: Annotated[str, cappa.Arg(long=True)]
-    # A later revision, whose runs stand in a section of their own.
+    # A later revision, whose runs go into a section of their own.
     after: Annotated[str, cappa.Arg(long=True)] = ""
     results: Annotated[str, cappa.Arg(long=True)] = "docs/measurements/policy.json"
     costs: Annotated[str, cappa.Arg(long=True)] = "docs/measurements/cost.json"
@@ -274,7 +274,7 @@
 
 
 def main() -> None:
-    """Write as the command line says."""
+    """Update the page's tables and write the plot."""
     arguments = cappa.parse(Arguments)
     results = read_results(arguments.results, arguments.label)
     tables = {
--- a/bench/score.py
+++ b/bench/score.py
@@ -1,4 +1,4 @@
-"""The arithmetic of goodput, and its bound."""
+"""Computes goodput, its upper bound and summary statistics."""
 
 from __future__ import annotations
 
@@ -12,41 +12,41 @@
 
 
 class Share(msgspec.Struct, frozen=True):
-    """How many of how many."""
+    """A part of a total number."""
 
     part: int
     of: int
 
     @property
     def value(self) -> float:
-        """The share; 1 when there was nothing to do."""
+        """The share as a fraction; 1 when the total is 0."""
         return self.part / self.of if self.of else 1.0
 
 
 class Window(msgspec.Struct, frozen=True):
-    """The part of a run that counts for rates, in seconds."""
+    """The time span of a run over which rates are computed, in seconds."""
 
     start: float
     stop: float
 
     @property
     def seconds(self) -> float:
-        """How long it is."""
+        """The duration of the window."""
         return self.stop - self.start
 
     def contains(self, at: float) -> bool:
-        """Tell whether a moment lies in it."""
+        """Return whether a time lies in the window."""
         return self.start <= at < self.stop
 
 
 def goodput(sent: Iterable[callers.SentRequest]) -> Share:
-    """Return the requests completed whole and in time, of all sent."""
+    """Return the share of sent requests that were completed by their deadline."""
     found = list(sent)
     return Share(sum(one.is_good for one in found), len(found))
 
 
 def outcome_counts(sent: Iterable[callers.SentRequest]) -> dict[str, int]:
-    """Return how many requests ended in each way, late ones apart."""
+    """Return the number of requests by outcome, late completions separately."""
     found: dict[str, int] = {}
     for one in sent:
         name = f"{one.outcome.value} {one.reason}".strip()
@@ -59,7 +59,7 @@
 def work_rate(
     plan: plans.Plan, lengths: Iterable[plans.Length], seconds: float
 ) -> float:
-    """Return the work of some requests, as a multiple of the capacity."""
+    """Return the work rate of some requests as a multiple of the capacity."""
     work = sum(plan.work(length) for length in lengths)
     return work / (plan.capacity() * seconds)
 
@@ -69,8 +69,8 @@
 ) -> tuple[float, float]:
     """Return the good work done and the bound on it, as multiples of the capacity.
 
-    Work counts when it ends. The bound is what was offered in the window, and
-    the capacity at the most.
+    Work counts when its request ends. The bound is the load offered in the window,
+    at most the capacity.
     """
     found = list(sent)
     done = [s.length for s in found if s.is_good and window.contains(s.at + s.seconds)]
@@ -80,7 +80,7 @@
 
 
 def percentile(values: Iterable[float], percent: float) -> float:
-    """Return the smallest value that so many percent don't exceed; NaN for none."""
+    """Return a percentile by the nearest-rank method; NaN without values."""
     ordered = sorted(values)
     if not ordered:
         return math.nan
@@ -89,7 +89,7 @@
 
 
 def spread(values: Iterable[float]) -> str:
-    """Return mean and range of some runs' figures, as tables show them."""
+    """Return mean and range of some runs' figures as table text; NaN is skipped."""
     found = [value for value in values if not math.isnan(value)]
     if not found:
         return "-"
--- a/bench/tap.py
+++ b/bench/tap.py
@@ -1,4 +1,4 @@
-"""The scheduler under measurement, with a note of what it decides and when."""
+"""Wraps the measured scheduler to log its decisions, their times and its cost."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from tealcove.backends import engine
 from tealcove.dispatch import cells, fair, messages, scheduler
 
-# The log channel of the notes; `bench.fleet` reads them.
+# The log channel of the records, which `bench.fleet` reads.
 CHANNEL = "tap"
 COST_INTERVAL = 1.0
 
@@ -19,7 +19,7 @@
 
 
 class Decision(msgspec.Struct, frozen=True, tag=True):
-    """A request that won't run, or no further; `at` is the machine's clock."""
+    """A refusal or preemption of a request; `at` is the machine's monotonic clock."""
 
     request: str
     kind: str
@@ -27,7 +27,7 @@
 
 
 class Cost(msgspec.Struct, frozen=True, tag=True):
-    """Calls of the scheduler since it began, and the seconds they took."""
+    """The number of scheduler calls since the start and their total seconds."""
 
     calls: int
     seconds: float
@@ -37,7 +37,7 @@
 
 
 class TappedFairScheduler(fair.FairScheduler):
-    """Decides as its base class; all processes of a run share its clock."""
+    """Decides like its base class; all processes of a run share its clock."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -49,13 +49,13 @@
         self.next_cost_record = 0.0
 
     def begin_call(self) -> None:
-        """Begin to count a call, unless it's made by another one."""
+        """Start timing a call, unless it is nested in another one."""
         self.call_depth += 1
         if self.call_depth == 1:
             self.call_start = time.monotonic()
 
     def end_call(self, decided: list[scheduler.Outgoing]) -> list[scheduler.Outgoing]:
-        """Count a call and note the requests that it ended."""
+        """Count a call and log the requests that it refused or preempted."""
         self.call_depth -= 1
         if self.call_depth:
             return decided
@@ -127,5 +127,5 @@
 
 
 def log_record(record: Record) -> None:
-    """Write a note into the instance's log."""
+    """Write a record to the instance's log."""
     log.info("{}", msgspec.json.encode(record).decode())
--- a/bench/witness.py
+++ b/bench/witness.py
@@ -17,18 +17,19 @@
 from bench import callers, fleet, load, plans
 from bench.slopes import size
 
-# Entries that are killed, the seconds between two, and those until one is back.
+# Number of killed entries, seconds between two kills and until the restart.
 KILLS = 3
 KILL_INTERVAL = 4.0
 RESTART_DELAY = 2.0
 WITNESS_TIMEOUTS = {"without": 0.0, "with": 0.05}
 SENT_METRIC = "tealcove_mesh_sent_total"
-# A run whose tool was later than this measures the machine's other work.
+# With a sending delay above this many seconds, a run measures other load on
+# the machine.
 MAX_LAG = 0.03
 
 
 class WitnessRun(load.LoadRun):
-    """A load during which one entry after the other is killed, or none."""
+    """A load run during which entries are killed one after the other, or none."""
 
     def __init__(
         self, run: load.Run, folder: pathlib.Path, timeout: float, deaths: int
@@ -44,7 +45,7 @@
         self.figures: dict[str, float] = {}
 
     async def inject_faults(self, start: float) -> None:
-        """Kill entries, and start each again later."""
+        """Kill entries and restart each later; count messages if none is killed."""
         for number in range(self.deaths):
             at = start + load.FAULT_START + number * KILL_INTERVAL
             await asyncio.sleep(at - time.monotonic())
@@ -58,7 +59,7 @@
             self.figures["messages"] = await self.count_messages() / len(self.requests)
 
     async def count_messages(self) -> int:
-        """Return the messages that all instances have sent to each other."""
+        """Return the number of messages that the instances have sent to each other."""
         total = 0.0
         for instance in self.fleet.instances:
             url = f"{instance.url}/metrics"
@@ -71,7 +72,7 @@
     def evaluate(
         self, counts: list[fleet.engine.Counts], calls: list[dict[str, int]]
     ) -> load.Result:
-        """Note what is about requests to engines only."""
+        """Record the figures, most of them of engine requests only."""
         again = [sent for sent in self.sent if sent.attempts > 1]
         result = super().evaluate(counts, calls)
         completed = [s.seconds for s in again if s.outcome is callers.Outcome.COMPLETED]
@@ -97,7 +98,7 @@
 
 
 def count_unanswered(sent: list[callers.SentRequest]) -> int:
-    """Return how many got no final answer, and say which."""
+    """Return the number of requests without a final answer, and print them."""
     found = [
         s
         for s in sent
@@ -109,12 +110,12 @@
 
 
 def good_percent(sent: list[callers.SentRequest]) -> float:
-    """Return the part that was completed whole and in time."""
+    """Return the percentage of requests completed by their deadline."""
     return 100 * mean([float(one.is_good) for one in sent])
 
 
 def mean(found: list[float]) -> float:
-    """Return the mean; 0 of nothing."""
+    """Return the mean, or 0 without values."""
     return sum(found) / max(1, len(found))
 
 
@@ -137,7 +138,7 @@
 
 
 async def run(arguments: argparse.Namespace) -> None:
-    """Run each way with the same seeds, in turn, and print the figures."""
+    """Run with and without witnesses on the same seeds and print the figures."""
     results: dict[str, list[dict[str, float]]] = {name: [] for name in WITNESS_TIMEOUTS}
     for seed in range(1, arguments.runs + 1):
         for name, timeout in WITNESS_TIMEOUTS.items():
@@ -151,7 +152,7 @@
 
 
 def main() -> None:
-    """Run as the command line says."""
+    """Parse the arguments and run the comparison."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--plan", default=plans.MAKINDU.name, choices=plans.PLANS)
     parser.add_argument("--load", type=float, default=0.7)
