--- a/bench/baselines.py
+++ b/bench/baselines.py
@@ -31,9 +31,9 @@
 
     def is_available(self) -> bool:
         """Return whether the server is serving and reachable, whatever its load."""
-        wanted = self.spec.state is kinds.ServerState.SERVING
-        leaving = self.load is not None and self.load.state == "leaving"
-        return wanted and self.reachable and not leaving
+        is_serving = self.spec.state is kinds.ServerState.SERVING
+        is_leaving = self.load is not None and self.load.state == "leaving"
+        return is_serving and self.reachable and not is_leaving
 
 
 class ImmediateScheduler(scheduler.Scheduler):
--- a/bench/callers.py
+++ b/bench/callers.py
@@ -68,7 +68,7 @@
 
     @property
     def is_good(self) -> bool:
-        """Whether it was completed by its deadline."""
+        """Whether the whole answer arrived by its deadline."""
         return self.outcome is Outcome.COMPLETED and self.seconds <= self.deadline
 
 
@@ -116,10 +116,10 @@
                 where = f"{url}/v1/entry-points"
                 async with self.session.get(where, timeout=timeout) as response:
                     response.raise_for_status()
-                    found = await response.read()
+                    content = await response.read()
             except (aiohttp.ClientError, TimeoutError, OSError):
                 continue
-            answer = msgspec.json.decode(found, type=points.EntryPoints)
+            answer = msgspec.json.decode(content, type=points.EntryPoints)
             self.points = answer.entry_points
             self.points_valid_until = time.monotonic() + answer.ttl_seconds
             return
--- a/bench/cost.py
+++ b/bench/cost.py
@@ -125,9 +125,9 @@
             json=request_body(tokens, stream),
             headers=callers.headers(),
         ) as response:
-            found = await response.read()
+            answer = await response.read()
             if response.status != 200:
-                raise RuntimeError(found)
+                raise RuntimeError(answer)
 
     return send
 
@@ -164,13 +164,13 @@
 async def measure_chunks(folder: pathlib.Path, seconds: float) -> dict[str, float]:
     """Return the processor time per streamed chunk, and per buffered one."""
     deployed = MeasuredDeployment(folder)
-    found = {}
+    figures = {}
     async with deployed.fleet:
         await deployed.start(CHUNK_ENGINE, INSTANCES)
         for name, stream in (("streamed", True), ("buffered", False)):
             slope = await seconds_per_chunk(deployed, stream, seconds)
-            found[f"{name} chunk, us of a core"] = slope * MILLION
-    return found
+            figures[f"{name} chunk, us of a core"] = slope * MILLION
+    return figures
 
 
 async def seconds_per_chunk(
@@ -212,14 +212,14 @@
                 url = deployed.fleet.instances[number // 2 % INSTANCES].url
                 tasks.append(asyncio.create_task(timed(session, url, number % 2 == 0)))
             await asyncio.gather(*tasks)
-    found = {}
+    figures = {}
     for percent in (50, 95):
         direct = score.percentile(times[True], percent) * 1e3
         whole = score.percentile(times[False], percent) * 1e3
-        found[f"direct call p{percent}, ms"] = direct
-        found[f"through the system p{percent}, ms"] = whole
-        found[f"added at p{percent}, ms"] = whole - direct
-    return found
+        figures[f"direct call p{percent}, ms"] = direct
+        figures[f"through the system p{percent}, ms"] = whole
+        figures[f"added at p{percent}, ms"] = whole - direct
+    return figures
 
 
 async def import_memory() -> float:
@@ -232,10 +232,10 @@
         stdout=asyncio.subprocess.PIPE,
     )
     await process.stdout.readline()
-    found = resident_mib(process.pid)
+    memory = resident_mib(process.pid)
     process.kill()
     await process.wait()
-    return found
+    return memory
 
 
 def resident_mib(pid: int) -> float:
@@ -350,10 +350,10 @@
 
 def append_cost(path: pathlib.Path, cost: Cost) -> None:
     """Append the figures of a run to a JSON file."""
-    kept = []
+    costs = []
     if path.exists():
-        kept = msgspec.json.decode(path.read_bytes(), type=list[Cost])
-    lines = [msgspec.json.encode(one) for one in [*kept, cost]]
+        costs = msgspec.json.decode(path.read_bytes(), type=list[Cost])
+    lines = [msgspec.json.encode(one) for one in [*costs, cost]]
     path.write_bytes(b"[\n" + b",\n".join(lines) + b"\n]\n")
 
 
--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -187,13 +187,13 @@
 
     def engine_slots(self) -> list[int]:
         """Return the slots of each engine."""
-        return [found.slots for found in self.plan.engines]
+        return [planned.slots for planned in self.plan.engines]
 
     def planned_servers(
         self, processes: list[deployment.Process], slots: list[int]
     ) -> tuple[kinds.BackendServerSpec, ...]:
         """Return the specs of backend servers in their data centres."""
-        generations = [found.generation for found in self.plan.engines]
+        generations = [planned.generation for planned in self.plan.engines]
         return tuple(
             kinds.BackendServerSpec(
                 name=process.name,
--- a/bench/load.py
+++ b/bench/load.py
@@ -148,7 +148,7 @@
         passed = time.monotonic() - start
         self.measure_cores(before, own, passed)
         taken = sum(c.slot_seconds for c in await self.fleet.engine_counts())
-        slots = sum(found.slots for found in self.plan.engines)
+        slots = sum(engine.slots for engine in self.plan.engines)
         self.busy = taken / (slots * passed)
         await asyncio.gather(*tasks)
         await inject_faults
@@ -249,12 +249,12 @@
         by_tier = {t: [s for s in self.sent if s.tier == t] for t in tiers}
         lengths = {n: [s for s in self.sent if s.length is n] for n in self.plan.shapes}
         all_sent = [*self.sent, *self.sent_calls]
-        prompts = [found.prompts for found in counts]
+        prompts = [selected.prompts for selected in counts]
         return Result(
             run=self.run,
-            goodput={t: score.goodput(found) for t, found in by_tier.items()},
+            goodput={t: score.goodput(selected) for t, selected in by_tier.items()},
             goodput_by_length={n.value: score.goodput(f) for n, f in lengths.items()},
-            ends={t: score.outcome_counts(found) for t, found in by_tier.items()},
+            ends={t: score.outcome_counts(selected) for t, selected in by_tier.items()},
             work=work,
             bound=bound,
             prefill_tokens=sum(c.prefill_tokens for c in counts),
@@ -268,7 +268,7 @@
             sent_again=sum(s.attempts > 1 for s in all_sent),
             calls=score.goodput(self.sent_calls),
             call_ends=score.outcome_counts(self.sent_calls),
-            latency={n.value: latency(found) for n, found in lengths.items()},
+            latency={n.value: latency(selected) for n, selected in lengths.items()},
             refusal=quantiles(refusals),
             refusals=len(refusals),
             lag=score.percentile((s.lag for s in self.sent), 99),
@@ -297,21 +297,21 @@
 def count_repeats(counts: list[dict[str, int]]) -> int:
     """Return the number of repeated arrivals, at the same server or another."""
     seen: dict[str, int] = {}
-    for found in counts:
-        for name, times in found.items():
+    for server_counts in counts:
+        for name, times in server_counts.items():
             seen[name] = seen.get(name, 0) + times
     return sum(times - 1 for times in seen.values())
 
 
 def latency(sent: list[callers.SentRequest]) -> list[float]:
     """Return p50 and p95 of the completed requests' times, or an empty list."""
-    found = [s.seconds for s in sent if s.outcome is callers.Outcome.COMPLETED]
-    return [score.percentile(found, percent) for percent in (50, 95) if found]
+    times = [s.seconds for s in sent if s.outcome is callers.Outcome.COMPLETED]
+    return [score.percentile(times, percent) for percent in (50, 95) if times]
 
 
-def quantiles(found: list[float]) -> list[float]:
+def quantiles(values: list[float]) -> list[float]:
     """Return p50, p95 and the maximum, or an empty list."""
-    return [score.percentile(found, percent) for percent in (50, 95, 100) if found]
+    return [score.percentile(values, percent) for percent in (50, 95, 100) if values]
 
 
 def scheduler_call_microseconds(records: list[tap.Record]) -> float:
--- a/bench/policy.py
+++ b/bench/policy.py
@@ -162,12 +162,14 @@
 
 def add_result(path: pathlib.Path, label: str, result: load.Result) -> None:
     """Add a result to the file, replacing an earlier one of the same run."""
-    kept: list[LabelledResult] = []
+    results: list[LabelledResult] = []
     if path.exists():
-        kept = msgspec.json.decode(path.read_bytes(), type=list[LabelledResult])
-    kept = [one for one in kept if (one.label, one.result.run) != (label, result.run)]
-    kept.append(LabelledResult(label, result))
-    lines = [msgspec.json.encode(one) for one in kept]
+        results = msgspec.json.decode(path.read_bytes(), type=list[LabelledResult])
+    results = [
+        one for one in results if (one.label, one.result.run) != (label, result.run)
+    ]
+    results.append(LabelledResult(label, result))
+    lines = [msgspec.json.encode(one) for one in results]
     path.write_bytes(b"[\n" + b",\n".join(lines) + b"\n]\n")
 
 
--- a/bench/report.py
+++ b/bench/report.py
@@ -22,10 +22,10 @@
 
 def read_results(path: str, label: str) -> Results:
     """Return the results of one revision."""
-    found = msgspec.json.decode(
+    labelled = msgspec.json.decode(
         pathlib.Path(path).read_bytes(), type=list[policy.LabelledResult]
     )
-    return [one.result for one in found if one.label == label]
+    return [one.result for one in labelled if one.label == label]
 
 
 def select(results: Results, **criteria: object) -> Results:
@@ -96,9 +96,9 @@
         )
         for multiple in sorted({r.run.load for r in of_plan}):
             for name in fleet.POLICIES:
-                found = select(of_plan, load=multiple, policy=name)
-                if found:
-                    text += row([f"{multiple:g}", name, *run_cells(found, plan)])
+                selected = select(of_plan, load=multiple, policy=name)
+                if selected:
+                    text += row([f"{multiple:g}", name, *run_cells(selected, plan)])
     return text
 
 
@@ -111,11 +111,11 @@
         )
         for scenario in load.Scenario:
             for name in fleet.POLICIES:
-                found = select(
+                selected = select(
                     results, plan=plan.name, scenario=scenario, policy=name, alone=False
                 )
-                if found and scenario is not load.Scenario.NONE:
-                    text += row([scenario.value, name, *run_cells(found, plan)])
+                if selected and scenario is not load.Scenario.NONE:
+                    text += row([scenario.value, name, *run_cells(selected, plan)])
     return text
 
 
@@ -146,14 +146,14 @@
 def ratio_to_alone(results: Results, plan: plans.Plan) -> str:
     """Return the highest tier's goodput relative to the tier alone, by seed."""
     tier = plan.tiers[0]
-    found = []
+    ratios = []
     for mixed in at_overload(results, plan, policy=OWN_POLICY):
         for alone in at_overload(
             results, plan, policy=OWN_POLICY, alone=True, seed=mixed.run.seed
         ):
             fits = max(1, alone.goodput[tier].part)
-            found.append(mixed.goodput[tier].part / fits)
-    return score.spread(found)
+            ratios.append(mixed.goodput[tier].part / fits)
+    return score.spread(ratios)
 
 
 def bound_figure(results: Results, plan: plans.Plan) -> str:
@@ -174,43 +174,45 @@
     """Return the mean wasted share relative to the lowest mean of any baseline."""
     means = {}
     for name in fleet.POLICIES:
-        found = [wasted_share(r) for r in at_overload(results, plan, policy=name)]
-        if found:
-            means[name] = sum(found) / len(found)
+        shares = [wasted_share(r) for r in at_overload(results, plan, policy=name)]
+        if shares:
+            means[name] = sum(shares) / len(shares)
     own = means.pop(OWN_POLICY, 0.0)
     return f"{own / min(means.values()):.3f}" if means else "-"
 
 
 def refusal_figure(results: Results, plan: plans.Plan) -> str:
     """Return p95 and maximum of the time from a refusal's decision to its answer."""
-    found = [r for r in at_overload(results, plan, policy=OWN_POLICY) if r.refusals]
-    p95 = score.spread(r.refusal[1] for r in found)
-    worst = max((r.refusal[2] for r in found), default=0.0)
-    total = sum(r.refusals for r in found)
+    with_refusals = [
+        r for r in at_overload(results, plan, policy=OWN_POLICY) if r.refusals
+    ]
+    p95 = score.spread(r.refusal[1] for r in with_refusals)
+    worst = max((r.refusal[2] for r in with_refusals), default=0.0)
+    total = sum(r.refusals for r in with_refusals)
     return f"p95 {p95}, worst {worst:.3f} of {total}"
 
 
 def count(results: Results, plan: plans.Plan, name: str) -> str:
     """Return a field's sum over all of Tealcove's runs, at any load and scenario."""
-    found = select(results, plan=plan.name, policy=OWN_POLICY)
-    return f"{sum(getattr(r, name) for r in found)} in {len(found)} runs"
+    selected = select(results, plan=plan.name, policy=OWN_POLICY)
+    return f"{sum(getattr(r, name) for r in selected)} in {len(selected)} runs"
 
 
 def cost_table(path: str) -> str:
     """Return a table of the figures of all runs of `bench.cost`."""
-    found = msgspec.json.decode(pathlib.Path(path).read_bytes(), type=list[cost.Cost])
-    names = list(dict.fromkeys(name for one in found for name in one.figures))
-    text = header(["figure", *(one.label for one in found)])
+    costs = msgspec.json.decode(pathlib.Path(path).read_bytes(), type=list[cost.Cost])
+    names = list(dict.fromkeys(name for one in costs for name in one.figures))
+    text = header(["figure", *(one.label for one in costs)])
     for name in names:
-        values = [one.figures.get(name) for one in found]
+        values = [one.figures.get(name) for one in costs]
         text += row([name, *("-" if v is None else f"{v:g}" for v in values)])
     return text
 
 
 def plot(results: Results, path: str) -> None:
     """Plot goodput by tier, work and wasted prefill over the load, with ranges."""
-    drawn = figure.Figure(figsize=(18, 7))
-    lines = drawn.subplots(2, 5, sharex=True)
+    canvas = figure.Figure(figsize=(18, 7))
+    lines = canvas.subplots(2, 5, sharex=True)
     for line, plan in zip(lines, plans.PLANS.values(), strict=True):
         of_plan = select(
             results, plan=plan.name, scenario=load.Scenario.NONE, alone=False
@@ -225,8 +227,8 @@
     for axis in lines[1]:
         axis.set_xlabel("load, of the capacity")
     lines[0][0].legend()
-    drawn.tight_layout()
-    drawn.savefig(path, dpi=80)
+    canvas.tight_layout()
+    canvas.savefig(path, dpi=80)
 
 
 def draw_metric(
@@ -237,10 +239,10 @@
     for name in fleet.POLICIES:
         own = select(results, policy=name)
         loads = sorted({r.run.load for r in own})
-        found = [[value(r) for r in select(own, load=x)] for x in loads]
-        means = [sum(values) / len(values) for values in found]
-        low = [mean - min(f) for mean, f in zip(means, found, strict=True)]
-        high = [max(f) - mean for mean, f in zip(means, found, strict=True)]
+        values_by_load = [[value(r) for r in select(own, load=x)] for x in loads]
+        means = [sum(values) / len(values) for values in values_by_load]
+        low = [mean - min(f) for mean, f in zip(means, values_by_load, strict=True)]
+        high = [max(f) - mean for mean, f in zip(means, values_by_load, strict=True)]
         if loads:
             axis.errorbar(
                 loads, means, yerr=[low, high], label=name, marker="o", capsize=3
@@ -250,14 +252,14 @@
 def replace_tables(page: str, tables: dict[str, str]) -> str:
     """Return a page with the tables between its HTML comments replaced."""
 
-    def replaced(found: re.Match[str]) -> str:
-        name = found.group(2)
+    def replacement(match: re.Match[str]) -> str:
+        name = match.group(2)
         if name not in tables:
-            return found.group(0)
+            return match.group(0)
         return f"<!-- {name} -->\n{tables[name]}<!-- end -->"
 
-    marked = re.compile(r"(<!-- ([a-z ]+) -->\n).*?(<!-- end -->)", re.DOTALL)
-    return marked.sub(replaced, page)
+    pattern = re.compile(r"(<!-- ([a-z ]+) -->\n).*?(<!-- end -->)", re.DOTALL)
+    return pattern.sub(replacement, page)
 
 
 @dataclasses.dataclass
--- a/bench/score.py
+++ b/bench/score.py
@@ -40,20 +40,20 @@
 
 
 def goodput(sent: Iterable[callers.SentRequest]) -> Share:
-    """Return the share of sent requests that were completed by their deadline."""
-    found = list(sent)
-    return Share(sum(one.is_good for one in found), len(found))
+    """Return the share of sent requests answered whole by their deadline."""
+    requests = list(sent)
+    return Share(sum(one.is_good for one in requests), len(requests))
 
 
 def outcome_counts(sent: Iterable[callers.SentRequest]) -> dict[str, int]:
     """Return the number of requests by outcome, late completions separately."""
-    found: dict[str, int] = {}
+    counts: dict[str, int] = {}
     for one in sent:
         name = f"{one.outcome.value} {one.reason}".strip()
         if one.outcome is callers.Outcome.COMPLETED and not one.is_good:
             name = "completed late"
-        found[name] = found.get(name, 0) + 1
-    return dict(sorted(found.items()))
+        counts[name] = counts.get(name, 0) + 1
+    return dict(sorted(counts.items()))
 
 
 def work_rate(
@@ -72,9 +72,11 @@
     Work counts when its request ends. The bound is the load offered in the window,
     at most the capacity.
     """
-    found = list(sent)
-    done = [s.length for s in found if s.is_good and window.contains(s.at + s.seconds)]
-    offered = [s.length for s in found if window.contains(s.at)]
+    requests = list(sent)
+    done = [
+        s.length for s in requests if s.is_good and window.contains(s.at + s.seconds)
+    ]
+    offered = [s.length for s in requests if window.contains(s.at)]
     bound = min(1.0, work_rate(plan, offered, window.seconds))
     return work_rate(plan, done, window.seconds), bound
 
--- a/bench/witness.py
+++ b/bench/witness.py
@@ -99,24 +99,24 @@
 
 def count_unanswered(sent: list[callers.SentRequest]) -> int:
     """Return the number of requests without a final answer, and print them."""
-    found = [
+    without_answer = [
         s
         for s in sent
         if s.outcome in (callers.Outcome.TIMED_OUT, callers.Outcome.DISCONNECTED)
     ]
-    for one in found:
+    for one in without_answer:
         print(f"  {one}", file=sys.stderr)
-    return len(found)
+    return len(without_answer)
 
 
 def good_percent(sent: list[callers.SentRequest]) -> float:
-    """Return the percentage of requests completed by their deadline."""
+    """Return the percentage of requests answered whole by their deadline."""
     return 100 * mean([float(one.is_good) for one in sent])
 
 
-def mean(found: list[float]) -> float:
+def mean(values: list[float]) -> float:
     """Return the mean, or 0 without values."""
-    return sum(found) / max(1, len(found))
+    return sum(values) / max(1, len(values))
 
 
 async def measure(
