--- a/bench/cost.py
+++ b/bench/cost.py
@@ -1,4 +1,4 @@
-"""What an instance costs: processor time, added latency, memory."""
+"""Measures an instance's processor time, added latency and memory."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 INSTANCES = 2
 SLOTS = 64
-# One token an event, so that chunks can be counted by tokens.
+# One token per event, so that the number of chunks is that of tokens.
 CHUNK_ENGINE = {"decode_seconds_per_token": 0.01, "tick_seconds": 0.005}
 FAST_ENGINE = {"decode_seconds_per_token": 0.002, "tick_seconds": 0.001}
 SHORT_TOKENS = 4
@@ -37,7 +37,7 @@
 STREAM_RATE = 20.0
 LATENCY_RATE = 40.0
 ACCOUNTS = 39_000
-SETTLE_SECONDS = 5.0
+IDLE_SECONDS = 5.0
 MILLION = 1e6
 MIB = 2**20
 PROMPT = "x" * 160
@@ -50,14 +50,14 @@
 
 
 class Cost(msgspec.Struct, frozen=True):
-    """Figures of one run, by name with the unit in it."""
+    """The figures of one run by name; the name includes the unit."""
 
     label: str
     figures: dict[str, float]
 
 
-class Bench:
-    """A small deployment whose instances are watched."""
+class MeasuredDeployment:
+    """A small deployment whose instances' processor time is measured."""
 
     def __init__(self, folder: pathlib.Path) -> None:
         self.fleet = deployment.Deployment(folder)
@@ -75,18 +75,18 @@
         await fleet.wait_for_members()
 
     def cpu_seconds(self) -> float:
-        """Return the processor time of all instances."""
+        """Return the seconds of processor time of all instances so far."""
         return sum(cpu_seconds(i.process.pid) for i in self.fleet.instances)
 
     async def idle_cores(self) -> float:
-        """Return the cores that the instances use without any request."""
+        """Return the cores that the instances use while idle."""
         await asyncio.sleep(1.0)
         before, began = self.cpu_seconds(), time.monotonic()
-        await asyncio.sleep(SETTLE_SECONDS)
+        await asyncio.sleep(IDLE_SECONDS)
         return (self.cpu_seconds() - before) / (time.monotonic() - began)
 
     async def load(self, send: Send, rate: float, seconds: float) -> tuple[int, float]:
-        """Send at a steady rate; return the requests and the processor time."""
+        """Send at a steady rate; return the request count and the processor time."""
         before = self.cpu_seconds()
         timeout = aiohttp.ClientTimeout(total=60.0)
         connector = aiohttp.TCPConnector(limit=0)
@@ -110,24 +110,24 @@
     return times.user + times.system
 
 
-def body(tokens: int, stream: bool) -> dict[str, object]:
-    """Return a request's body; the prompt is one that no other request has."""
+def request_body(tokens: int, stream: bool) -> dict[str, object]:
+    """Return a request's body with a unique prompt."""
     prompt = secrets.token_hex(16) + PROMPT
     return {"model": "m", "prompt": prompt, "max_tokens": tokens, "stream": stream}
 
 
-def sender(tokens: int, stream: bool) -> Send:
+def request_sender(tokens: int, stream: bool) -> Send:
     """Return a function that sends one request and reads its answer."""
 
     async def send(session: aiohttp.ClientSession, url: str) -> None:
         async with session.post(
             f"{url}/v1/completions",
-            json=body(tokens, stream),
+            json=request_body(tokens, stream),
             headers=callers.headers(),
         ) as response:
-            found = await response.read()
+            answer = await response.read()
             if response.status != 200:
-                raise RuntimeError(found)
+                raise RuntimeError(answer)
 
     return send
 
@@ -136,21 +136,23 @@
     """Send one request straight to an engine."""
     headers = {"X-Request-Id": secrets.token_hex(10)}
     async with session.post(
-        f"{url}/v1/completions", json=body(LATENCY_TOKENS, True), headers=headers
+        f"{url}/v1/completions",
+        json=request_body(LATENCY_TOKENS, True),
+        headers=headers,
     ) as response:
         await response.read()
 
 
 async def measure_requests(folder: pathlib.Path, seconds: float) -> dict[str, float]:
-    """Return the processor time per buffered request, all roles together."""
-    bench = Bench(folder)
-    async with bench.fleet:
-        await bench.start(FAST_ENGINE, INSTANCES)
-        await bench.load(sender(SHORT_TOKENS, False), REQUEST_RATE, 2.0)
-        idle = await bench.idle_cores()
+    """Return the processor time per buffered request, over all roles."""
+    deployed = MeasuredDeployment(folder)
+    async with deployed.fleet:
+        await deployed.start(FAST_ENGINE, INSTANCES)
+        await deployed.load(request_sender(SHORT_TOKENS, False), REQUEST_RATE, 2.0)
+        idle = await deployed.idle_cores()
         began = time.monotonic()
-        count, spent = await bench.load(
-            sender(SHORT_TOKENS, False), REQUEST_RATE, seconds
+        count, spent = await deployed.load(
+            request_sender(SHORT_TOKENS, False), REQUEST_RATE, seconds
         )
         spent -= idle * (time.monotonic() - began)
     return {
@@ -161,36 +163,40 @@
 
 async def measure_chunks(folder: pathlib.Path, seconds: float) -> dict[str, float]:
     """Return the processor time per streamed chunk, and per buffered one."""
-    bench = Bench(folder)
-    found = {}
-    async with bench.fleet:
-        await bench.start(CHUNK_ENGINE, INSTANCES)
+    deployed = MeasuredDeployment(folder)
+    figures = {}
+    async with deployed.fleet:
+        await deployed.start(CHUNK_ENGINE, INSTANCES)
         for name, stream in (("streamed", True), ("buffered", False)):
-            slope = await chunk_slope(bench, stream, seconds)
-            found[f"{name} chunk, us of a core"] = slope * MILLION
-    return found
+            slope = await seconds_per_chunk(deployed, stream, seconds)
+            figures[f"{name} chunk, us of a core"] = slope * MILLION
+    return figures
 
 
-async def chunk_slope(bench: Bench, stream: bool, seconds: float) -> float:
-    """Return the seconds per chunk: the slope between short and long answers."""
+async def seconds_per_chunk(
+    deployed: MeasuredDeployment, stream: bool, seconds: float
+) -> float:
+    """Return the processor seconds per chunk, from short and long answers."""
     spent = []
     for tokens in (FEW_CHUNKS, MANY_CHUNKS):
-        idle = await bench.idle_cores()
+        idle = await deployed.idle_cores()
         began = time.monotonic()
-        count, used = await bench.load(sender(tokens, stream), STREAM_RATE, seconds)
+        count, used = await deployed.load(
+            request_sender(tokens, stream), STREAM_RATE, seconds
+        )
         spent.append((used - idle * (time.monotonic() - began)) / count)
     return (spent[1] - spent[0]) / (MANY_CHUNKS - FEW_CHUNKS)
 
 
 async def measure_latency(folder: pathlib.Path, seconds: float) -> dict[str, float]:
-    """Return what the system adds to a direct call, the two taking turns."""
-    bench = Bench(folder)
+    """Return the latency added to a direct call, alternating the two."""
+    deployed = MeasuredDeployment(folder)
     times: dict[bool, list[float]] = {True: [], False: []}
-    through = sender(LATENCY_TOKENS, False)
-    async with bench.fleet:
-        await bench.start(FAST_ENGINE, INSTANCES)
-        await bench.load(through, LATENCY_RATE, 2.0)
-        engine = bench.fleet.engines[0].url
+    through = request_sender(LATENCY_TOKENS, False)
+    async with deployed.fleet:
+        await deployed.start(FAST_ENGINE, INSTANCES)
+        await deployed.load(through, LATENCY_RATE, 2.0)
+        engine = deployed.fleet.engines[0].url
 
         async def timed(session: aiohttp.ClientSession, url: str, direct: bool) -> None:
             began = time.monotonic()
@@ -201,23 +207,23 @@
             start = time.monotonic()
             tasks = []
             for number in range(int(LATENCY_RATE * seconds)):
-                due = start + number / LATENCY_RATE
-                await asyncio.sleep(max(0.0, due - time.monotonic()))
-                url = bench.fleet.instances[number // 2 % INSTANCES].url
+                send_at = start + number / LATENCY_RATE
+                await asyncio.sleep(max(0.0, send_at - time.monotonic()))
+                url = deployed.fleet.instances[number // 2 % INSTANCES].url
                 tasks.append(asyncio.create_task(timed(session, url, number % 2 == 0)))
             await asyncio.gather(*tasks)
-    found = {}
+    figures = {}
     for percent in (50, 95):
         direct = score.percentile(times[True], percent) * 1e3
         whole = score.percentile(times[False], percent) * 1e3
-        found[f"direct call p{percent}, ms"] = direct
-        found[f"through the system p{percent}, ms"] = whole
-        found[f"added at p{percent}, ms"] = whole - direct
-    return found
+        figures[f"direct call p{percent}, ms"] = direct
+        figures[f"through the system p{percent}, ms"] = whole
+        figures[f"added at p{percent}, ms"] = whole - direct
+    return figures
 
 
-async def bare_imports() -> float:
-    """Return the MiB of a process that has imported all and does nothing."""
+async def import_memory() -> float:
+    """Return the resident MiB of a process that only imports the modules."""
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-c",
@@ -226,32 +232,32 @@
         stdout=asyncio.subprocess.PIPE,
     )
     await process.stdout.readline()
-    found = resident(process.pid)
+    memory = resident_mib(process.pid)
     process.kill()
     await process.wait()
-    return found
+    return memory
 
 
-def resident(pid: int) -> float:
+def resident_mib(pid: int) -> float:
     """Return the resident memory of a process in MiB."""
     return psutil.Process(pid).memory_info().rss / MIB
 
 
 async def measure_memory(folder: pathlib.Path, accounts: int) -> dict[str, float]:
-    """Return the memory of an idle instance beyond that of the bare imports."""
-    bare = await bare_imports()
-    bench = Bench(folder)
-    async with bench.fleet:
-        await bench.start(FAST_ENGINE, INSTANCES)
-        await asyncio.sleep(SETTLE_SECONDS)
-        idle = [resident(i.process.pid) for i in bench.fleet.instances]
-        await declare_accounts(bench.fleet, accounts)
-        await bench.fleet.add_instance()
-        started = bench.fleet.instances[-1]
-        await bench.fleet.wait_until_ready(started)
-        await asyncio.sleep(SETTLE_SECONDS)
-        followed = [resident(i.process.pid) for i in bench.fleet.instances[:-1]]
-        fresh = resident(started.process.pid)
+    """Return the memory of an idle instance above that of the imports."""
+    bare = await import_memory()
+    deployed = MeasuredDeployment(folder)
+    async with deployed.fleet:
+        await deployed.start(FAST_ENGINE, INSTANCES)
+        await asyncio.sleep(IDLE_SECONDS)
+        idle = [resident_mib(i.process.pid) for i in deployed.fleet.instances]
+        await declare_accounts(deployed.fleet, accounts)
+        await deployed.fleet.add_instance()
+        started = deployed.fleet.instances[-1]
+        await deployed.fleet.wait_until_ready(started)
+        await asyncio.sleep(IDLE_SECONDS)
+        followed = [resident_mib(i.process.pid) for i in deployed.fleet.instances[:-1]]
+        fresh = resident_mib(started.process.pid)
     return {
         "bare imports, MiB": bare,
         "idle above bare imports, MiB": max(idle) - bare,
@@ -261,7 +267,7 @@
 
 
 async def declare_accounts(fleet: deployment.Deployment, count: int) -> None:
-    """Put many client accounts into the platform as one snapshot."""
+    """Write many client accounts to the platform as one snapshot."""
     own = fleet.resources
     first = own.current.revision + 1
     changes = [account_change(ids.Revision(first + n), n) for n in range(count)]
@@ -278,7 +284,7 @@
 
 
 def account_change(revision: ids.Revision, number: int) -> codec.Change:
-    """Return the change that adds one account, with a key and limits."""
+    """Return the change that adds an account with a key and a rate limit."""
     name = f"account-{number:05d}"
     spec = kinds.ClientAccountSpec(
         tier="low",
@@ -313,41 +319,41 @@
     out: Annotated[str, cappa.Arg(long=True)] = ""
 
 
-async def measure(found: Arguments) -> dict[str, float]:
-    """Measure the parts that are asked for, one after the other."""
+async def measure(arguments: Arguments) -> dict[str, float]:
+    """Measure the requested parts, one after the other."""
     figures: dict[str, float] = {}
-    for part in found.parts.split(","):
+    for part in arguments.parts.split(","):
         print(f"  {part}", file=sys.stderr)
         with tempfile.TemporaryDirectory() as name:
             folder = pathlib.Path(name)
             if part == "memory":
-                figures.update(await measure_memory(folder, found.accounts))
+                figures.update(await measure_memory(folder, arguments.accounts))
                 continue
             measures = {
                 "requests": measure_requests,
                 "chunks": measure_chunks,
                 "latency": measure_latency,
             }
-            figures.update(await measures[part](folder, found.seconds))
+            figures.update(await measures[part](folder, arguments.seconds))
     return figures
 
 
 def main() -> None:
-    """Run as the command line says."""
-    found = cappa.parse(Arguments)
-    figures = asyncio.run(measure(found))
+    """Measure, print the figures and append them to a file if one is given."""
+    arguments = cappa.parse(Arguments)
+    figures = asyncio.run(measure(arguments))
     rounded = {name: round(value, 3) for name, value in figures.items()}
     print(json.dumps(rounded, indent=2))
-    if found.out:
-        store(pathlib.Path(found.out), Cost(found.label, rounded))
+    if arguments.out:
+        append_cost(pathlib.Path(arguments.out), Cost(arguments.label, rounded))
 
 
-def store(path: pathlib.Path, cost: Cost) -> None:
-    """Add the figures of a run to a file."""
-    kept = []
+def append_cost(path: pathlib.Path, cost: Cost) -> None:
+    """Append the figures of a run to a JSON file."""
+    costs = []
     if path.exists():
-        kept = msgspec.json.decode(path.read_bytes(), type=list[Cost])
-    lines = [msgspec.json.encode(one) for one in [*kept, cost]]
+        costs = msgspec.json.decode(path.read_bytes(), type=list[Cost])
+    lines = [msgspec.json.encode(one) for one in [*costs, cost]]
     path.write_bytes(b"[\n" + b",\n".join(lines) + b"\n]\n")
 
 
--- a/bench/policy.py
+++ b/bench/policy.py
@@ -1,4 +1,4 @@
-"""Runs of `bench.load` for many policies, loads, seeds and scenarios."""
+"""Runs `bench.load` for combinations of policy, load, seed and scenario."""
 
 from __future__ import annotations
 
@@ -21,18 +21,18 @@
 SEEDS = "1,2,3"
 SCENARIO_LOAD = 1.5
 ALL = "all"
-# A tool that sends so late measures the machine's other work: once 1 in 100
-# requests was later than this, in seconds, the run is thrown away and repeated.
-MOST_LAG = 0.03
+# If the p99 of the sending delay exceeds this many seconds, the result reflects
+# other load on the machine: the run is discarded and repeated.
+MAX_LAG = 0.03
 ATTEMPTS = 5
-# A run waits for a second in which no more than this part of the machine was
-# busy, but for so many seconds at the most.
-CALM = 0.5
-LONGEST_WAIT = 120
+# A run starts after a second in which at most this share of the machine was busy,
+# or after this many seconds.
+MAX_BUSY_SHARE = 0.5
+MAX_IDLE_WAIT_SECONDS = 120
 
 
-class Labelled(msgspec.Struct, frozen=True):
-    """A result and the revision of the source that gave it."""
+class LabelledResult(msgspec.Struct, frozen=True):
+    """A result and the source revision that was measured."""
 
     label: str
     result: load.Result
@@ -43,34 +43,34 @@
     """Run a table of loads and add the results to a JSON file."""
 
     out: Annotated[str, cappa.Arg(long=True)]
-    # Names the source that runs, such as a commit.
+    # The source revision that is measured, such as a commit.
     label: Annotated[str, cappa.Arg(long=True)]
     plans: Annotated[str, cappa.Arg(long=True)] = ALL
     policies: Annotated[str, cappa.Arg(long=True)] = ALL
     loads: Annotated[str, cappa.Arg(long=True)] = LOADS
     seeds: Annotated[str, cappa.Arg(long=True)] = SEEDS
     seconds: Annotated[float, cappa.Arg(long=True)] = 14.0
-    # Instead of all loads: each scenario at 1.5 times the capacity.
+    # Run each scenario at 1.5 times the capacity, in place of all loads.
     scenarios: Annotated[bool, cappa.Arg(long=True)] = False
-    # Instead of all tiers: the highest one by itself.
+    # Send requests of the highest tier only.
     alone: Annotated[bool, cappa.Arg(long=True)] = False
-    # In place of the plans' shares of slots that long work can't take.
+    # Overrides the plans' share of slots reserved for short requests.
     short_share: Annotated[float | None, cappa.Arg(long=True)] = None
     jobs: Annotated[int, cappa.Arg(long=True)] = 1
 
 
-def choose(text: str, every: list[str]) -> list[str]:
-    """Return the names of a list parted by commas."""
+def parse_names(text: str, every: list[str]) -> list[str]:
+    """Return the names in a comma-separated list, or all of them."""
     return every if text == ALL else text.split(",")
 
 
-def runs(found: Arguments) -> list[load.Run]:
-    """Return what is to be run."""
+def planned_runs(arguments: Arguments) -> list[load.Run]:
+    """Return the runs that the arguments select."""
     table = itertools.product(
-        [int(seed) for seed in found.seeds.split(",")],
-        choose(found.plans, list(plans.PLANS)),
-        scenarios(found),
-        choose(found.policies, list(fleet.POLICIES)),
+        [int(seed) for seed in arguments.seeds.split(",")],
+        parse_names(arguments.plans, list(plans.PLANS)),
+        loads_and_scenarios(arguments),
+        parse_names(arguments.policies, list(fleet.POLICIES)),
     )
     return [
         load.Run(
@@ -78,46 +78,46 @@
             policy=policy,
             load=multiple,
             seed=seed,
-            seconds=found.seconds,
+            seconds=arguments.seconds,
             scenario=scenario,
-            alone=found.alone,
-            short_share=found.short_share,
+            alone=arguments.alone,
+            short_share=arguments.short_share,
         )
         for seed, plan, (multiple, scenario), policy in table
     ]
 
 
-def scenarios(found: Arguments) -> list[tuple[float, load.Scenario]]:
-    """Return the loads, each with what goes wrong under it."""
-    if found.scenarios:
+def loads_and_scenarios(arguments: Arguments) -> list[tuple[float, load.Scenario]]:
+    """Return the pairs of load and scenario that the arguments select."""
+    if arguments.scenarios:
         wrong = [s for s in load.Scenario if s is not load.Scenario.NONE]
         return [(SCENARIO_LOAD, scenario) for scenario in wrong]
-    loads = [float(multiple) for multiple in found.loads.split(",")]
+    loads = [float(multiple) for multiple in arguments.loads.split(",")]
     return [(multiple, load.Scenario.NONE) for multiple in loads]
 
 
-async def play(run: load.Run, folder: str) -> load.Result | None:
-    """Run until a run wasn't disturbed; None when none succeeded."""
+async def run_undisturbed(run: load.Run, folder: str) -> load.Result | None:
+    """Repeat a run until it is undisturbed; return None when all attempts failed."""
     for _ in range(ATTEMPTS):
-        await calm()
-        result = await play_once(run, folder)
-        if result is not None and result.lag <= MOST_LAG:
+        await wait_until_idle()
+        result = await run_once(run, folder)
+        if result is not None and result.lag <= MAX_LAG:
             return result
         if result is not None:
             print(f"disturbed, lag {result.lag:.3f} s: {describe(result)}", flush=True)
     return None
 
 
-async def calm() -> None:
-    """Wait for a calm second, at most LONGEST_WAIT of them."""
-    for _ in range(LONGEST_WAIT):
+async def wait_until_idle() -> None:
+    """Wait for a second of low load, at most MAX_IDLE_WAIT_SECONDS."""
+    for _ in range(MAX_IDLE_WAIT_SECONDS):
         busy = await asyncio.to_thread(psutil.cpu_percent, 1.0)
-        if busy <= 100.0 * CALM:
+        if busy <= 100.0 * MAX_BUSY_SHARE:
             return
 
 
-async def play_once(run: load.Run, folder: str) -> load.Result | None:
-    """Run once in a process of its own; None when it failed."""
+async def run_once(run: load.Run, folder: str) -> load.Result | None:
+    """Execute a run in its own process; return None when it failed."""
     out = pathlib.Path(folder) / f"{time.monotonic_ns()}.json"
     arguments = [
         "-m",
@@ -137,15 +137,15 @@
     process = await asyncio.create_subprocess_exec(
         sys.executable, *arguments, stderr=asyncio.subprocess.PIPE
     )
-    _, told = await process.communicate()
+    _, stderr = await process.communicate()
     if process.returncode != 0:
-        print(told.decode(errors="replace")[-2000:], file=sys.stderr)
+        print(stderr.decode(errors="replace")[-2000:], file=sys.stderr)
         return None
     return msgspec.json.decode(out.read_bytes(), type=load.Result)
 
 
 def describe(result: load.Result) -> str:
-    """Return one line about a result."""
+    """Return a one-line summary of a result."""
     run = result.run
     shares = "/".join(f"{share.value:.2f}" for share in result.goodput.values())
     return (
@@ -160,45 +160,47 @@
     )
 
 
-def store(path: pathlib.Path, label: str, result: load.Result) -> None:
-    """Add a result to the file, in place of an earlier one of the same run."""
-    kept: list[Labelled] = []
+def add_result(path: pathlib.Path, label: str, result: load.Result) -> None:
+    """Add a result to the file, replacing an earlier one of the same run."""
+    results: list[LabelledResult] = []
     if path.exists():
-        kept = msgspec.json.decode(path.read_bytes(), type=list[Labelled])
-    kept = [one for one in kept if (one.label, one.result.run) != (label, result.run)]
-    kept.append(Labelled(label, result))
-    lines = [msgspec.json.encode(one) for one in kept]
+        results = msgspec.json.decode(path.read_bytes(), type=list[LabelledResult])
+    results = [
+        one for one in results if (one.label, one.result.run) != (label, result.run)
+    ]
+    results.append(LabelledResult(label, result))
+    lines = [msgspec.json.encode(one) for one in results]
     path.write_bytes(b"[\n" + b",\n".join(lines) + b"\n]\n")
 
 
-async def play_all(found: Arguments) -> int:
-    """Run everything, a few at once; return how many runs failed."""
-    todo = runs(found)
-    path = pathlib.Path(found.out)
-    free = asyncio.Semaphore(found.jobs)
+async def run_all(arguments: Arguments) -> int:
+    """Execute all runs, a few concurrently; return the number that failed."""
+    planned = planned_runs(arguments)
+    path = pathlib.Path(arguments.out)
+    job_slots = asyncio.Semaphore(arguments.jobs)
     failed = 0
 
-    async def play_one(number: int, run: load.Run, folder: str) -> None:
+    async def run_one(number: int, run: load.Run, folder: str) -> None:
         nonlocal failed
-        async with free:
-            result = await play(run, folder)
+        async with job_slots:
+            result = await run_undisturbed(run, folder)
         if result is None:
             failed += 1
-            print(f"{number + 1}/{len(todo)} failed: {run}", flush=True)
+            print(f"{number + 1}/{len(planned)} failed: {run}", flush=True)
             return
-        store(path, found.label, result)
-        print(f"{number + 1}/{len(todo)} {describe(result)}", flush=True)
+        add_result(path, arguments.label, result)
+        print(f"{number + 1}/{len(planned)} {describe(result)}", flush=True)
 
     with tempfile.TemporaryDirectory() as folder:
         await asyncio.gather(
-            *(play_one(number, run, folder) for number, run in enumerate(todo))
+            *(run_one(number, run, folder) for number, run in enumerate(planned))
         )
     return failed
 
 
 def main() -> None:
-    """Run as the command line says; exit code 1 when a run failed."""
-    sys.exit(1 if asyncio.run(play_all(cappa.parse(Arguments))) else 0)
+    """Execute the selected runs; exit with code 1 when one failed."""
+    sys.exit(1 if asyncio.run(run_all(cappa.parse(Arguments))) else 0)
 
 
 if __name__ == "__main__":
--- a/bench/tap.py
+++ b/bench/tap.py
@@ -1,4 +1,4 @@
-"""The scheduler under measurement, with a note of what it decides and when."""
+"""Wraps the measured scheduler to log its decisions, their times and its cost."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 from tealcove.backends import engine
 from tealcove.dispatch import cells, fair, messages, scheduler
 
-# The log channel of the notes; `bench.fleet` reads them.
+# The log channel of the records, which `bench.fleet` reads.
 CHANNEL = "tap"
-NOTE_INTERVAL = 1.0
+COST_INTERVAL = 1.0
 
 log = logbook.Logger(CHANNEL)
 
 
 class Decision(msgspec.Struct, frozen=True, tag=True):
-    """A request that won't run, or no further; `at` is the machine's clock."""
+    """A refusal or preemption of a request; `at` is the machine's monotonic clock."""
 
     request: str
     kind: str
@@ -27,81 +27,81 @@
 
 
 class Cost(msgspec.Struct, frozen=True, tag=True):
-    """Calls of the scheduler since it began, and the seconds they took."""
+    """The number of scheduler calls since the start and their total seconds."""
 
     calls: int
     seconds: float
 
 
-Note = Decision | Cost
+Record = Decision | Cost
 
 
 class TappedFairScheduler(fair.FairScheduler):
-    """Decides as its base class; all processes of a run share its clock."""
+    """Decides like its base class; all processes of a run share its clock."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.requests: dict[ids.TicketId, ids.RequestId] = {}
+        self.request_ids: dict[ids.TicketId, ids.RequestId] = {}
         self.calls = 0
         self.seconds = 0.0
-        self.nesting = 0
-        self.began = 0.0
-        self.next_note = 0.0
-
-    def enter(self) -> None:
-        """Begin to count a call, unless it's made by another one."""
-        self.nesting += 1
-        if self.nesting == 1:
-            self.began = time.monotonic()
-
-    def leave(self, decided: list[scheduler.Outgoing]) -> list[scheduler.Outgoing]:
-        """Count a call and note the requests that it ended."""
-        self.nesting -= 1
-        if self.nesting:
+        self.call_depth = 0
+        self.call_start = 0.0
+        self.next_cost_record = 0.0
+
+    def begin_call(self) -> None:
+        """Start timing a call, unless it is nested in another one."""
+        self.call_depth += 1
+        if self.call_depth == 1:
+            self.call_start = time.monotonic()
+
+    def end_call(self, decided: list[scheduler.Outgoing]) -> list[scheduler.Outgoing]:
+        """Count a call and log the requests that it refused or preempted."""
+        self.call_depth -= 1
+        if self.call_depth:
             return decided
         now = time.monotonic()
         self.calls += 1
-        self.seconds += now - self.began
+        self.seconds += now - self.call_start
         for out in decided:
             if isinstance(out.message, messages.Refusal | messages.Preempt):
-                request = self.requests.get(out.message.ticket_id, "")
-                note(Decision(request, type(out.message).__name__, now))
-        if now >= self.next_note:
-            self.next_note = now + NOTE_INTERVAL
-            note(Cost(self.calls, self.seconds))
+                request = self.request_ids.get(out.message.ticket_id, "")
+                log_record(Decision(request, type(out.message).__name__, now))
+        if now >= self.next_cost_record:
+            self.next_cost_record = now + COST_INTERVAL
+            log_record(Cost(self.calls, self.seconds))
         return decided
 
     def configure(self, cell: cells.Cell, now: ids.Instant) -> list[scheduler.Outgoing]:
         """See Scheduler."""
-        self.enter()
-        return self.leave(super().configure(cell, now))
+        self.begin_call()
+        return self.end_call(super().configure(cell, now))
 
     def enqueue(
         self, ticket: messages.Ticket, now: ids.Instant
     ) -> list[scheduler.Outgoing]:
         """See Scheduler."""
-        self.requests[ticket.ticket_id] = ticket.request_id
-        self.enter()
-        return self.leave(super().enqueue(ticket, now))
+        self.request_ids[ticket.ticket_id] = ticket.request_id
+        self.begin_call()
+        return self.end_call(super().enqueue(ticket, now))
 
     def withdraw(
         self, ticket_id: ids.TicketId, now: ids.Instant
     ) -> list[scheduler.Outgoing]:
         """See Scheduler."""
-        self.enter()
-        return self.leave(super().withdraw(ticket_id, now))
+        self.begin_call()
+        return self.end_call(super().withdraw(ticket_id, now))
 
     def progress(
         self, progress: messages.Progress, now: ids.Instant
     ) -> list[scheduler.Outgoing]:
         """See Scheduler."""
-        self.enter()
-        return self.leave(super().progress(progress, now))
+        self.begin_call()
+        return self.end_call(super().progress(progress, now))
 
     def done(self, done: messages.Done, now: ids.Instant) -> list[scheduler.Outgoing]:
         """See Scheduler."""
-        self.enter()
-        return self.leave(super().done(done, now))
+        self.begin_call()
+        return self.end_call(super().done(done, now))
 
     def report(
         self,
@@ -110,22 +110,22 @@
         now: ids.Instant,
     ) -> list[scheduler.Outgoing]:
         """See Scheduler."""
-        self.enter()
-        return self.leave(super().report(server, load, now))
+        self.begin_call()
+        return self.end_call(super().report(server, load, now))
 
     def lose_entry(
         self, entry: ids.InstanceId, now: ids.Instant
     ) -> list[scheduler.Outgoing]:
         """See Scheduler."""
-        self.enter()
-        return self.leave(super().lose_entry(entry, now))
+        self.begin_call()
+        return self.end_call(super().lose_entry(entry, now))
 
     def tick(self, now: ids.Instant) -> list[scheduler.Outgoing]:
         """See Scheduler."""
-        self.enter()
-        return self.leave(super().tick(now))
+        self.begin_call()
+        return self.end_call(super().tick(now))
 
 
-def note(found: Note) -> None:
-    """Write a note into the instance's log."""
-    log.info("{}", msgspec.json.encode(found).decode())
+def log_record(record: Record) -> None:
+    """Write a record to the instance's log."""
+    log.info("{}", msgspec.json.encode(record).decode())
