--- a/bench/replay/__main__.py
+++ b/bench/replay/__main__.py
@@ -9,7 +9,7 @@
 import cappa
 import matplotlib
 
-from bench.replay import mix, play, tally
+from bench.replay import mix, simulation, tally
 
 matplotlib.use("Agg")
 
@@ -38,7 +38,7 @@
         found = mix.MIXES[name]
         for load in map(float, arguments.loads.split(",")):
             worth = [
-                one(found, load, arguments.seconds, int(seed))
+                play_one(found, load, arguments.seconds, int(seed))
                 for seed in arguments.seeds.split(",")
             ]
             mean = sum(worth) / len(worth)
@@ -48,15 +48,18 @@
         plot(shares, arguments.plot)
 
 
-def one(found: mix.Mix, load: float, seconds: float, seed: int) -> float:
+def play_one(found: mix.Mix, load: float, seconds: float, seed: int) -> float:
     """Play and print one run; return the part of the worth that was earned."""
     requests = mix.draw(found, load, seconds, seed)
-    outcome = play.Play(found, requests).run()
+    outcome = simulation.Simulation(found, requests).run()
     sums = tally.sums(outcome)
     title = f"{found.name} {load:g} seed {seed}"
     for name, one in {"all": sums.whole, **sums.kinds, **sums.sizes}.items():
-        ends = ", ".join(f"{one.ends[end]} {end.value}" for end in play.End)
-        held, again = one.held / one.owed, one.again / one.owed
+        ends = ", ".join(f"{one.ends[end]} {end.value}" for end in simulation.End)
+        held, again = (
+            one.wasted_wait_worth / one.total_worth,
+            one.refused_again_worth / one.total_worth,
+        )
         print(f"  {title} {name:16} {ends}, worth {one.share():.3f}", end="")
         print(f", {held:.3f} waited in vain, {again:.3f} refused again")
     read = sum(batch.read_tokens for batch in outcome.batches)
@@ -65,7 +68,7 @@
     part = busy / (outcome.seconds * len(outcome.batches))
     print(
         f"    engines busy {part:.2f}, {wasted / max(1, read):.3f} of prompts in vain,"
-        f" mark {sums.mark():.3f}, bound {tally.bound(found, requests, seconds):.3f}"
+        f" mark {sums.score():.3f}, bound {tally.bound(found, requests, seconds):.3f}"
     )
     return sums.whole.share()
 
--- a/bench/replay/batches.py
+++ b/bench/replay/batches.py
@@ -7,7 +7,7 @@
 from bench.replay import mix
 
 
-class Work(msgspec.Struct):
+class RunningRequest(msgspec.Struct):
     """A request on an engine."""
 
     number: int
@@ -21,12 +21,12 @@
     first_at: float | None = None
 
 
-class Step(msgspec.Struct, frozen=True):
+class StepResult(msgspec.Struct, frozen=True):
     """What a step has brought: first events, and ends."""
 
-    at: float
-    first: tuple[Work, ...]
-    ended: tuple[Work, ...]
+    ends_at: float
+    first_events: tuple[RunningRequest, ...]
+    completed: tuple[RunningRequest, ...]
 
 
 class Batch:
@@ -34,7 +34,7 @@
 
     def __init__(self, engine: mix.Engine) -> None:
         self.engine = engine
-        self.works: dict[int, Work] = {}
+        self.running: dict[int, RunningRequest] = {}
         # Whether a step is under way.
         self.is_stepping = False
         self.busy_seconds = 0.0
@@ -44,37 +44,37 @@
 
     def add(self, number: int, request: mix.Request, now: float) -> None:
         """Begin to work on a request."""
-        self.works[number] = Work(
+        self.running[number] = RunningRequest(
             number,
             request.prompt,
             request.prompt,
             request.output,
             now,
-            now + self.engine.begin_seconds,
+            now + self.engine.startup_seconds,
         )
 
     def cancel(self, number: int, request: mix.Request) -> None:
         """Stop work on a request, if it's here."""
-        work = self.works.pop(number, None)
+        work = self.running.pop(number, None)
         if work is not None:
             self.wasted_tokens += request.prompt - work.prompt_left
 
-    def step(self, now: float) -> Step:
+    def step(self, now: float) -> StepResult:
         """Return what the step that begins now brings; the batch must not be empty."""
         reading = next(
-            (w for w in self.works.values() if w.prompt_left and w.ready_at <= now),
+            (w for w in self.running.values() if w.prompt_left and w.ready_at <= now),
             None,
         )
-        writing = [w for w in self.works.values() if not w.prompt_left]
+        writing = [w for w in self.running.values() if not w.prompt_left]
         if reading is None and not writing:
-            return Step(min(w.ready_at for w in self.works.values()), (), ())
+            return StepResult(min(w.ready_at for w in self.running.values()), (), ())
         chunk = 0 if reading is None else min(self.engine.chunk, reading.prompt_left)
         seconds = self.engine.step_seconds
-        seconds += self.engine.crowd_seconds * len(self.works)
+        seconds += self.engine.per_request_seconds * len(self.running)
         seconds += chunk * self.engine.prompt_seconds
         if reading is not None:
             read = reading.prompt - reading.prompt_left
-            seconds += chunk * (read + chunk / 2) * self.engine.pair_seconds * 2
+            seconds += chunk * (read + chunk / 2) * self.engine.attention_seconds * 2
         at = now + seconds
         self.busy_seconds += seconds
         self.read_tokens += chunk
@@ -83,14 +83,14 @@
         first = [work for work in writing if self.write(work, at)]
         ended = [work for work in writing if not work.tokens_left]
         for work in ended:
-            del self.works[work.number]
-        return Step(at, tuple(first), tuple(ended))
+            del self.running[work.number]
+        return StepResult(at, tuple(first), tuple(ended))
 
-    def write(self, work: Work, at: float) -> bool:
+    def write(self, work: RunningRequest, at: float) -> bool:
         """Write one token; tell whether the first event is complete with it."""
         work.tokens += 1
         work.tokens_left -= 1
-        is_event = work.tokens >= self.engine.stride or not work.tokens_left
+        is_event = work.tokens >= self.engine.first_event_tokens or not work.tokens_left
         if work.first_at is None and is_event:
             work.first_at = at
             return True
--- a/bench/replay/mix.py
+++ b/bench/replay/mix.py
@@ -9,10 +9,10 @@
 
 # A generation counts by its size, at most so many times the kind's worth: a part that
 # every one has, and a part that grows with its tokens.
-FIXED_PART = 0.3
-MOST_WORTH = 4.0
+FIXED_WORTH_PART = 0.3
+MAX_WORTH_FACTOR = 4.0
 # No prompt or output is longer than so many times its kind's mean, unless a kind says.
-MOST_TIMES = 20.0
+MAX_LENGTH_FACTOR = 20.0
 
 
 class Kind(msgspec.Struct, frozen=True):
@@ -28,7 +28,7 @@
     output_mean: float
     output_spread: float
     # Seconds to the first event that callers hope for, and for which they wait at all.
-    aim: float
+    goal_seconds: float
     deadline: float
     # What an answer in aim is worth, and a later one.
     worth: float
@@ -38,8 +38,8 @@
     # The tier of its accounts; 0 goes first.
     tier: int = 0
     # Longest prompt and output, in times their mean.
-    prompt_most: float = MOST_TIMES
-    output_most: float = MOST_TIMES
+    max_prompt_factor: float = MAX_LENGTH_FACTOR
+    max_output_factor: float = MAX_LENGTH_FACTOR
     # What an output token counts for in a request's size, against 1 for a prompt token.
     output_weight: float = 0.0
 
@@ -52,14 +52,14 @@
     # Seconds for a prompt token, for a step, and more of a step for each request.
     prompt_seconds: float
     step_seconds: float
-    crowd_seconds: float = 0.00009
+    per_request_seconds: float = 0.00009
     # Seconds more for a prompt token by each token before it.
-    pair_seconds: float = 0.0
+    attention_seconds: float = 0.0
     # Seconds before a request's prompt begins to be read.
-    begin_seconds: float = 0.0
+    startup_seconds: float = 0.0
     # Prompt tokens that are read in one step, and tokens of the first event.
     chunk: int = 1024
-    stride: int = 4
+    first_event_tokens: int = 4
 
 
 class Burst(msgspec.Struct, frozen=True):
@@ -85,15 +85,15 @@
     kinds: tuple[Kind, ...]
     engines: tuple[Engine, ...]
     # Mean number of requests that arrive at one moment.
-    clump: float = 1.0
+    mean_group_size: float = 1.0
     # Spread of the callers' guess of their output, as a log-normal factor.
-    hint_spread: float = 0.0
+    estimate_spread: float = 0.0
     bursts: tuple[Burst, ...] = ()
     outages: tuple[Outage, ...] = ()
     # When the dispatcher dies, with all that it has learnt.
     takeovers: tuple[float, ...] = ()
 
-    def times(self, at: float) -> float:
+    def load_factor(self, at: float) -> float:
         """Return the load at an instant, against the usual one."""
         found = 1.0
         for burst in self.bursts:
@@ -145,7 +145,7 @@
 FIRST_ACCOUNTS_PART = 0.55
 
 
-def ranked(found: Mix) -> Mix:
+def with_tiers(found: Mix) -> Mix:
     """Return a mix of which accounts of two tiers send a part each."""
     parts = (FIRST_ACCOUNTS_PART, 1.0 - FIRST_ACCOUNTS_PART)
     kinds = tuple(
@@ -169,7 +169,7 @@
 LABEL_STEP = 0.00379
 
 
-def graded(*times: float, slots: int, count: int = 2) -> tuple[Engine, ...]:
+def graded_engines(*times: float, slots: int, count: int = 2) -> tuple[Engine, ...]:
     """Return some engines of each grade, each so many times slower than at speed 1."""
     return tuple(
         Engine(
@@ -181,23 +181,26 @@
             grade * 0.109e-9,
             0.026,
             2048,
-            stride=1,
+            first_event_tokens=1,
         )
         for grade in times
         for number in range(count)
     )
 
 
-def statement(
-    kind: Kind, prompt_most: float, output_most: float, weight: float = 10.0
+def limited_kind(
+    kind: Kind, max_prompt_factor: float, max_output_factor: float, weight: float = 10.0
 ) -> Kind:
     """Return a kind whose size counts by its output tokens as well."""
     return msgspec.structs.replace(
-        kind, prompt_most=prompt_most, output_most=output_most, output_weight=weight
+        kind,
+        max_prompt_factor=max_prompt_factor,
+        max_output_factor=max_output_factor,
+        output_weight=weight,
     )
 
 
-def labelling(found: tuple[Engine, ...]) -> tuple[Engine, ...]:
+def labelling_engines(found: tuple[Engine, ...]) -> tuple[Engine, ...]:
     """Return engines as fast as those that label things, each by its grade."""
     return tuple(
         msgspec.structs.replace(
@@ -214,21 +217,21 @@
 STATEMENTS = Mix(
     "statements",
     (
-        statement(
+        limited_kind(
             Kind("review", 19.0, 6610, 1.4, 382, 1.5, 0.4, 15.0, 6.8, 2.0, 0), 8.3, 10
         ),
-        statement(
+        limited_kind(
             Kind("letter", 22.1, 628, 1.0, 292, 1.5, 0.25, 12.0, 2.3, 0.68, 1),
             5.3,
             10,
         ),
-        statement(
+        limited_kind(
             Kind("tag", 34.9, 1800, 1.3, 23, 1.5, 0.25, 2.5, 0.29, 0.088, 2), 3.8, 10
         ),
     ),
-    graded(0.55, 1.0, 2.8, slots=15),
-    clump=3.0,
-    hint_spread=0.5,
+    graded_engines(0.55, 1.0, 2.8, slots=15),
+    mean_group_size=3.0,
+    estimate_spread=0.5,
     bursts=(Burst(1.0, 5.0, 1.7), Burst(11.0, 2.5, 2.1)),
     outages=(Outage(1.2, 60.0, "0.55-0"), Outage(8.0, 2.0, "1-0")),
     takeovers=(24.0,),
@@ -237,23 +240,23 @@
 STATEMENTS_GROWN = Mix(
     "statements-grown",
     (
-        statement(
+        limited_kind(
             Kind("review", 111.0, 6610, 1.4, 380, 1.5, 0.445, 11.1, 6.3, 1.9, 0),
             8.3,
             10,
         ),
-        statement(
+        limited_kind(
             Kind("letter", 81.9, 628, 1.0, 290, 1.5, 0.269, 10.7, 3.1, 0.92, 1),
             5.3,
             10,
         ),
-        statement(
+        limited_kind(
             Kind("tag", 261.0, 1800, 1.3, 20, 1.5, 0.322, 2.7, 0.22, 0.064, 2), 3.8, 10
         ),
     ),
-    graded(0.55, 1.0, 2.8, slots=8, count=15),
-    clump=2.0,
-    hint_spread=0.5,
+    graded_engines(0.55, 1.0, 2.8, slots=8, count=15),
+    mean_group_size=2.0,
+    estimate_spread=0.5,
     bursts=(Burst(1.0, 5.0, 1.7), Burst(11.0, 2.5, 2.1)),
     outages=tuple(Outage(8.0, 2.0, f"1-{number}") for number in range(5)),
     takeovers=(24.0,),
@@ -266,8 +269,8 @@
         Kind("text", 64.9, 2900, 1.0, 50, 1.5, 1.022, 5.1, 1.6, 0.47, 1),
         Kind("notes", 100.0, 1100, 1.0, 170, 1.5, 1.013, 12.2, 0.3, 0.09, 2),
     ),
-    labelling(graded(0.55, 1.0, 2.0, slots=5, count=13)),
-    hint_spread=0.5,
+    labelling_engines(graded_engines(0.55, 1.0, 2.0, slots=5, count=13)),
+    estimate_spread=0.5,
     bursts=(Burst(3.0, 6.0, 1.6), Burst(14.0, 4.0, 1.8)),
     outages=tuple(Outage(6.0, 3.0, f"0.55-{number}") for number in range(13)),
     takeovers=(24.0,),
@@ -277,20 +280,25 @@
 LABELS_SHIFTED = Mix(
     "labels-shifted",
     (
-        statement(
+        limited_kind(
             Kind("long", 81.8, 3720, 1.1, 120, 1.5, 0.663, 11.1, 6.8, 2.0, 0), 14.3, 10
         ),
-        statement(
+        limited_kind(
             Kind("text", 98.0, 2890, 1.0, 52, 1.5, 1.245, 5.2, 1.6, 0.47, 1), 13.7, 9.6
         ),
-        statement(
+        limited_kind(
             Kind("notes", 87.0, 1110, 1.0, 172, 1.5, 1.226, 12.3, 0.3, 0.088, 2),
             3.4,
             9.9,
         ),
     ),
-    labelling((*graded(0.68, slots=5, count=30), *graded(3.0, slots=5, count=15))),
-    hint_spread=0.5,
+    labelling_engines(
+        (
+            *graded_engines(0.68, slots=5, count=30),
+            *graded_engines(3.0, slots=5, count=15),
+        )
+    ),
+    estimate_spread=0.5,
     bursts=(Burst(1.0, 5.0, 1.8), Burst(11.0, 2.5, 2.1)),
     outages=tuple(Outage(15.5, 2.0, f"0.68-{number}") for number in range(11)),
     takeovers=(24.0,),
@@ -300,7 +308,7 @@
     for mix in (
         LABELS,
         STANDS,
-        ranked(LABELS),
+        with_tiers(LABELS),
         STATEMENTS,
         STATEMENTS_GROWN,
         LABELS_LARGE,
@@ -309,7 +317,7 @@
 }
 
 
-def calm(found: Mix) -> Mix:
+def without_incidents(found: Mix) -> Mix:
     """Return a mix to which nothing happens."""
     return msgspec.structs.replace(found, bursts=(), outages=(), takeovers=())
 
@@ -322,7 +330,7 @@
         at = next_arrival(mix, kind, 0.0, load, source)
         while at < seconds:
             found.append(new_request(mix, kind, at, source))
-            while source.random() < 1.0 - 1.0 / mix.clump:
+            while source.random() < 1.0 - 1.0 / mix.mean_group_size:
                 found.append(new_request(mix, kind, at, source))
             at = next_arrival(mix, kind, at, load, source)
     return sorted(found, key=lambda request: request.at)
@@ -332,25 +340,31 @@
     mix: Mix, kind: Kind, after: float, load: float, source: random.Random
 ) -> float:
     """Return when the next requests of a kind come."""
-    rate = kind.per_second * load * mix.times(after) / mix.clump
+    rate = kind.per_second * load * mix.load_factor(after) / mix.mean_group_size
     return after + source.expovariate(rate)
 
 
 def new_request(mix: Mix, kind: Kind, at: float, source: random.Random) -> Request:
     """Draw one request."""
-    prompt = skewed(kind.prompt_mean, kind.prompt_spread, kind.prompt_most, source)
-    output = skewed(kind.output_mean, kind.output_spread, kind.output_most, source)
+    prompt = draw_length(
+        kind.prompt_mean, kind.prompt_spread, kind.max_prompt_factor, source
+    )
+    output = draw_length(
+        kind.output_mean, kind.output_spread, kind.max_output_factor, source
+    )
     size = prompt + kind.output_weight * output
     mean = kind.prompt_mean + kind.output_weight * kind.output_mean
-    part = FIXED_PART + (1.0 - FIXED_PART) * size / mean
-    worth = kind.worth * min(MOST_WORTH, part)
+    part = FIXED_WORTH_PART + (1.0 - FIXED_WORTH_PART) * size / mean
+    worth = kind.worth * min(MAX_WORTH_FACTOR, part)
     expected = output
-    if mix.hint_spread:
-        expected = max(1, round(output * source.lognormvariate(0.0, mix.hint_spread)))
+    if mix.estimate_spread:
+        expected = max(
+            1, round(output * source.lognormvariate(0.0, mix.estimate_spread))
+        )
     return Request(kind, at, prompt, output, worth, expected, size)
 
 
-def skewed(mean: float, spread: float, most: float, source: random.Random) -> int:
+def draw_length(mean: float, spread: float, most: float, source: random.Random) -> int:
     """Draw a whole number of a log-normal distribution with a mean, up to a bound."""
     middle = math.log(mean) - spread * spread / 2
     found = round(source.lognormvariate(middle, spread))
--- a/bench/replay/play.py
+++ b/bench/replay/simulation.py
@@ -17,27 +17,27 @@
 CELL = ids.CellId("replay/0")
 ENTRY = ids.InstanceId("entry")
 # Seconds between an entry and the dispatcher or an engine, and between two ticks.
-WAY = 0.003
-TICK = 0.05
+ONE_WAY_SECONDS = 0.003
+TICK_SECONDS = 0.05
 # Times that a caller comes back after a refusal.
 RETRIES = 1
 # Virtual time begins here: schedulers take an instant of 0 for "never".
 START = 1000.0
 # Callers of streams leave after so many times their aim without an event, and so many
 # seconds at least.
-PATIENCE_AIMS = 4.0
-LEAST_PATIENCE = 2.0
+PATIENCE_GOALS = 4.0
+MIN_PATIENCE = 2.0
 # Seconds between two tellings of what runs, and for which a new dispatcher waits.
-TOLD_INTERVAL = 1.0
-GATHER = 0.25
+REPORT_SECONDS = 1.0
+GATHER_SECONDS = 0.25
 # Callers wait as they are told to, up to this part of the time that they have left.
-RETURN_PART = 1 / 3
+MAX_RETRY_WAIT_PART = 1 / 3
 
 
 class End(enum.Enum):
     """How a request ended for its caller."""
 
-    IN_AIM = "in aim"
+    WITHIN_GOAL = "in aim"
     LATE = "late"
     REFUSED = "refused"
     LEFT = "left"
@@ -52,14 +52,14 @@
     request: mix.Request
     tries: int = 0
     # When the present try began, and whether it was refused since.
-    tried_at: float = 0.0
-    is_away: bool = False
+    try_started_at: float = 0.0
+    is_between_tries: bool = False
     server: str = ""
     granted_at: float = 0.0
     first_at: float | None = None
     end: End | None = None
     # Seconds that it was kept waiting in all its tries, without being served.
-    held: float = 0.0
+    wait_seconds: float = 0.0
     refusals: int = 0
 
     @property
@@ -76,16 +76,16 @@
     seconds: float
 
 
-class Play:
-    """One run; `scheduler` decides."""
+class Simulation:
+    """One simulated run; `policy` replaces the default scheduler."""
 
     def __init__(
         self,
         found: mix.Mix,
         requests: list[mix.Request],
-        decides: scheduler.Scheduler | None = None,
+        policy: scheduler.Scheduler | None = None,
     ) -> None:
-        self.scheduler = decides or goal.GoalScheduler()
+        self.scheduler = policy or goal.GoalScheduler()
         self.mix = found
         self.now = START
         self.order = itertools.count()
@@ -94,19 +94,19 @@
         self.callers = [Caller(n, request) for n, request in enumerate(requests)]
         self.open = len(self.callers)
         self.by_ticket: dict[ids.TicketId, Caller] = {}
-        self.away: set[str] = set()
-        self.next_told = START
+        self.engines_down: set[str] = set()
+        self.next_report_at = START
         self.configure()
 
     def run(self) -> Outcome:
         """Play until every request has ended."""
         for caller in self.callers:
-            self.at(START + caller.request.at, lambda c=caller: self.arrive(c))
-        self.at(START, self.tick)
+            self.schedule(START + caller.request.at, lambda c=caller: self.arrive(c))
+        self.schedule(START, self.tick)
         for outage in self.mix.outages:
-            self.at(START + outage.at, lambda o=outage: self.crash(o))
+            self.schedule(START + outage.at, lambda o=outage: self.crash(o))
         for at in self.mix.takeovers:
-            self.at(START + at, self.take_over)
+            self.schedule(START + at, self.take_over)
         while self.open:
             self.now, _, act = heapq.heappop(self.events)
             act()
@@ -115,28 +115,28 @@
 
     def configure(self) -> None:
         """Tell the scheduler which engines are there."""
-        there = tuple(s for s in servers(self.mix) if s.name not in self.away)
+        there = tuple(s for s in servers(self.mix) if s.name not in self.engines_down)
         cell = cells.Cell(CELL, ids.PoolId("replay"), there)
-        self.take(self.scheduler.configure(cell, self.instant()))
+        self.carry_out(self.scheduler.configure(cell, self.instant()))
 
     def crash(self, outage: mix.Outage) -> None:
         """Let an engine lose all its work and stay away for some seconds."""
         batch = self.batches[outage.engine]
-        broken = [self.callers[number] for number in batch.works]
-        batch.works.clear()
+        broken = [self.callers[number] for number in batch.running]
+        batch.running.clear()
         for caller in broken:
-            self.tell_end(caller, messages.Outcome.CRASHED)
-            self.break_off(caller)
-        self.away.add(outage.engine)
+            self.report_end(caller, messages.Outcome.CRASHED)
+            self.interrupt(caller)
+        self.engines_down.add(outage.engine)
         self.configure()
-        self.after(outage.seconds, lambda: self.come_up(outage.engine))
+        self.schedule_after(outage.seconds, lambda: self.recover(outage.engine))
 
-    def come_up(self, engine: str) -> None:
+    def recover(self, engine: str) -> None:
         """Let an engine work again."""
-        self.away.discard(engine)
+        self.engines_down.discard(engine)
         self.configure()
 
-    def break_off(self, caller: Caller) -> None:
+    def interrupt(self, caller: Caller) -> None:
         """End the try of a caller whose engine crashed; it comes back at once."""
         caller.server = ""
         caller.first_at = None
@@ -149,34 +149,34 @@
     def take_over(self) -> None:
         """Let the dispatcher die, and another one begin with what entries tell."""
         self.scheduler = type(self.scheduler)()
-        self.scheduler.gather(ids.Instant(self.now + GATHER))
+        self.scheduler.gather(ids.Instant(self.now + GATHER_SECONDS))
         self.configure()
         for caller in list(self.by_ticket.values()):
             if caller.server:
-                self.tell(caller)
+                self.report_running(caller)
             else:
                 self.enqueue(caller, caller.ticket_id)
 
-    def at(self, when: float, act: Callable[[], None]) -> None:
+    def schedule(self, when: float, act: Callable[[], None]) -> None:
         """Have something done at an instant."""
         heapq.heappush(self.events, (when, next(self.order), act))
 
-    def after(self, seconds: float, act: Callable[[], None]) -> None:
+    def schedule_after(self, seconds: float, act: Callable[[], None]) -> None:
         """Have something done after some seconds."""
-        self.at(self.now + seconds, act)
+        self.schedule(self.now + seconds, act)
 
     def tick(self) -> None:
         """Let the scheduler look at what time has changed."""
-        self.take(self.scheduler.tick(self.instant()))
-        self.after(TICK, self.tick)
-        if self.now < self.next_told:
+        self.carry_out(self.scheduler.tick(self.instant()))
+        self.schedule_after(TICK_SECONDS, self.tick)
+        if self.now < self.next_report_at:
             return
-        self.next_told = self.now + TOLD_INTERVAL
+        self.next_report_at = self.now + REPORT_SECONDS
         for caller in self.by_ticket.values():
             if caller.server and caller.end is None:
-                self.tell(caller)
+                self.report_running(caller)
 
-    def tell(self, caller: Caller) -> None:
+    def report_running(self, caller: Caller) -> None:
         """Tell again of what runs, as entries do."""
         ticket = msgspec.structs.replace(
             self.ticket(caller), running_on=ids.BackendServerId(caller.server)
@@ -190,18 +190,20 @@
     def arrive(self, caller: Caller) -> None:
         """Let a caller send, at first or again."""
         self.by_ticket[caller.ticket_id] = caller
-        caller.tried_at = self.now
-        caller.is_away = False
-        self.after(2 * WAY, lambda: self.enqueue(caller, caller.ticket_id))
+        caller.try_started_at = self.now
+        caller.is_between_tries = False
+        self.schedule_after(
+            2 * ONE_WAY_SECONDS, lambda: self.enqueue(caller, caller.ticket_id)
+        )
         if caller.tries == 0:
             deadline = caller.request.kind.deadline
-            self.after(deadline, lambda: self.leave(caller))
+            self.schedule_after(deadline, lambda: self.leave(caller))
 
     def enqueue(self, caller: Caller, ticket_id: ids.TicketId) -> None:
         """Let a ticket reach the dispatcher."""
         if caller.end is None and caller.ticket_id == ticket_id:
             ticket = self.ticket(caller)
-            self.take(self.scheduler.enqueue(ticket, self.instant()))
+            self.carry_out(self.scheduler.enqueue(ticket, self.instant()))
 
     def ticket(self, caller: Caller) -> messages.Ticket:
         """Return a caller's ticket as its entry sends it now."""
@@ -209,7 +211,7 @@
         kind = request.kind
         waited = self.now - START - request.at
         # An entry knows nothing of a caller's earlier tries.
-        tried = self.now - caller.tried_at
+        tried = self.now - caller.try_started_at
         return messages.Ticket(
             ticket_id=caller.ticket_id,
             request_id=ids.RequestId(str(caller.number)),
@@ -223,14 +225,14 @@
             output_tokens=request.output,
             prefix=(),
             remaining=kind.deadline - waited,
-            goal=max(1e-9, kind.aim - tried),
+            goal=max(1e-9, kind.goal_seconds - tried),
             patience=max(1e-9, patience(kind) - tried),
             expected_tokens=request.expected,
             digest=str(caller.number),
             caller_remaining=kind.deadline - waited,
         )
 
-    def take(self, outgoing: list[scheduler.Outgoing]) -> None:
+    def carry_out(self, outgoing: list[scheduler.Outgoing]) -> None:
         """Carry out what the scheduler decided."""
         for out in outgoing:
             sent = out.message
@@ -240,7 +242,9 @@
             if isinstance(sent, messages.Grant) and not caller.server:
                 caller.server = sent.server
                 caller.granted_at = self.now
-                self.after(2 * WAY, lambda c=caller: self.submit(c))
+                self.schedule_after(
+                    2 * ONE_WAY_SECONDS, lambda c=caller: self.submit(c)
+                )
             elif isinstance(sent, messages.Refusal):
                 self.refuse(caller, sent.retry_after)
 
@@ -248,8 +252,8 @@
         """Note how a request ended."""
         caller.end = end
         self.open -= 1
-        if not caller.server and not caller.is_away:
-            caller.held += self.now - caller.tried_at
+        if not caller.server and not caller.is_between_tries:
+            caller.wait_seconds += self.now - caller.try_started_at
 
     def refuse(self, caller: Caller, after: float) -> None:
         """End a try; the caller comes back when told to."""
@@ -258,13 +262,15 @@
         if caller.tries >= RETRIES:
             self.end(caller, End.REFUSED)
             return
-        caller.held += self.now - caller.tried_at
-        caller.is_away = True
+        caller.wait_seconds += self.now - caller.try_started_at
+        caller.is_between_tries = True
         caller.tries += 1
         left = START + caller.request.at + caller.request.kind.deadline - self.now
-        self.after(min(after, RETURN_PART * left), lambda: self.come_back(caller))
+        self.schedule_after(
+            min(after, MAX_RETRY_WAIT_PART * left), lambda: self.retry(caller)
+        )
 
-    def come_back(self, caller: Caller) -> None:
+    def retry(self, caller: Caller) -> None:
         """Send again, unless the caller has left."""
         if caller.end is None:
             self.arrive(caller)
@@ -280,24 +286,24 @@
 
     def step(self, batch: batches.Batch) -> None:
         """Let an engine take a step, and those after it."""
-        batch.is_stepping = bool(batch.works)
+        batch.is_stepping = bool(batch.running)
         if batch.is_stepping:
             found = batch.step(self.now)
-            self.at(found.at, lambda: self.finish(batch, found))
+            self.schedule(found.ends_at, lambda: self.finish(batch, found))
 
-    def finish(self, batch: batches.Batch, found: batches.Step) -> None:
+    def finish(self, batch: batches.Batch, found: batches.StepResult) -> None:
         """Tell what a step has brought."""
-        for work in found.first:
+        for work in found.first_events:
             caller = self.callers[work.number]
             if caller.end is None:
-                caller.first_at = self.now + 2 * WAY
+                caller.first_at = self.now + 2 * ONE_WAY_SECONDS
                 progress = messages.Progress(
                     ticket_id=caller.ticket_id,
                     cell=CELL,
                     first_token_seconds=self.now - caller.granted_at,
                 )
-                self.take(self.scheduler.progress(progress, self.instant()))
-        for work in found.ended:
+                self.carry_out(self.scheduler.progress(progress, self.instant()))
+        for work in found.completed:
             caller = self.callers[work.number]
             if caller.end is None:
                 self.complete(caller)
@@ -306,9 +312,9 @@
     def complete(self, caller: Caller) -> None:
         """End a request that has its whole answer."""
         seconds = caller.first_at - START - caller.request.at
-        in_aim = seconds <= caller.request.kind.aim
-        self.end(caller, End.IN_AIM if in_aim else End.LATE)
-        self.tell_end(caller, messages.Outcome.COMPLETED)
+        within_goal = seconds <= caller.request.kind.goal_seconds
+        self.end(caller, End.WITHIN_GOAL if within_goal else End.LATE)
+        self.report_end(caller, messages.Outcome.COMPLETED)
 
     def leave(self, caller: Caller) -> None:
         """End a request whose caller waits no longer."""
@@ -317,12 +323,12 @@
         self.end(caller, End.LEFT)
         if caller.server:
             self.batches[caller.server].cancel(caller.number, caller.request)
-            self.tell_end(caller, messages.Outcome.CANCELLED)
+            self.report_end(caller, messages.Outcome.CANCELLED)
         else:
             self.by_ticket.pop(caller.ticket_id, None)
-            self.take(self.scheduler.withdraw(caller.ticket_id, self.instant()))
+            self.carry_out(self.scheduler.withdraw(caller.ticket_id, self.instant()))
 
-    def tell_end(self, caller: Caller, outcome: messages.Outcome) -> None:
+    def report_end(self, caller: Caller, outcome: messages.Outcome) -> None:
         """Tell the dispatcher how a dispatched request ended."""
         self.by_ticket.pop(caller.ticket_id, None)
         first = caller.first_at or self.now
@@ -337,12 +343,12 @@
             first_token_seconds=first - caller.granted_at,
             total_seconds=self.now - caller.granted_at,
         )
-        self.take(self.scheduler.done(done, self.instant()))
+        self.carry_out(self.scheduler.done(done, self.instant()))
 
 
 def patience(kind: mix.Kind) -> float:
     """Return for how many seconds a caller waits for the first event."""
-    return max(LEAST_PATIENCE, PATIENCE_AIMS * kind.aim)
+    return max(MIN_PATIENCE, PATIENCE_GOALS * kind.goal_seconds)
 
 
 def servers(found: mix.Mix) -> tuple[kinds.BackendServerSpec, ...]:
--- a/bench/replay/tally.py
+++ b/bench/replay/tally.py
@@ -6,11 +6,11 @@
 
 import msgspec
 
-from bench.replay import mix, play
+from bench.replay import mix, simulation
 
-# See `in_vain`.
-FREE_PART = 1 / 8
-WHOLE_PART = 3 / 4
+# See `wasted_wait_part`.
+FREE_WAIT_PART = 1 / 8
+FULL_WAIT_PART = 3 / 4
 # Parts of a kind, from the largest request on, that are told of by themselves.
 LARGEST = 0.1
 LARGE = 0.3
@@ -20,41 +20,41 @@
 WHOLE_WEIGHT = 0.6
 CLASS_WEIGHT = 0.3
 WINDOW_WEIGHT = 0.1
-AGAIN_PRICE = 0.3
-HELD_PRICE = 0.1
+REFUSED_AGAIN_PRICE = 0.3
+WASTED_WAIT_PRICE = 0.1
 
 
 class Tally(msgspec.Struct):
     """What became of the requests of one kind, size or time."""
 
-    ends: collections.Counter[play.End] = msgspec.field(
+    ends: collections.Counter[simulation.End] = msgspec.field(
         default_factory=collections.Counter
     )
-    owed: float = 0.0
-    earned: float = 0.0
+    total_worth: float = 0.0
+    earned_worth: float = 0.0
     # The worth of requests that waited in vain, each the more the longer it did.
-    held: float = 0.0
+    wasted_wait_worth: float = 0.0
     # The worth of those that were refused, came back and weren't served.
-    again: float = 0.0
+    refused_again_worth: float = 0.0
 
     def share(self) -> float:
         """Return the part of the worth that was earned."""
-        return self.earned / self.owed if self.owed else 0.0
+        return self.earned_worth / self.total_worth if self.total_worth else 0.0
 
-    def part(self, end: play.End) -> float:
+    def part(self, end: simulation.End) -> float:
         """Return the part of the requests that ended so."""
         return self.ends[end] / max(1, self.ends.total())
 
-    def add(self, caller: play.Caller) -> None:
+    def add(self, caller: simulation.Caller) -> None:
         """Take in one request."""
         worth = caller.request.worth
         self.ends[caller.end] += 1
-        self.owed += worth
-        self.held += worth * in_vain(caller)
-        self.earned += earned(caller)
-        is_served = caller.end in (play.End.IN_AIM, play.End.LATE)
+        self.total_worth += worth
+        self.wasted_wait_worth += worth * wasted_wait_part(caller)
+        self.earned_worth += earned_worth_of(caller)
+        is_served = caller.end in (simulation.End.WITHIN_GOAL, simulation.End.LATE)
         if caller.refusals and caller.tries and not is_served:
-            self.again += worth
+            self.refused_again_worth += worth
 
 
 class Sums(msgspec.Struct):
@@ -65,7 +65,7 @@
     sizes: dict[str, Tally]
     windows: list[Tally]
 
-    def mark(self) -> float:
+    def score(self) -> float:
         """Return one figure for a run: all, the worst class and the worst windows."""
         worst = min(one.share() for one in (*self.kinds.values(), *self.sizes.values()))
         windows = sorted(one.share() for one in self.windows)[:2]
@@ -73,12 +73,14 @@
             WHOLE_WEIGHT * self.whole.share()
             + CLASS_WEIGHT * worst
             + WINDOW_WEIGHT * sum(windows) / len(windows)
-            - AGAIN_PRICE * self.whole.again / self.whole.owed
-            - HELD_PRICE * self.whole.held / self.whole.owed
+            - REFUSED_AGAIN_PRICE
+            * self.whole.refused_again_worth
+            / self.whole.total_worth
+            - WASTED_WAIT_PRICE * self.whole.wasted_wait_worth / self.whole.total_worth
         )
 
 
-def in_vain(caller: play.Caller) -> float:
+def wasted_wait_part(caller: simulation.Caller) -> float:
     """Return the part of its time that a caller spent waiting for nothing.
 
     Nothing is counted up to an eighth of its aim, all from three quarters of its
@@ -87,24 +89,24 @@
     if caller.server:
         return 0.0
     kind = caller.request.kind
-    free, most = kind.aim * FREE_PART, kind.deadline * WHOLE_PART
-    return max(0.0, min(1.0, (caller.held - free) / (most - free)))
+    free, most = kind.goal_seconds * FREE_WAIT_PART, kind.deadline * FULL_WAIT_PART
+    return max(0.0, min(1.0, (caller.wait_seconds - free) / (most - free)))
 
 
-def earned(caller: play.Caller) -> float:
+def earned_worth_of(caller: simulation.Caller) -> float:
     """Return what a request has earned of its worth."""
     kind = caller.request.kind
-    if caller.end is play.End.IN_AIM:
+    if caller.end is simulation.End.WITHIN_GOAL:
         return caller.request.worth
-    if caller.end is play.End.LATE:
+    if caller.end is simulation.End.LATE:
         return caller.request.worth * kind.late_worth / kind.worth
     return 0.0
 
 
-def sums(outcome: play.Outcome) -> Sums:
+def sums(outcome: simulation.Outcome) -> Sums:
     """Return the sums of a run."""
     found = Sums(Tally(), collections.defaultdict(Tally), {}, [])
-    by_kind: dict[str, list[play.Caller]] = collections.defaultdict(list)
+    by_kind: dict[str, list[simulation.Caller]] = collections.defaultdict(list)
     by_window: dict[int, Tally] = collections.defaultdict(Tally)
     for caller in outcome.callers:
         by_kind[caller.request.kind.name].append(caller)
@@ -117,7 +119,9 @@
     return found
 
 
-def add_sizes(found: dict[str, Tally], name: str, callers: list[play.Caller]) -> None:
+def add_sizes(
+    found: dict[str, Tally], name: str, callers: list[simulation.Caller]
+) -> None:
     """Add the sums of the largest requests of a kind, and of the large ones."""
     ordered = sorted(callers, key=lambda caller: -caller.request.size)
     largest, large = (round(part * len(ordered)) for part in (LARGEST, LARGE))
@@ -137,11 +141,13 @@
     what it would at the mean of the grades. The densest worth goes first.
     """
     left = sum(
-        one.slots / slot_seconds(one, 1.0, 0.0) * present(found, one, seconds)
+        one.slots / slot_seconds(one, 1.0, 0.0) * seconds_up(found, one, seconds)
         for one in found.engines
     )
     earned_worth = 0.0
-    costs = [(cost(found, request) or 1e-9, request.worth) for request in requests]
+    costs = [
+        (token_cost(found, request) or 1e-9, request.worth) for request in requests
+    ]
     for tokens, worth in sorted(costs, key=lambda one: -one[1] / one[0]):
         part = min(1.0, left / tokens)
         earned_worth += part * worth
@@ -149,7 +155,7 @@
     return earned_worth / sum(worth for _, worth in costs)
 
 
-def present(found: mix.Mix, engine: mix.Engine, seconds: float) -> float:
+def seconds_up(found: mix.Mix, engine: mix.Engine, seconds: float) -> float:
     """Return for how many seconds of a run an engine is there."""
     away = sum(
         max(0.0, min(seconds, outage.at + outage.seconds) - outage.at)
@@ -161,11 +167,11 @@
 
 def slot_seconds(engine: mix.Engine, output: float, prompt: float) -> float:
     """Return for how long a request holds a slot in a full batch."""
-    step = engine.step_seconds + engine.crowd_seconds * engine.slots
+    step = engine.step_seconds + engine.per_request_seconds * engine.slots
     return output * step + prompt * engine.prompt_seconds
 
 
-def cost(found: mix.Mix, request: mix.Request) -> float:
+def token_cost(found: mix.Mix, request: mix.Request) -> float:
     """Return what a request takes, in output tokens of a full batch.
 
     Reading its prompt holds up the whole batch.
@@ -174,5 +180,5 @@
         one.slots * request.prompt * one.prompt_seconds / slot_seconds(one, 1.0, 0.0)
         for one in found.engines
     ]
-    begin = [one.begin_seconds / slot_seconds(one, 1.0, 0.0) for one in found.engines]
+    begin = [one.startup_seconds / slot_seconds(one, 1.0, 0.0) for one in found.engines]
     return request.output + sum(each) / len(each) + sum(begin) / len(begin)
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -7,19 +7,21 @@
 
 import msgspec
 import pytest
-from bench.replay import mix, play, tally
+from bench.replay import mix, simulation, tally
 
 from tealcove.dispatch import goal
 
 SECONDS = 6.0
 
 
-def played(load: float, seed: int = 1, found: mix.Mix = mix.LABELS) -> play.Outcome:
+def played(
+    load: float, seed: int = 1, found: mix.Mix = mix.LABELS
+) -> simulation.Outcome:
     """Return a short run."""
-    return play.Play(found, mix.draw(found, load, SECONDS, seed)).run()
+    return simulation.Simulation(found, mix.draw(found, load, SECONDS, seed)).run()
 
 
-def summary(outcome: play.Outcome) -> list[tuple[int, play.End | None]]:
+def summary(outcome: simulation.Outcome) -> list[tuple[int, simulation.End | None]]:
     """Return how each request ended."""
     return [(caller.number, caller.end) for caller in outcome.callers]
 
@@ -32,7 +34,7 @@
 @pytest.mark.parametrize("found", mix.MIXES.values())
 def test_every_request_ends_and_a_normal_load_is_served(found: mix.Mix) -> None:
     assert all(caller.end is not None for caller in played(0.7, found=found).callers)
-    outcome = played(0.7, found=mix.calm(found))
+    outcome = played(0.7, found=mix.without_incidents(found))
     assert all(caller.end is not None for caller in outcome.callers)
     assert tally.sums(outcome).whole.share() > 0.95
 
@@ -42,7 +44,7 @@
     shares = [sums.kinds[kind.name].share() for kind in mix.LABELS.kinds]
     assert shares == sorted(shares, reverse=True)
     # Nobody waits in vain for long at 2.2 times the load any more.
-    assert tally.sums(played(4.0)).whole.held > 0.0
+    assert tally.sums(played(4.0)).whole.wasted_wait_worth > 0.0
 
 
 def test_a_caller_that_was_sent_away_does_not_wait() -> None:
@@ -52,22 +54,22 @@
     Sequence: a caller is refused, told to come back later than it has time for, and
     leaves. Cause: until then it was counted as waiting.
     """
-    found = mix.ranked(mix.LABELS)
+    found = mix.with_tiers(mix.LABELS)
     for caller in played(2.2, found=found).callers:
-        wait = caller.request.kind.deadline - caller.held
+        wait = caller.request.kind.deadline - caller.wait_seconds
         assert wait > -1e-6
-        assert not (caller.is_away and caller.end is play.End.LEFT)
+        assert not (caller.is_between_tries and caller.end is simulation.End.LEFT)
 
 
 def test_no_engine_works_on_more_than_its_slots() -> None:
-    run = play.Play(mix.LABELS, mix.draw(mix.LABELS, 2.2, SECONDS, 1))
+    run = simulation.Simulation(mix.LABELS, mix.draw(mix.LABELS, 2.2, SECONDS, 1))
     most = dict.fromkeys(run.batches, 0)
     submit = run.submit
 
-    def watch(caller: play.Caller) -> None:
+    def watch(caller: simulation.Caller) -> None:
         submit(caller)
         batch = run.batches[caller.server]
-        most[caller.server] = max(most[caller.server], len(batch.works))
+        most[caller.server] = max(most[caller.server], len(batch.running))
 
     run.submit = watch
     run.run()
@@ -89,7 +91,7 @@
     many = mix.Mix("many", kinds, mix.engines(fast=20, slow=10))
     decides = goal.GoalScheduler()
     looked = counted(decides, "refuse_too_late")
-    outcome = play.Play(many, mix.draw(many, 2.2, 2.0, 1), decides).run()
+    outcome = simulation.Simulation(many, mix.draw(many, 2.2, 2.0, 1), decides).run()
     # 2.1 for each request when each event looked, .5 now.
     assert looked() < len(outcome.callers)
 
@@ -116,9 +118,9 @@
     that each waiting one seemed to be next.
     """
     requests = mix.draw(mix.LABELS, 2.2, 2 * SECONDS, 3)
-    sums = tally.sums(play.Play(mix.LABELS, requests).run())
+    sums = tally.sums(simulation.Simulation(mix.LABELS, requests).run())
     # .144 without the arrivals, .041 with them; all together earn as much as before.
-    assert sums.kinds["notes"].held / sums.kinds["notes"].owed < 0.1
+    assert sums.kinds["notes"].wasted_wait_worth / sums.kinds["notes"].total_worth < 0.1
     assert sums.whole.share() > 0.84
 
 
@@ -130,17 +132,17 @@
     Cause: the forecast reckoned with what each of them takes at the fastest engine,
     and so with slots that would never be free.
     """
-    found = mix.ranked(mix.LABELS)
-    sums = tally.sums(play.Play(found, mix.draw(found, 1.9, 30.0, 1)).run())
+    found = mix.with_tiers(mix.LABELS)
+    sums = tally.sums(simulation.Simulation(found, mix.draw(found, 1.9, 30.0, 1)).run())
     # .074 with the fastest engine's time, .037 with that of all; .62 earned both ways.
-    assert sums.whole.held / sums.whole.owed < 0.05
+    assert sums.whole.wasted_wait_worth / sums.whole.total_worth < 0.05
     assert sums.whole.share() > 0.6
 
 
 def overloaded(seed: int) -> tally.Sums:
     """Return the sums of a run of short goals at 1.25 times what can be served."""
     requests = mix.draw(mix.STATEMENTS, 1.25, 34.0, seed)
-    return tally.sums(play.Play(mix.STATEMENTS, requests).run())
+    return tally.sums(simulation.Simulation(mix.STATEMENTS, requests).run())
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
@@ -153,7 +155,7 @@
     """
     sums = overloaded(seed)
     # In aim: .04 to .06 by urgency alone, .43 to .47 by parts that are due.
-    assert sums.kinds["tag"].part(play.End.IN_AIM) > 0.35
+    assert sums.kinds["tag"].part(simulation.End.WITHIN_GOAL) > 0.35
     # More urgent kinds are served at least as well.
     shares = [sums.kinds[kind.name].share() for kind in mix.STATEMENTS.kinds]
     assert shares[0] > shares[1] > shares[2] - 0.05
@@ -171,10 +173,13 @@
     ones and served first, late for their callers, in place of fresh ones in reach.
     """
     sums = overloaded(seed)
-    served = sums.whole.ends[play.End.IN_AIM] + sums.whole.ends[play.End.LATE]
+    served = (
+        sums.whole.ends[simulation.End.WITHIN_GOAL]
+        + sums.whole.ends[simulation.End.LATE]
+    )
     # .30 to .38 of what is served by ranks alone, .20 to .22 with first tries known.
-    assert sums.whole.ends[play.End.LATE] / served < 0.25
+    assert sums.whole.ends[simulation.End.LATE] / served < 0.25
     # .51 to .55 of all worth before, .63 to .66 now.
     assert sums.whole.share() > 0.58
     # Nobody is kept for nothing: .012 to .014 of the worth before, .011 to .012 now.
-    assert sums.whole.held / sums.whole.owed < 0.02
+    assert sums.whole.wasted_wait_worth / sums.whole.total_worth < 0.02
