--- a/bench/replay/__init__.py
+++ b/bench/replay/__init__.py
@@ -1,1 +1,1 @@
-"""Plays a mix of requests against the dispatcher's decisions, in virtual time."""
+"""Simulates a mix of requests against the real scheduler, in virtual time."""
--- a/bench/replay/__main__.py
+++ b/bench/replay/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m bench.replay`: print and plot what callers get at several loads."""
+"""`python -m bench.replay`: print and plot the worth earned at several loads."""
 
 from __future__ import annotations
 
@@ -27,12 +27,12 @@
     loads: Annotated[str, cappa.Arg(long=True)] = LOADS
     seeds: Annotated[str, cappa.Arg(long=True)] = SEEDS
     seconds: Annotated[float, cappa.Arg(long=True)] = 30.0
-    # A picture of the worth by load is written there.
+    # File to which a plot of the worth by load is written.
     plot: Annotated[pathlib.Path | None, cappa.Arg(long=True)] = None
 
 
 def run(arguments: Arguments) -> None:
-    """Play, print a line a run and kind, and plot."""
+    """Simulate, print a line for each run and kind, and plot."""
     shares: dict[str, list[tuple[float, float]]] = {}
     for name in arguments.mixes.split(","):
         found = mix.MIXES[name]
@@ -49,7 +49,7 @@
 
 
 def play_one(found: mix.Mix, load: float, seconds: float, seed: int) -> float:
-    """Play and print one run; return the part of the worth that was earned."""
+    """Simulate and print one run; return the part of the worth that was earned."""
     requests = mix.draw(found, load, seconds, seed)
     outcome = simulation.Simulation(found, requests).run()
     sums = tally.sums(outcome)
@@ -74,7 +74,7 @@
 
 
 def plot(shares: dict[str, list[tuple[float, float]]], path: pathlib.Path) -> None:
-    """Draw the worth by load, a line a mix."""
+    """Plot the worth by load, with one line for each mix."""
     figure, axes = pyplot.subplots()
     for name, points in shares.items():
         axes.plot(*zip(*points, strict=True), marker="o", label=name)
--- a/bench/replay/batches.py
+++ b/bench/replay/batches.py
@@ -1,4 +1,4 @@
-"""An engine that reads prompts in chunks and writes for a batch, in virtual time."""
+"""An engine with chunked prefill and batched decoding, simulated in virtual time."""
 
 from __future__ import annotations
 
@@ -8,21 +8,21 @@
 
 
 class RunningRequest(msgspec.Struct):
-    """A request on an engine."""
+    """A request that an engine has accepted and not completed."""
 
     number: int
     prompt: int
     prompt_left: int
     tokens_left: int
     started: float
-    # When its prompt may begin to be read.
+    # Earliest start of its prefill.
     ready_at: float
     tokens: int = 0
     first_at: float | None = None
 
 
 class StepResult(msgspec.Struct, frozen=True):
-    """What a step has brought: first events, and ends."""
+    """The first events and completions of one engine step, and when it ends."""
 
     ends_at: float
     first_events: tuple[RunningRequest, ...]
@@ -30,20 +30,20 @@
 
 
 class Batch:
-    """What one engine works on."""
+    """The requests that run on one engine."""
 
     def __init__(self, engine: mix.Engine) -> None:
         self.engine = engine
         self.running: dict[int, RunningRequest] = {}
-        # Whether a step is under way.
+        # Whether a step is in progress.
         self.is_stepping = False
         self.busy_seconds = 0.0
         self.read_tokens = 0
-        # Prompt tokens that were read for requests that never ended.
+        # Prompt tokens that were prefilled for requests that were cancelled.
         self.wasted_tokens = 0
 
     def add(self, number: int, request: mix.Request, now: float) -> None:
-        """Begin to work on a request."""
+        """Add a request to the batch."""
         self.running[number] = RunningRequest(
             number,
             request.prompt,
@@ -54,13 +54,13 @@
         )
 
     def cancel(self, number: int, request: mix.Request) -> None:
-        """Stop work on a request, if it's here."""
+        """Remove a request from the batch, if it's running."""
         work = self.running.pop(number, None)
         if work is not None:
             self.wasted_tokens += request.prompt - work.prompt_left
 
     def step(self, now: float) -> StepResult:
-        """Return what the step that begins now brings; the batch must not be empty."""
+        """Run the step that begins now; the batch must not be empty."""
         reading = next(
             (w for w in self.running.values() if w.prompt_left and w.ready_at <= now),
             None,
@@ -87,7 +87,7 @@
         return StepResult(at, tuple(first), tuple(ended))
 
     def write(self, work: RunningRequest, at: float) -> bool:
-        """Write one token; tell whether the first event is complete with it."""
+        """Generate one token; return whether it completes the first event."""
         work.tokens += 1
         work.tokens_left -= 1
         is_event = work.tokens >= self.engine.first_event_tokens or not work.tokens_left
--- a/bench/replay/mix.py
+++ b/bench/replay/mix.py
@@ -1,4 +1,4 @@
-"""What is played: kinds of requests, and engines that aren't alike."""
+"""The simulated workloads: kinds of requests, and engines of different speeds."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 
 import msgspec
 
-# A generation counts by its size, at most so many times the kind's worth: a part that
-# every one has, and a part that grows with its tokens.
+# A request's worth is a fixed part of its kind's worth plus a part that grows with its
+# tokens, and at most MAX_WORTH_FACTOR times the kind's worth.
 FIXED_WORTH_PART = 0.3
 MAX_WORTH_FACTOR = 4.0
-# No prompt or output is longer than so many times its kind's mean, unless a kind says.
+# Longest prompt and output in multiples of their kind's mean, if the kind sets none.
 MAX_LENGTH_FACTOR = 20.0
 
 
@@ -19,51 +19,51 @@
     """Requests of one kind."""
 
     name: str
-    # Arrivals a second at load 1.
+    # Arrivals per second at load 1.
     per_second: float
     # Prompt tokens: mean and spread of a log-normal distribution.
     prompt_mean: float
     prompt_spread: float
-    # Output tokens, likewise.
+    # Output tokens: mean and spread of a log-normal distribution.
     output_mean: float
     output_spread: float
-    # Seconds to the first event that callers hope for, and for which they wait at all.
+    # Goal for the seconds to the first event, and seconds after which callers leave.
     goal_seconds: float
     deadline: float
-    # What an answer in aim is worth, and a later one.
+    # Worth of an answer within the goal, and of a later one.
     worth: float
     late_worth: float
     # Its rank within its tier; 0 is the most urgent.
     urgency: int
-    # The tier of its accounts; 0 goes first.
+    # The tier rank of its accounts; 0 is scheduled first.
     tier: int = 0
-    # Longest prompt and output, in times their mean.
+    # Longest prompt and output, in multiples of their mean.
     max_prompt_factor: float = MAX_LENGTH_FACTOR
     max_output_factor: float = MAX_LENGTH_FACTOR
-    # What an output token counts for in a request's size, against 1 for a prompt token.
+    # Weight of an output token in a request's size; a prompt token has weight 1.
     output_weight: float = 0.0
 
 
 class Engine(msgspec.Struct, frozen=True):
-    """One engine's speed; figures as learnt from completions on a calm day."""
+    """One engine's speed, as learnt from completions without incidents."""
 
     name: str
     slots: int
-    # Seconds for a prompt token, for a step, and more of a step for each request.
+    # Seconds per prompt token, per step, and per step for each running request.
     prompt_seconds: float
     step_seconds: float
     per_request_seconds: float = 0.00009
-    # Seconds more for a prompt token by each token before it.
+    # Attention cost: added seconds per prompt token for each token before it.
     attention_seconds: float = 0.0
-    # Seconds before a request's prompt begins to be read.
+    # Seconds from a request's arrival to the start of its prefill.
     startup_seconds: float = 0.0
-    # Prompt tokens that are read in one step, and tokens of the first event.
+    # Most prompt tokens prefilled in one step, and tokens of the first event.
     chunk: int = 1024
     first_event_tokens: int = 4
 
 
 class Burst(msgspec.Struct, frozen=True):
-    """A time of more arrivals, in seconds from the start."""
+    """A period in which the arrival rate is multiplied; `at` counts from the start."""
 
     at: float
     seconds: float
@@ -71,7 +71,7 @@
 
 
 class Outage(msgspec.Struct, frozen=True):
-    """A crash of one engine, and how long it stays away."""
+    """A crash of one engine, and for how long it stays down."""
 
     at: float
     seconds: float
@@ -79,22 +79,22 @@
 
 
 class Mix(msgspec.Struct, frozen=True):
-    """A deployment's load and engines, and what happens to them."""
+    """A deployment's load and engines, and its bursts, crashes and takeovers."""
 
     name: str
     kinds: tuple[Kind, ...]
     engines: tuple[Engine, ...]
-    # Mean number of requests that arrive at one moment.
+    # Mean number of requests that arrive at the same instant.
     mean_group_size: float = 1.0
-    # Spread of the callers' guess of their output, as a log-normal factor.
+    # Spread of the log-normal error of the callers' estimates of their output.
     estimate_spread: float = 0.0
     bursts: tuple[Burst, ...] = ()
     outages: tuple[Outage, ...] = ()
-    # When the dispatcher dies, with all that it has learnt.
+    # When the dispatcher fails and loses its state; a new one takes over.
     takeovers: tuple[float, ...] = ()
 
     def load_factor(self, at: float) -> float:
-        """Return the load at an instant, against the usual one."""
+        """Return the factor by which bursts multiply the load at an instant."""
         found = 1.0
         for burst in self.bursts:
             if burst.at <= at < burst.at + burst.seconds:
@@ -103,22 +103,22 @@
 
 
 class Request(msgspec.Struct):
-    """One request as it's drawn."""
+    """One request with its randomly drawn lengths."""
 
     kind: Kind
     at: float
     prompt: int
     output: int
-    # What it is worth in aim, by its size.
+    # Its worth within the goal, which depends on its size.
     worth: float
-    # Output tokens by the caller's guess.
+    # The caller's estimate of the output tokens.
     expected: int
-    # Tokens by which it's large or small among its kind.
+    # Weighted tokens, by which requests of a kind are compared.
     size: float
 
 
 def engines(fast: int, slow: int, slots: int = 5) -> tuple[Engine, ...]:
-    """Return so many engines of two generations."""
+    """Return the given numbers of fast and slow engines."""
     quick = [Engine(f"fast-{n}", slots, 15.7e-6, 0.0034) for n in range(fast)]
     return (*quick, *(Engine(f"slow-{n}", slots, 75e-6, 0.015) for n in range(slow)))
 
@@ -141,12 +141,12 @@
     ),
     engines(fast=6, slow=3, slots=4),
 )
-# Accounts of two tiers: all that the better one asks for goes first.
+# Part of the requests from accounts of the higher tier, which is scheduled first.
 FIRST_ACCOUNTS_PART = 0.55
 
 
 def with_tiers(found: Mix) -> Mix:
-    """Return a mix of which accounts of two tiers send a part each."""
+    """Return a mix whose requests are divided between accounts of two tiers."""
     parts = (FIRST_ACCOUNTS_PART, 1.0 - FIRST_ACCOUNTS_PART)
     kinds = tuple(
         msgspec.structs.replace(
@@ -161,16 +161,16 @@
     return Mix(f"{found.name}-ranked", kinds, found.engines)
 
 
-# Prompt tokens read in a second, and seconds of a step, at speed 1.
+# Prompt tokens prefilled per second, and seconds per step, at speed 1.
 TOKENS_PER_SECOND = 157_000
 STEP_SECONDS = 0.00355
-# The same of the engines that label things.
+# The same for the engines of the labelling mixes.
 LABEL_TOKENS = 56_600
 LABEL_STEP = 0.00379
 
 
 def graded_engines(*times: float, slots: int, count: int = 2) -> tuple[Engine, ...]:
-    """Return some engines of each grade, each so many times slower than at speed 1."""
+    """Return `count` engines of each grade; a grade is the slowdown against speed 1."""
     return tuple(
         Engine(
             f"{grade:g}-{number}",
@@ -191,7 +191,7 @@
 def limited_kind(
     kind: Kind, max_prompt_factor: float, max_output_factor: float, weight: float = 10.0
 ) -> Kind:
-    """Return a kind whose size counts by its output tokens as well."""
+    """Return a kind with length limits whose size includes its output tokens."""
     return msgspec.structs.replace(
         kind,
         max_prompt_factor=max_prompt_factor,
@@ -201,7 +201,7 @@
 
 
 def labelling_engines(found: tuple[Engine, ...]) -> tuple[Engine, ...]:
-    """Return engines as fast as those that label things, each by its grade."""
+    """Return engines scaled to the labelling speed, with their grades kept."""
     return tuple(
         msgspec.structs.replace(
             one,
@@ -212,8 +212,9 @@
     )
 
 
-# Three kinds of unlike length on engines of three grades, of which a fast one is soon
-# away: two bursts, and a crash between them, near the load that the others can do.
+# Three kinds of different lengths on engines of three grades, of which a fast one soon
+# crashes and stays down: two bursts with another crash between, near the capacity that
+# remains.
 STATEMENTS = Mix(
     "statements",
     (
@@ -261,7 +262,7 @@
     outages=tuple(Outage(8.0, 2.0, f"1-{number}") for number in range(5)),
     takeovers=(24.0,),
 )
-# 39 engines of three grades with few slots each, a third of which crash.
+# 39 engines of three grades with 5 slots each, a third of which crash.
 LABELS_LARGE = Mix(
     "labels-large",
     (
@@ -275,8 +276,8 @@
     outages=tuple(Outage(6.0, 3.0, f"0.55-{number}") for number in range(13)),
     takeovers=(24.0,),
 )
-# The same customer's work some months on: more short texts, on 45 engines of which a
-# third is four times slower than the others, all of the fast ones a little faster.
+# The labelling load after a shift: more short texts, on 45 engines of which a third is
+# four times slower than the others; the mean of the fast ones is a little faster.
 LABELS_SHIFTED = Mix(
     "labels-shifted",
     (
@@ -318,7 +319,7 @@
 
 
 def without_incidents(found: Mix) -> Mix:
-    """Return a mix to which nothing happens."""
+    """Return a mix without its bursts, outages and takeovers."""
     return msgspec.structs.replace(found, bursts=(), outages=(), takeovers=())
 
 
@@ -339,7 +340,7 @@
 def next_arrival(
     mix: Mix, kind: Kind, after: float, load: float, source: random.Random
 ) -> float:
-    """Return when the next requests of a kind come."""
+    """Return when the next requests of a kind arrive."""
     rate = kind.per_second * load * mix.load_factor(after) / mix.mean_group_size
     return after + source.expovariate(rate)
 
@@ -365,7 +366,7 @@
 
 
 def draw_length(mean: float, spread: float, most: float, source: random.Random) -> int:
-    """Draw a whole number of a log-normal distribution with a mean, up to a bound."""
+    """Draw an integer from a log-normal distribution, at most `most` times its mean."""
     middle = math.log(mean) - spread * spread / 2
     found = round(source.lognormvariate(middle, spread))
     return max(1, min(int(most * mean), found))
--- a/bench/replay/simulation.py
+++ b/bench/replay/simulation.py
@@ -1,4 +1,4 @@
-"""The run: callers, the dispatcher's real decisions, and engines, by one clock."""
+"""Discrete-event simulation of callers, the real scheduler and engines."""
 
 from __future__ import annotations
 
@@ -16,21 +16,22 @@
 
 CELL = ids.CellId("replay/0")
 ENTRY = ids.InstanceId("entry")
-# Seconds between an entry and the dispatcher or an engine, and between two ticks.
+# One-way delay between an entry and the dispatcher or an engine, and tick interval.
 ONE_WAY_SECONDS = 0.003
 TICK_SECONDS = 0.05
-# Times that a caller comes back after a refusal.
+# Retries of a caller after a refusal or a crash.
 RETRIES = 1
-# Virtual time begins here: schedulers take an instant of 0 for "never".
+# Start of virtual time: schedulers read an instant of 0 as "never".
 START = 1000.0
-# Callers of streams leave after so many times their aim without an event, and so many
-# seconds at least.
+# Callers of streams leave after PATIENCE_GOALS times their goal without an event, but
+# not before MIN_PATIENCE seconds.
 PATIENCE_GOALS = 4.0
 MIN_PATIENCE = 2.0
-# Seconds between two tellings of what runs, and for which a new dispatcher waits.
+# Interval of the reports of running requests, and how long a new dispatcher gathers
+# them before it grants.
 REPORT_SECONDS = 1.0
 GATHER_SECONDS = 0.25
-# Callers wait as they are told to, up to this part of the time that they have left.
+# Callers honour the retry delay up to this part of the time to their deadline.
 MAX_RETRY_WAIT_PART = 1 / 3
 
 
@@ -41,35 +42,35 @@
     LATE = "late"
     REFUSED = "refused"
     LEFT = "left"
-    # Its engine crashed, and it may not run again.
+    # Its engine crashed, and it has no retry left.
     LOST = "lost"
 
 
 class Caller(msgspec.Struct):
-    """One request, from its arrival to its end."""
+    """The state of one request, from its arrival to its end."""
 
     number: int
     request: mix.Request
     tries: int = 0
-    # When the present try began, and whether it was refused since.
+    # When the current try began, and whether it was refused and the next is pending.
     try_started_at: float = 0.0
     is_between_tries: bool = False
     server: str = ""
     granted_at: float = 0.0
     first_at: float | None = None
     end: End | None = None
-    # Seconds that it was kept waiting in all its tries, without being served.
+    # Total seconds of its tries that ended without being served.
     wait_seconds: float = 0.0
     refusals: int = 0
 
     @property
     def ticket_id(self) -> ids.TicketId:
-        """The ticket of the present try."""
+        """The ticket of the current try."""
         return ids.TicketId(f"{self.number}/{self.tries}")
 
 
 class Outcome(msgspec.Struct, frozen=True):
-    """All that a run has shown."""
+    """The result of a run."""
 
     callers: tuple[Caller, ...]
     batches: tuple[batches.Batch, ...]
@@ -99,7 +100,7 @@
         self.configure()
 
     def run(self) -> Outcome:
-        """Play until every request has ended."""
+        """Process events until every request has ended."""
         for caller in self.callers:
             self.schedule(START + caller.request.at, lambda c=caller: self.arrive(c))
         self.schedule(START, self.tick)
@@ -114,13 +115,13 @@
         return Outcome(tuple(self.callers), found, self.now - START)
 
     def configure(self) -> None:
-        """Tell the scheduler which engines are there."""
+        """Give the scheduler the engines that are up."""
         there = tuple(s for s in servers(self.mix) if s.name not in self.engines_down)
         cell = cells.Cell(CELL, ids.PoolId("replay"), there)
         self.carry_out(self.scheduler.configure(cell, self.instant()))
 
     def crash(self, outage: mix.Outage) -> None:
-        """Let an engine lose all its work and stay away for some seconds."""
+        """Crash an engine: its requests are lost, and it is down for a time."""
         batch = self.batches[outage.engine]
         broken = [self.callers[number] for number in batch.running]
         batch.running.clear()
@@ -132,12 +133,12 @@
         self.schedule_after(outage.seconds, lambda: self.recover(outage.engine))
 
     def recover(self, engine: str) -> None:
-        """Let an engine work again."""
+        """Bring a crashed engine up again."""
         self.engines_down.discard(engine)
         self.configure()
 
     def interrupt(self, caller: Caller) -> None:
-        """End the try of a caller whose engine crashed; it comes back at once."""
+        """End a try whose engine crashed; the caller retries at once."""
         caller.server = ""
         caller.first_at = None
         if caller.tries >= RETRIES:
@@ -147,7 +148,7 @@
         self.arrive(caller)
 
     def take_over(self) -> None:
-        """Let the dispatcher die, and another one begin with what entries tell."""
+        """Replace the scheduler by a new one that knows only what entries report."""
         self.scheduler = type(self.scheduler)()
         self.scheduler.gather(ids.Instant(self.now + GATHER_SECONDS))
         self.configure()
@@ -158,15 +159,15 @@
                 self.enqueue(caller, caller.ticket_id)
 
     def schedule(self, when: float, act: Callable[[], None]) -> None:
-        """Have something done at an instant."""
+        """Schedule a call at an instant."""
         heapq.heappush(self.events, (when, next(self.order), act))
 
     def schedule_after(self, seconds: float, act: Callable[[], None]) -> None:
-        """Have something done after some seconds."""
+        """Schedule a call after some seconds."""
         self.schedule(self.now + seconds, act)
 
     def tick(self) -> None:
-        """Let the scheduler look at what time has changed."""
+        """Call the scheduler's periodic tick, and report running requests."""
         self.carry_out(self.scheduler.tick(self.instant()))
         self.schedule_after(TICK_SECONDS, self.tick)
         if self.now < self.next_report_at:
@@ -177,18 +178,18 @@
                 self.report_running(caller)
 
     def report_running(self, caller: Caller) -> None:
-        """Tell again of what runs, as entries do."""
+        """Report a running request to the scheduler, as entries do."""
         ticket = msgspec.structs.replace(
             self.ticket(caller), running_on=ids.BackendServerId(caller.server)
         )
         self.scheduler.enqueue(ticket, self.instant())
 
     def instant(self) -> ids.Instant:
-        """Return the present instant."""
+        """Return the current instant."""
         return ids.Instant(self.now)
 
     def arrive(self, caller: Caller) -> None:
-        """Let a caller send, at first or again."""
+        """Begin a try of a caller: the first or a retry."""
         self.by_ticket[caller.ticket_id] = caller
         caller.try_started_at = self.now
         caller.is_between_tries = False
@@ -200,13 +201,13 @@
             self.schedule_after(deadline, lambda: self.leave(caller))
 
     def enqueue(self, caller: Caller, ticket_id: ids.TicketId) -> None:
-        """Let a ticket reach the dispatcher."""
+        """Deliver a ticket to the scheduler, unless its try has ended."""
         if caller.end is None and caller.ticket_id == ticket_id:
             ticket = self.ticket(caller)
             self.carry_out(self.scheduler.enqueue(ticket, self.instant()))
 
     def ticket(self, caller: Caller) -> messages.Ticket:
-        """Return a caller's ticket as its entry sends it now."""
+        """Return a caller's ticket as its entry would send it now."""
         request = caller.request
         kind = request.kind
         waited = self.now - START - request.at
@@ -249,14 +250,14 @@
                 self.refuse(caller, sent.retry_after)
 
     def end(self, caller: Caller, end: End) -> None:
-        """Note how a request ended."""
+        """Record how a request ended."""
         caller.end = end
         self.open -= 1
         if not caller.server and not caller.is_between_tries:
             caller.wait_seconds += self.now - caller.try_started_at
 
     def refuse(self, caller: Caller, after: float) -> None:
-        """End a try; the caller comes back when told to."""
+        """End a refused try; the caller retries after the delay, if it may."""
         del self.by_ticket[caller.ticket_id]
         caller.refusals += 1
         if caller.tries >= RETRIES:
@@ -271,12 +272,12 @@
         )
 
     def retry(self, caller: Caller) -> None:
-        """Send again, unless the caller has left."""
+        """Begin the next try, unless the request has ended."""
         if caller.end is None:
             self.arrive(caller)
 
     def submit(self, caller: Caller) -> None:
-        """Let a request reach its engine."""
+        """Deliver a granted request to its engine."""
         if caller.end is not None:
             return
         batch = self.batches[caller.server]
@@ -285,14 +286,14 @@
             self.step(batch)
 
     def step(self, batch: batches.Batch) -> None:
-        """Let an engine take a step, and those after it."""
+        """Start an engine's next step, if it has requests."""
         batch.is_stepping = bool(batch.running)
         if batch.is_stepping:
             found = batch.step(self.now)
             self.schedule(found.ends_at, lambda: self.finish(batch, found))
 
     def finish(self, batch: batches.Batch, found: batches.StepResult) -> None:
-        """Tell what a step has brought."""
+        """Report first events and completions of a step, and start the next one."""
         for work in found.first_events:
             caller = self.callers[work.number]
             if caller.end is None:
@@ -310,14 +311,14 @@
         self.step(batch)
 
     def complete(self, caller: Caller) -> None:
-        """End a request that has its whole answer."""
+        """End a request whose answer is complete."""
         seconds = caller.first_at - START - caller.request.at
         within_goal = seconds <= caller.request.kind.goal_seconds
         self.end(caller, End.WITHIN_GOAL if within_goal else End.LATE)
         self.report_end(caller, messages.Outcome.COMPLETED)
 
     def leave(self, caller: Caller) -> None:
-        """End a request whose caller waits no longer."""
+        """End a request whose caller has reached its deadline."""
         if caller.end is not None:
             return
         self.end(caller, End.LEFT)
@@ -329,7 +330,7 @@
             self.carry_out(self.scheduler.withdraw(caller.ticket_id, self.instant()))
 
     def report_end(self, caller: Caller, outcome: messages.Outcome) -> None:
-        """Tell the dispatcher how a dispatched request ended."""
+        """Report to the scheduler how a dispatched request ended."""
         self.by_ticket.pop(caller.ticket_id, None)
         first = caller.first_at or self.now
         done = messages.Done(
@@ -347,12 +348,12 @@
 
 
 def patience(kind: mix.Kind) -> float:
-    """Return for how many seconds a caller waits for the first event."""
+    """Return how many seconds a caller waits for the first event."""
     return max(MIN_PATIENCE, PATIENCE_GOALS * kind.goal_seconds)
 
 
 def servers(found: mix.Mix) -> tuple[kinds.BackendServerSpec, ...]:
-    """Return the engines as the dispatcher knows them."""
+    """Return the engines as the scheduler's server specifications."""
     return tuple(
         kinds.BackendServerSpec(
             name=one.name, host="127.0.0.1", port=1, data_centre="dc", slots=one.slots
--- a/bench/replay/tally.py
+++ b/bench/replay/tally.py
@@ -1,4 +1,4 @@
-"""What became of the requests of a run, by kind and size."""
+"""Results of a run, summed by kind, size and time of arrival."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 # See `wasted_wait_part`.
 FREE_WAIT_PART = 1 / 8
 FULL_WAIT_PART = 3 / 4
-# Parts of a kind, from the largest request on, that are told of by themselves.
+# Parts of a kind's requests, from the largest on, that are summed separately.
 LARGEST = 0.1
 LARGE = 0.3
-# Seconds of the windows of which the two worst are told.
+# Length in seconds of the windows, of which the two worst enter the score.
 WINDOW = 2.0
-# What the parts of a run count in its mark, and what is taken off.
+# Weights of the parts of a run in its score, and of the deductions.
 WHOLE_WEIGHT = 0.6
 CLASS_WEIGHT = 0.3
 WINDOW_WEIGHT = 0.1
@@ -25,16 +25,16 @@
 
 
 class Tally(msgspec.Struct):
-    """What became of the requests of one kind, size or time."""
+    """Counts and worth of the requests of one kind, size or window."""
 
     ends: collections.Counter[simulation.End] = msgspec.field(
         default_factory=collections.Counter
     )
     total_worth: float = 0.0
     earned_worth: float = 0.0
-    # The worth of requests that waited in vain, each the more the longer it did.
+    # The worth of requests that waited without being served, weighted by their wait.
     wasted_wait_worth: float = 0.0
-    # The worth of those that were refused, came back and weren't served.
+    # The worth of those that were refused, retried and weren't served.
     refused_again_worth: float = 0.0
 
     def share(self) -> float:
@@ -42,11 +42,11 @@
         return self.earned_worth / self.total_worth if self.total_worth else 0.0
 
     def part(self, end: simulation.End) -> float:
-        """Return the part of the requests that ended so."""
+        """Return the part of the requests with this end."""
         return self.ends[end] / max(1, self.ends.total())
 
     def add(self, caller: simulation.Caller) -> None:
-        """Take in one request."""
+        """Add one request."""
         worth = caller.request.worth
         self.ends[caller.end] += 1
         self.total_worth += worth
@@ -58,7 +58,7 @@
 
 
 class Sums(msgspec.Struct):
-    """The sums of a run: of all, by kind, by kind and size, and by time of arrival."""
+    """The sums of a run: total, by kind, by kind and size, and by arrival window."""
 
     whole: Tally
     kinds: dict[str, Tally]
@@ -66,7 +66,7 @@
     windows: list[Tally]
 
     def score(self) -> float:
-        """Return one figure for a run: all, the worst class and the worst windows."""
+        """Return a run's score from its total, worst class and worst windows."""
         worst = min(one.share() for one in (*self.kinds.values(), *self.sizes.values()))
         windows = sorted(one.share() for one in self.windows)[:2]
         return (
@@ -81,10 +81,10 @@
 
 
 def wasted_wait_part(caller: simulation.Caller) -> float:
-    """Return the part of its time that a caller spent waiting for nothing.
+    """Return from 0 to 1 how much of a caller's time was wasted by waiting.
 
-    Nothing is counted up to an eighth of its aim, all from three quarters of its
-    deadline on: by then it can't go elsewhere.
+    It is 0 up to an eighth of the goal, and 1 from three quarters of the deadline on,
+    when too little time is left to send the request elsewhere.
     """
     if caller.server:
         return 0.0
@@ -94,7 +94,7 @@
 
 
 def earned_worth_of(caller: simulation.Caller) -> float:
-    """Return what a request has earned of its worth."""
+    """Return the part of its worth that a request has earned."""
     kind = caller.request.kind
     if caller.end is simulation.End.WITHIN_GOAL:
         return caller.request.worth
@@ -122,7 +122,7 @@
 def add_sizes(
     found: dict[str, Tally], name: str, callers: list[simulation.Caller]
 ) -> None:
-    """Add the sums of the largest requests of a kind, and of the large ones."""
+    """Add the sums of a kind's largest requests, and of the next largest."""
     ordered = sorted(callers, key=lambda caller: -caller.request.size)
     largest, large = (round(part * len(ordered)) for part in (LARGEST, LARGE))
     for size, chosen in (
@@ -135,10 +135,10 @@
 
 
 def bound(found: mix.Mix, requests: list[mix.Request], seconds: float) -> float:
-    """Return the most of the worth that any order could earn with these slots.
+    """Return an upper bound on the part of the worth that any schedule could earn.
 
-    A relaxed optimum: no goal is missed, any request fits any slot, and each takes
-    what it would at the mean of the grades. The densest worth goes first.
+    A relaxed optimum: no goal is missed, any request fits any slot, and each costs
+    the mean over the engines. Requests are served in order of worth per cost.
     """
     left = sum(
         one.slots / slot_seconds(one, 1.0, 0.0) * seconds_up(found, one, seconds)
@@ -156,25 +156,25 @@
 
 
 def seconds_up(found: mix.Mix, engine: mix.Engine, seconds: float) -> float:
-    """Return for how many seconds of a run an engine is there."""
-    away = sum(
+    """Return for how many seconds of a run an engine is up."""
+    down = sum(
         max(0.0, min(seconds, outage.at + outage.seconds) - outage.at)
         for outage in found.outages
         if outage.engine == engine.name
     )
-    return seconds - away
+    return seconds - down
 
 
 def slot_seconds(engine: mix.Engine, output: float, prompt: float) -> float:
-    """Return for how long a request holds a slot in a full batch."""
+    """Return for how many seconds a request occupies a slot in a full batch."""
     step = engine.step_seconds + engine.per_request_seconds * engine.slots
     return output * step + prompt * engine.prompt_seconds
 
 
 def token_cost(found: mix.Mix, request: mix.Request) -> float:
-    """Return what a request takes, in output tokens of a full batch.
+    """Return a request's cost, in output tokens of a full batch.
 
-    Reading its prompt holds up the whole batch.
+    Its prefill delays the whole batch.
     """
     each = [
         one.slots * request.prompt * one.prompt_seconds / slot_seconds(one, 1.0, 0.0)
