--- a/bench/limits_cost.py
+++ b/bench/limits_cost.py
@@ -27,7 +27,7 @@
 def admission(found: limit.Limit | None) -> float:
     """Return the microseconds of one admission, or refusal, and its settling."""
     known = population.deployment(1)
-    limits = role.Limits(slope.Wire(), known, lambda _: found, population.NOW)
+    limits = role.Limits(slope.RecordingMesh(), known, lambda _: found, population.NOW)
     with contextlib.suppress(role.OverLimitError):
         limits.charge(ACCOUNT, TOKENS, population.NOW)
     began = time.process_time()
@@ -47,11 +47,11 @@
     kinds = {"no limit": None, "admitted": PLENTY, "over its limit": NOTHING}
     for name, kind in kinds.items():
         runs = [admission(kind) for _ in range(found.runs)]
-        print(f"{name}: {size.text(size.summary(runs), 2)} us")
+        print(f"{name}: {size.format_result(size.summarise(runs), 2)} us")
     runs = [slope.measure(found.instances, found.accounts) for _ in range(found.runs)]
     for name in ("bytes out a second", "bytes in a second"):
         each = [run[name] / found.accounts for run in runs]
-        print(f"{name} and account: {size.text(size.summary(each), 1)}")
+        print(f"{name} and account: {size.format_result(size.summarise(each), 1)}")
 
 
 if __name__ == "__main__":
--- a/bench/slopes/changes.py
+++ b/bench/slopes/changes.py
@@ -23,7 +23,7 @@
 ACCOUNT = "account-00007"
 
 
-class Found(msgspec.Struct, frozen=True):
+class RateResult(msgspec.Struct, frozen=True):
     """One rate: times until in force, calls a second, what a follower used."""
 
     delays: list[float]
@@ -60,10 +60,10 @@
             answer = await response.json()
             if response.status != 200:
                 raise RuntimeError(answer)
-        await self.until_in_force(answer["metadata"]["revision"])
+        await self.wait_until_in_force(answer["metadata"]["revision"])
         return time.monotonic() - began
 
-    async def until_in_force(self, revision: int) -> None:
+    async def wait_until_in_force(self, revision: int) -> None:
         """Wait until every instance that serves has a revision."""
         while True:
             async with self.fleet.session.get(
@@ -76,7 +76,7 @@
             await asyncio.sleep(POLL_SECONDS)
 
 
-async def measure(operator: Operator, rate: float, seconds: float) -> Found:
+async def measure(operator: Operator, rate: float, seconds: float) -> RateResult:
     """Make changes at a steady rate; each is waited for."""
     fleet = operator.fleet
     pid = fleet.instances[-1].process.pid
@@ -89,11 +89,11 @@
     await asyncio.sleep(max(0.0, began + seconds - time.monotonic()))
     after, ended = await watch.sample(pid), time.monotonic()
     now = await fleet.counts(fleet.platform)
-    return Found(
+    return RateResult(
         delays=delays,
         reads=(now["reads"] - counts["reads"]) / (ended - began),
         writes=(now["writes"] - counts["writes"]) / (ended - began),
-        follower=watch.between(before, after),
+        follower=watch.use_between(before, after),
     )
 
 
@@ -113,13 +113,13 @@
             operator = Operator(fleet)
             for rate in found.rates:
                 result = await measure(operator, rate, found.seconds)
-                delays = size.text(size.summary(result.delays), 2)
+                delays = size.format_result(size.summarise(result.delays), 2)
                 print(
                     f"{rate:g} changes/s, {found.instances} instances, "
                     f"{found.accounts} accounts: in force after {delays} s, "
                     f"{len(result.delays)} changes; platform {result.reads:.2f} "
                     f"reads/s and {result.writes:.2f} writes/s; a follower: "
-                    f"{watch.text(result.follower)}",
+                    f"{watch.format_use(result.follower)}",
                     flush=True,
                 )
 
--- a/bench/slopes/claims.py
+++ b/bench/slopes/claims.py
@@ -39,7 +39,7 @@
         rows = services.StoreTable(fleet.client)
         self.writer = writer.Writer(self.mesh, self.members, rows, INTERVAL)
         # Claims sent and not answered yet.
-        self.open = 0
+        self.unanswered = 0
         self.all_answered = asyncio.Event()
         self.bytes = 0
 
@@ -49,7 +49,7 @@
         self.members.update_own(
             peer_host=self.mesh.listen.host, peer_port=self.mesh.listen.port
         )
-        self.mesh.handle(messages.RowVerdict, self.take)
+        self.mesh.handle(messages.RowVerdict, self.count_verdict)
         self.writer.start()
 
     async def stop(self) -> None:
@@ -57,22 +57,24 @@
         await self.writer.stop()
         await self.mesh.stop()
 
-    def take(self, sender: ids.InstanceId, verdict: messages.RowVerdict) -> None:
+    def count_verdict(
+        self, sender: ids.InstanceId, verdict: messages.RowVerdict
+    ) -> None:
         """Count a verdict."""
         if verdict.verdict is not messages.Verdict.COMMITTED:
             raise RuntimeError(verdict)
         self.bytes += len(self.mesh.codec.encode(verdict))
-        self.open -= 1
-        if not self.open:
+        self.unanswered -= 1
+        if not self.unanswered:
             self.all_answered.set()
 
-    async def load(self, rate: float, seconds: float) -> int:
+    async def send_claims(self, rate: float, seconds: float) -> int:
         """Send claims at a steady rate and wait for the verdicts."""
         began, count = time.monotonic(), 0
         while time.monotonic() - began < seconds:
-            sent = change()
+            sent = new_claim()
             self.bytes += len(self.mesh.codec.encode(sent))
-            self.open += 1
+            self.unanswered += 1
             self.all_answered.clear()
             self.mesh.send(self.mesh.listen, sent)
             count += 1
@@ -82,7 +84,7 @@
         return count
 
 
-def change() -> messages.RowChange:
+def new_claim() -> messages.RowChange:
     """Return the change that takes a claim no other has taken."""
     nonce = str(ids.new_incarnation())
     wanted = claim.Claim(
@@ -108,14 +110,16 @@
         async with deployment.Deployment(pathlib.Path(name)) as fleet:
             bench = Bench(fleet)
             await bench.start()
-            await bench.load(found.rates[0], 1.0)
+            await bench.send_claims(found.rates[0], 1.0)
             for rate in found.rates:
                 results = []
                 for _ in range(found.runs):
                     results.append(await measure(bench, rate, found.seconds))
                 for name in results[0]:
-                    result = size.summary([one[name] for one in results])
-                    print(f"{rate:g}/s {name}: {size.text(result)}", flush=True)
+                    result = size.summarise([one[name] for one in results])
+                    print(
+                        f"{rate:g}/s {name}: {size.format_result(result)}", flush=True
+                    )
             await bench.stop()
 
 
@@ -125,7 +129,7 @@
     platform = await counts(fleet)
     bench.bytes = 0
     began, spent = time.monotonic(), time.process_time()
-    count = await bench.load(rate, seconds)
+    count = await bench.send_claims(rate, seconds)
     spent, took = time.process_time() - spent, time.monotonic() - began
     now = await counts(fleet)
     return {
--- a/bench/slopes/configuration.py
+++ b/bench/slopes/configuration.py
@@ -50,7 +50,7 @@
     return copy.empty().with_changes([tier, *changes])
 
 
-def milliseconds(act: Callable[[], object], count: int) -> float:
+def mean_milliseconds(act: Callable[[], object], count: int) -> float:
     """Return the mean processor time of a call in milliseconds."""
     began = time.process_time()
     for _ in range(count):
@@ -63,7 +63,7 @@
     return cost.account_change(ids.Revision(current.revision + 1), 7)
 
 
-def request(current: copy.Configuration) -> decision.ChangeRequest:
+def change_request(current: copy.Configuration) -> decision.ChangeRequest:
     """Return what an operator asks for to change an account."""
     found = current.get(kinds.Kind.CLIENT_ACCOUNT, "account-00007")
     spec = msgspec.structs.replace(found.spec, tokens_per_second=current.revision + 1.0)
@@ -90,7 +90,7 @@
     reads, writes = platform.read_count, platform.write_count
     began = time.process_time()
     for _ in range(CHANGES):
-        await writer.change(request(own.current))
+        await writer.change(change_request(own.current))
     spent = time.process_time() - began
     return {
         "ms to write one change": spent / CHANGES * 1e3,
@@ -106,9 +106,13 @@
     found = {
         "snapshot, bytes": float(len(content)),
         "bytes of one change": float(len(codec.encode(change(current)))),
-        "ms to read a snapshot": milliseconds(lambda: snapshots.decode(content), 3),
-        "ms to make a snapshot": milliseconds(lambda: snapshots.encode(current), 3),
-        "ms to follow one change": milliseconds(
+        "ms to read a snapshot": mean_milliseconds(
+            lambda: snapshots.decode(content), 3
+        ),
+        "ms to make a snapshot": mean_milliseconds(
+            lambda: snapshots.encode(current), 3
+        ),
+        "ms to follow one change": mean_milliseconds(
             lambda: current.with_changes([change(current)]), 20
         ),
     }
@@ -126,8 +130,8 @@
         print(f"{accounts} accounts")
         runs = [measure(accounts) for _ in range(found.runs)]
         for name in runs[0]:
-            result = size.summary([one[name] for one in runs])
-            print(f"  {name}: {size.text(result, 2)}")
+            result = size.summarise([one[name] for one in runs])
+            print(f"  {name}: {size.format_result(result, 2)}")
 
 
 if __name__ == "__main__":
--- a/bench/slopes/crowd.py
+++ b/bench/slopes/crowd.py
@@ -47,7 +47,7 @@
         # Hundreds of contexts would each have threads of their own.
         self.mesh.context = context
         self.mesh.plain_context = zmq.Context.shadow(context.underlying)
-        self.mesh.handle(messages.Heartbeat, self.take)
+        self.mesh.handle(messages.Heartbeat, self.ignore_heartbeat)
 
     async def start(self) -> None:
         """Listen."""
@@ -59,19 +59,25 @@
             revision=ids.Revision(0),
         )
 
-    def take(self, sender: ids.InstanceId, received: messages.Heartbeat) -> None:
+    def ignore_heartbeat(
+        self, sender: ids.InstanceId, received: messages.Heartbeat
+    ) -> None:
         """Take a heartbeat in; nothing follows from it."""
 
-    async def beat(self, start: Start, interval: float, lag: float) -> None:
+    async def send_heartbeats(
+        self, start: Start, interval: float, start_delay: float
+    ) -> None:
         """Beat until cancelled; now and then a heartbeat names all peers."""
         watched = endpoint.parse(start.watched)
         full = msgspec.structs.replace(self.heartbeat, known=start.known)
-        await asyncio.sleep(lag)
-        left = 0.0
+        await asyncio.sleep(start_delay)
+        until_known = 0.0
         while True:
-            with_known = left <= 0.0
+            with_known = until_known <= 0.0
             if self.mesh.send(watched, full if with_known else self.heartbeat):
-                left = heartbeats.KNOWN_INTERVAL if with_known else left - interval
+                until_known = (
+                    heartbeats.KNOWN_INTERVAL if with_known else until_known - interval
+                )
             await asyncio.sleep(interval)
 
 
@@ -99,7 +105,9 @@
     start = msgspec.json.decode(await read_line(reader), type=Start)
     beats = [
         asyncio.create_task(
-            peer.beat(start, plan.interval, plan.interval * number / plan.count)
+            peer.send_heartbeats(
+                start, plan.interval, plan.interval * number / plan.count
+            )
         )
         for number, peer in enumerate(peers)
     ]
--- a/bench/slopes/cut.py
+++ b/bench/slopes/cut.py
@@ -24,7 +24,7 @@
 FIRST_PORT = 2
 
 
-async def fill(count: int, addresses: int) -> tuple[int, int, float]:
+async def fill_queues(count: int, addresses: int) -> tuple[int, int, float]:
     """Send heartbeats to peers that aren't there.
 
     Returns the bytes of one, how many were kept for each peer, and the bytes of
@@ -49,7 +49,7 @@
 
 def report(count: int, addresses: int) -> None:
     """Print the figures of one size; in a process of its own."""
-    content, kept, grown = asyncio.run(fill(count, addresses))
+    content, kept, grown = asyncio.run(fill_queues(count, addresses))
     print(
         f"{count} heartbeats of {content} bytes ({addresses} addresses): "
         f"{kept} wait for a peer, {grown / 1e6:.2f} MB"
--- a/bench/slopes/limits.py
+++ b/bench/slopes/limits.py
@@ -24,10 +24,10 @@
 WARM_SECONDS = 3
 SECONDS = 10
 # Uses of each account a second at the entry.
-USES = 0.1
+USES_A_SECOND = 0.1
 
 
-class Wire:
+class RecordingMesh:
     """Takes messages in place of a mesh, and counts them."""
 
     def __init__(self) -> None:
@@ -46,7 +46,7 @@
         self.bytes += len(self.encoder.encode(sent))
         return True
 
-    def taken(self) -> list[tuple[endpoint.Endpoint, message.Message]]:
+    def take_sent(self) -> list[tuple[endpoint.Endpoint, message.Message]]:
         """Return what was sent since the last call."""
         found, self.sent = self.sent, []
         return found
@@ -58,20 +58,20 @@
     def __init__(self, instances: int, accounts: int) -> None:
         self.now = population.NOW
         found = limit.Limit(rate=1000.0, burst=10_000.0)
-        self.wire, self.answers = Wire(), Wire()
+        self.entry_mesh, self.home_mesh = RecordingMesh(), RecordingMesh()
         known = population.deployment(instances)
-        self.entry = role.Limits(self.wire, known, lambda _: found, self.now)
-        self.homes = role.Limits(self.answers, known, lambda _: found, self.now)
+        self.entry = role.Limits(self.entry_mesh, known, lambda _: found, self.now)
+        self.homes = role.Limits(self.home_mesh, known, lambda _: found, self.now)
         # Takes the reports of all accounts, whichever instance is their home.
         self.homes.presence.home = lambda _: known.own.instance
         self.accounts = [ids.AccountId(f"account-{n:05d}") for n in range(accounts)]
         self.entry_seconds = self.home_seconds = 0.0
 
-    def second(self) -> None:
+    def run_second(self) -> None:
         """Let the entry use its accounts, report, and get its answers."""
         self.now = ids.Instant(self.now + 1.0)
         began = time.process_time()
-        uses = max(1, int(len(self.accounts) * USES))
+        uses = max(1, int(len(self.accounts) * USES_A_SECOND))
         for account in self.accounts[:uses]:
             self.entry.charge(account, TOKENS, self.now).settle(TOKENS)
         self.accounts = self.accounts[uses:] + self.accounts[:uses]
@@ -79,11 +79,11 @@
         self.entry_seconds += time.process_time() - began
         own = self.entry.members.own.instance
         began = time.process_time()
-        for _, report in self.wire.taken():
+        for _, report in self.entry_mesh.take_sent():
             self.homes.handle_report(own, report, self.now)
         self.home_seconds += time.process_time() - began
         began = time.process_time()
-        for _, lending in self.answers.taken():
+        for _, lending in self.home_mesh.take_sent():
             self.entry.handle_lending(own, lending, self.now)
         self.entry_seconds += time.process_time() - began
 
@@ -94,15 +94,15 @@
     for account in bench.accounts:
         bench.entry.open_allowance(account, bench.now)
     for _ in range(WARM_SECONDS):
-        bench.second()
-    bench.wire.messages = bench.wire.bytes = bench.answers.bytes = 0
+        bench.run_second()
+    bench.entry_mesh.messages = bench.entry_mesh.bytes = bench.home_mesh.bytes = 0
     bench.entry_seconds = bench.home_seconds = 0.0
     for _ in range(SECONDS):
-        bench.second()
+        bench.run_second()
     return {
-        "reports a second": bench.wire.messages / SECONDS,
-        "bytes out a second": bench.wire.bytes / SECONDS,
-        "bytes in a second": bench.answers.bytes / SECONDS,
+        "reports a second": bench.entry_mesh.messages / SECONDS,
+        "bytes out a second": bench.entry_mesh.bytes / SECONDS,
+        "bytes in a second": bench.home_mesh.bytes / SECONDS,
         "entry, ms a second": bench.entry_seconds / SECONDS * 1e3,
         "homes, ms a second": bench.home_seconds / SECONDS * 1e3,
     }
@@ -120,8 +120,8 @@
             print(f"{accounts} accounts in use at one of {instances} instances")
             runs = [measure(instances, accounts) for _ in range(found.runs)]
             for name in runs[0]:
-                result = size.summary([one[name] for one in runs])
-                print(f"  {name}: {size.text(result, 2)}")
+                result = size.summarise([one[name] for one in runs])
+                print(f"  {name}: {size.format_result(result, 2)}")
 
 
 if __name__ == "__main__":
--- a/bench/slopes/marks.py
+++ b/bench/slopes/marks.py
@@ -14,7 +14,7 @@
 SECONDS = 600.0
 
 
-def held(count: int) -> marks.Marks:
+def make_marks(count: int) -> marks.Marks:
     """Return so many marks of one crash each."""
     found = marks.Marks(SECONDS)
     for number in range(count):
@@ -39,7 +39,7 @@
     parser.add_argument("--runs", type=int, default=3)
     found = parser.parse_args()
     for count in found.marks:
-        known = held(count)
+        known = make_marks(count)
         checksum = size.repeat(
             lambda known=known: population.microseconds(
                 lambda: known.checksum(population.NOW), 0.1
@@ -48,9 +48,9 @@
         )
         print(
             f"{count} marks: message of {message_bytes(known)} bytes; checksum "
-            f"{size.text(checksum)} us"
+            f"{size.format_result(checksum)} us"
         )
-    one = message_bytes(held(1))
+    one = message_bytes(make_marks(1))
     for members in found.members:
         sent = one * sharing.REPEATS * (members - 1)
         print(f"a crash among {members} members: {sent} bytes out of one instance")
--- a/bench/slopes/members.py
+++ b/bench/slopes/members.py
@@ -89,7 +89,7 @@
             return spent / calls * size.MICROSECONDS
 
 
-def calls(count: int) -> dict[str, Callable[[], object]]:
+def measured_calls(count: int) -> dict[str, Callable[[], object]]:
     """Return the calls that are measured, by name."""
     known = deployment(count)
     status = revision_status.HeartbeatStatus(known)
@@ -111,7 +111,7 @@
     }
 
 
-def roster_bytes(count: int) -> dict[str, int]:
+def heartbeat_bytes(count: int) -> dict[str, int]:
     """Return the bytes of a heartbeat bare, and with the addresses of all peers."""
     known = deployment(count)
     addresses = tuple(str(member.endpoint) for member in known.peers.values())
@@ -128,12 +128,12 @@
     parser.add_argument("--runs", type=int, default=3)
     found = parser.parse_args()
     for count in found.members:
-        print(f"{count} members; bytes of a heartbeat: {roster_bytes(count)}")
-        for name, act in calls(count).items():
+        print(f"{count} members; bytes of a heartbeat: {heartbeat_bytes(count)}")
+        for name, act in measured_calls(count).items():
             result = size.repeat(
                 lambda a=act: microseconds(a, found.seconds), found.runs
             )
-            print(f"  {name}: {size.text(result)} us")
+            print(f"  {name}: {size.format_result(result)} us")
 
 
 if __name__ == "__main__":
--- a/bench/slopes/peers.py
+++ b/bench/slopes/peers.py
@@ -18,11 +18,11 @@
 from tealcove.storage import instances
 
 # Peers of one process.
-CROWD = 150
+PEERS_PER_PROCESS = 150
 SETTLE_SECONDS = 6.0
 
 
-class Crowds:
+class PeerProcesses:
     """The processes of stand-in peers."""
 
     def __init__(self) -> None:
@@ -31,7 +31,7 @@
 
     async def start(self, count: int, interval: float) -> None:
         """Start so many peers; they listen but don't beat yet."""
-        for first in range(1, count + 1, CROWD):
+        for first in range(1, count + 1, PEERS_PER_PROCESS):
             process = await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-m",
@@ -41,20 +41,22 @@
                 limit=2**24,
             )
             self.processes.append(process)
-            number = min(CROWD, count + 1 - first)
-            self.write(process, crowd.Plan(first, number, interval))
+            number = min(PEERS_PER_PROCESS, count + 1 - first)
+            self.write_line(process, crowd.Plan(first, number, interval))
             self.addresses += json.loads(await process.stdout.readline())
 
-    def write(self, process: asyncio.subprocess.Process, line: msgspec.Struct) -> None:
+    def write_line(
+        self, process: asyncio.subprocess.Process, line: msgspec.Struct
+    ) -> None:
         """Write a line to a process."""
         process.stdin.write(msgspec.json.encode(line) + b"\n")
 
-    def beat_to(self, watched: str) -> None:
+    def send_heartbeats_to(self, watched: str) -> None:
         """Let all peers beat to an instance from now on."""
         for process in self.processes:
-            self.write(process, crowd.Start(watched, tuple(self.addresses)))
+            self.write_line(process, crowd.Start(watched, tuple(self.addresses)))
 
-    async def end(self) -> None:
+    async def stop(self) -> None:
         """End the processes."""
         for process in self.processes:
             process.kill()
@@ -80,11 +82,11 @@
     count: int, listed: int, found: argparse.Namespace
 ) -> list[watch.Use]:
     """Return what one of so many instances uses, several times."""
-    crowds = Crowds()
+    peers = PeerProcesses()
     with tempfile.TemporaryDirectory() as name:
         async with deployment.Deployment(pathlib.Path(name)) as fleet:
             try:
-                await crowds.start(count - 1, found.interval)
+                await peers.start(count - 1, found.interval)
                 await list_servers(fleet, listed)
                 beat = {
                     "interval": found.interval,
@@ -97,12 +99,15 @@
                     configuration={"poll_interval": 1.0},
                 )
                 await fleet.wait_until_ready(watched)
-                crowds.beat_to(f"{watched.host}:{deployment.PEER_PORT}")
+                peers.send_heartbeats_to(f"{watched.host}:{deployment.PEER_PORT}")
                 await asyncio.sleep(SETTLE_SECONDS)
                 pid = watched.process.pid
-                return [await watch.use(pid, found.seconds) for _ in range(found.runs)]
+                return [
+                    await watch.measure_use(pid, found.seconds)
+                    for _ in range(found.runs)
+                ]
             finally:
-                await crowds.end()
+                await peers.stop()
 
 
 async def run(found: argparse.Namespace) -> None:
@@ -113,7 +118,10 @@
     )
     for count, listed in itertools.product(found.members, found.listed):
         for use in await measure(count, listed, found):
-            print(f"{count:4} members, {listed} listed: {watch.text(use)}", flush=True)
+            print(
+                f"{count:4} members, {listed} listed: {watch.format_use(use)}",
+                flush=True,
+            )
 
 
 def main() -> None:
--- a/bench/slopes/polls.py
+++ b/bench/slopes/polls.py
@@ -26,25 +26,30 @@
 class Relay:
     """Passes bytes on to an engine and counts them both ways."""
 
-    def __init__(self, behind: deployment.Process) -> None:
-        self.behind = behind
+    def __init__(self, engine_process: deployment.Process) -> None:
+        self.engine_process = engine_process
         self.bytes = 0
         self.server: asyncio.Server | None = None
 
     async def start(self) -> engine.Server:
         """Listen; return the address in place of the engine's."""
-        self.server = await asyncio.start_server(self.take, "127.0.0.1", 0)
+        self.server = await asyncio.start_server(self.relay_connection, "127.0.0.1", 0)
         port = self.server.sockets[0].getsockname()[1]
         return engine.Server(ids.BackendServerId("relay"), "127.0.0.1", port)
 
-    async def take(
+    async def relay_connection(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         """Pass one connection on."""
-        there = await asyncio.open_connection(self.behind.host, self.behind.port)
-        await asyncio.gather(self.copy(reader, there[1]), self.copy(there[0], writer))
-
-    async def copy(
+        there = await asyncio.open_connection(
+            self.engine_process.host, self.engine_process.port
+        )
+        await asyncio.gather(
+            self.relay_direction(reader, there[1]),
+            self.relay_direction(there[0], writer),
+        )
+
+    async def relay_direction(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         """Pass one direction on until its end."""
@@ -54,7 +59,9 @@
         writer.close()
 
 
-async def read(client: http_engine.HttpEngineClient, server: engine.Server) -> None:
+async def read_engine(
+    client: http_engine.HttpEngineClient, server: engine.Server
+) -> None:
     """Make two readings, as a dispatcher does in a second."""
     for _ in range(2):
         await client.load(server)
@@ -63,38 +70,40 @@
     await client.cache_events(server, 0)
 
 
-async def client(keep: bool) -> http_engine.HttpEngineClient:
-    """Return a client; `keep` lets it use connections again, which ours never do."""
-    made = http_engine.HttpEngineClient()
-    await made.start()
-    if keep:
-        await made.session.close()
-        made.session = aiohttp.ClientSession(connector=aiohttp.TCPConnector(limit=0))
-    return made
+async def make_client(reuse: bool) -> http_engine.HttpEngineClient:
+    """Return a client; `reuse` lets it use connections again, which ours never do."""
+    new_client = http_engine.HttpEngineClient()
+    await new_client.start()
+    if reuse:
+        await new_client.session.close()
+        new_client.session = aiohttp.ClientSession(
+            connector=aiohttp.TCPConnector(limit=0)
+        )
+    return new_client
 
 
 async def measure(
-    fleet: deployment.Deployment, keep: bool, found: argparse.Namespace
+    fleet: deployment.Deployment, reuse: bool, found: argparse.Namespace
 ) -> None:
     """Print the figures of one way to use connections."""
     process = fleet.engines[0]
     direct = engine.Server(ids.BackendServerId("direct"), process.host, process.port)
-    asking = await client(keep)
+    engine_client = await make_client(reuse)
     times = []
     for _ in range(found.runs):
         began = time.process_time()
         for _ in range(found.count):
-            await read(asking, direct)
+            await read_engine(engine_client, direct)
         times.append((time.process_time() - began) / found.count * 1e3)
     relay = Relay(process)
     address = await relay.start()
     for _ in range(found.count):
-        await read(asking, address)
-    await asking.stop()
+        await read_engine(engine_client, address)
+    await engine_client.stop()
     relay.server.close()
-    how = "connections kept" if keep else "a connection a call"
+    label = "connections kept" if reuse else "a connection a call"
     print(
-        f"{how}: {size.text(size.summary(times), 2)} ms and "
+        f"{label}: {size.format_result(size.summarise(times), 2)} ms and "
         f"{relay.bytes / found.count:.0f} bytes for an engine a second"
     )
 
@@ -105,8 +114,8 @@
         async with deployment.Deployment(pathlib.Path(name)) as fleet:
             await fleet.add_engine(slots=8)
             await fleet.wait_for_port(fleet.engines[0])
-            for keep in (False, True):
-                await measure(fleet, keep, found)
+            for reuse in (False, True):
+                await measure(fleet, reuse, found)
 
 
 def main() -> None:
--- a/bench/slopes/size.py
+++ b/bench/slopes/size.py
@@ -31,7 +31,7 @@
     fixed: float
     slope: float
 
-    def at(self, size: float) -> float:
+    def cost_at(self, size: float) -> float:
         """Return the cost at a size."""
         return self.fixed + self.slope * size
 
@@ -42,7 +42,7 @@
     return Line(found.intercept, found.slope)
 
 
-def distance(size: float, sizes: Sequence[float]) -> float:
+def extrapolation_factor(size: float, sizes: Sequence[float]) -> float:
     """Return how many times larger a size is than the largest measured one."""
     return max(1.0, size / max(sizes))
 
@@ -55,24 +55,25 @@
 class Result(msgspec.Struct, frozen=True):
     """A measured cost at one size: the middle of some runs, and their ends."""
 
-    middle: float
-    least: float
-    most: float
+    median: float
+    minimum: float
+    maximum: float
 
 
 def repeat(measure: Callable[[], float], runs: int) -> Result:
     """Measure several times."""
-    return summary([measure() for _ in range(runs)])
+    return summarise([measure() for _ in range(runs)])
 
 
-def summary(found: Sequence[float]) -> Result:
+def summarise(found: Sequence[float]) -> Result:
     """Return the middle and the ends of some figures."""
     return Result(statistics.median(found), min(found), max(found))
 
 
-def text(result: Result, digits: int = 1) -> str:
+def format_result(result: Result, digits: int = 1) -> str:
     """Return a result as it's printed."""
-    middle, least, most = (
-        f"{value:.{digits}f}" for value in (result.middle, result.least, result.most)
+    median, minimum, maximum = (
+        f"{value:.{digits}f}"
+        for value in (result.median, result.minimum, result.maximum)
     )
-    return f"{middle} ({least} - {most})"
+    return f"{median} ({minimum} - {maximum})"
--- a/bench/slopes/traffic.py
+++ b/bench/slopes/traffic.py
@@ -86,7 +86,7 @@
     else:
         await asyncio.sleep(seconds)
     after = {role: await watch.sample(pid) for role, pid in pids.items()}
-    return {role: watch.between(before[role], after[role]) for role in pids}
+    return {role: watch.use_between(before[role], after[role]) for role in pids}
 
 
 async def run(found: argparse.Namespace) -> None:
@@ -100,7 +100,7 @@
                     measured = await measure(roles, rate, found.seconds)
                     print(f"{engines} engines, {rate:g} requests/s")
                     for role, used in measured.items():
-                        print(f"  {role}: {watch.text(used)}", flush=True)
+                        print(f"  {role}: {watch.format_use(used)}", flush=True)
 
 
 def main() -> None:
--- a/bench/slopes/watch.py
+++ b/bench/slopes/watch.py
@@ -13,7 +13,7 @@
 MIB = 2**20
 # Headers of IP and TCP with timestamps; every packet pays for them.
 PACKET_BYTES = 52
-SOCKETS = ("ss", "-t", "-i", "-n", "-p", "-H")
+SOCKET_LIST_COMMAND = ("ss", "-t", "-i", "-n", "-p", "-H")
 COUNTERS = {
     "sent": re.compile(r"\bbytes_sent:(\d+)"),
     "received": re.compile(r"\bbytes_received:(\d+)"),
@@ -65,14 +65,16 @@
 
 async def connections(pid: int) -> dict[str, Counters]:
     """Return the counters of a process's connections, as the system keeps them."""
-    asked = await asyncio.create_subprocess_exec(
-        *SOCKETS, stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.DEVNULL
+    process = await asyncio.create_subprocess_exec(
+        *SOCKET_LIST_COMMAND,
+        stdout=asyncio.subprocess.PIPE,
+        stderr=asyncio.subprocess.DEVNULL,
     )
-    output, _ = await asked.communicate()
-    return read(output.decode(), pid)
+    output, _ = await process.communicate()
+    return parse_sockets(output.decode(), pid)
 
 
-def read(output: str, pid: int) -> dict[str, Counters]:
+def parse_sockets(output: str, pid: int) -> dict[str, Counters]:
     """Read the listing: a line for each connection, then one with its counters."""
     found = {}
     lines = output.splitlines()
@@ -87,7 +89,7 @@
     return found
 
 
-def between(first: Sample, last: Sample) -> Use:
+def use_between(first: Sample, last: Sample) -> Use:
     """Return what was used between two samples."""
     seconds = last.at - first.at
     sums = dict.fromkeys(COUNTERS, 0)
@@ -107,14 +109,14 @@
     )
 
 
-async def use(pid: int, seconds: float) -> Use:
+async def measure_use(pid: int, seconds: float) -> Use:
     """Return what a process uses in the coming seconds."""
     first = await sample(pid)
     await asyncio.sleep(seconds)
-    return between(first, await sample(pid))
+    return use_between(first, await sample(pid))
 
 
-def text(found: Use) -> str:
+def format_use(found: Use) -> str:
     """Return a use as it's printed."""
     return (
         f"{found.core_percent:.2f}% of a core, "
--- a/bench/witness.py
+++ b/bench/witness.py
@@ -142,8 +142,8 @@
             print(name, seed, msgspec.json.encode(one).decode(), file=sys.stderr)
     for figure in results["with"][0]:
         for name, runs in results.items():
-            result = size.summary([one[figure] for one in runs])
-            print(f"{figure}, {name}: {size.text(result, 3)}", flush=True)
+            result = size.summarise([one[figure] for one in runs])
+            print(f"{figure}, {name}: {size.format_result(result, 3)}", flush=True)
 
 
 def main() -> None:
--- a/tests/test_slopes.py
+++ b/tests/test_slopes.py
@@ -12,23 +12,23 @@
 
 
 def sample(at: float, sent: int, out: int) -> watch.Sample:
-    found = watch.read(LISTING.format(sent=sent, out=out), 12)
+    found = watch.parse_sockets(LISTING.format(sent=sent, out=out), 12)
     return watch.Sample(at, at / 10, 3 * watch.MIB, 5, found)
 
 
 def test_a_line_goes_on_beyond_the_measured_sizes() -> None:
     line = size.fit([4, 8, 16], [11.0, 19.0, 35.0])
     assert line.slope == pytest.approx(2.0)
-    assert line.at(580) == pytest.approx(1163.0)
+    assert line.cost_at(580) == pytest.approx(1163.0)
 
 
 def test_distance_says_how_far_a_figure_is_extrapolated() -> None:
-    assert size.distance(580, [4, 8, 16]) == 36.25
-    assert size.distance(10, [4, 8, 16]) == 1.0
+    assert size.extrapolation_factor(580, [4, 8, 16]) == 36.25
+    assert size.extrapolation_factor(10, [4, 8, 16]) == 1.0
 
 
 def test_use_counts_only_the_connections_of_its_process() -> None:
-    used = watch.between(sample(10.0, 100, 1), sample(12.0, 300, 5))
+    used = watch.use_between(sample(10.0, 100, 1), sample(12.0, 300, 5))
     assert used.sent == 100.0
     assert used.wire_out == 100.0 + 2 * watch.PACKET_BYTES
     assert used.received == 0.0
@@ -37,8 +37,8 @@
 
 def test_a_new_connection_counts_from_its_start() -> None:
     first = watch.Sample(10.0, 1.0, 0, 0, {})
-    assert watch.between(first, sample(12.0, 300, 5)).sent == 150.0
+    assert watch.use_between(first, sample(12.0, 300, 5)).sent == 150.0
 
 
 def test_a_result_is_printed_with_its_ends() -> None:
-    assert size.text(size.summary([3.0, 1.0, 2.0])) == "2.0 (1.0 - 3.0)"
+    assert size.format_result(size.summarise([3.0, 1.0, 2.0])) == "2.0 (1.0 - 3.0)"
