--- a/bench/slopes/crowd.py
+++ b/bench/slopes/crowd.py
@@ -1,4 +1,4 @@
-"""Stand-in peers in one process: they beat to one instance as real ones do."""
+"""Stand-in peers in one process that send heartbeats to one instance."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class Plan(msgspec.Struct):
-    """What a process of stand-in peers is told on its standard input."""
+    """The first line on the standard input: which peers to start."""
 
     # Numbers of the peers of this process, from `first` on.
     first: int
@@ -28,7 +28,7 @@
 
 
 class Start(msgspec.Struct):
-    """The second line on the standard input: whom to beat to, and what to name."""
+    """The second line: where to send heartbeats, and the addresses they name."""
 
     watched: str
     known: tuple[str, ...]
@@ -62,12 +62,12 @@
     def ignore_heartbeat(
         self, sender: ids.InstanceId, received: messages.Heartbeat
     ) -> None:
-        """Take a heartbeat in; nothing follows from it."""
+        """Ignore a received heartbeat."""
 
     async def send_heartbeats(
         self, start: Start, interval: float, start_delay: float
     ) -> None:
-        """Beat until cancelled; now and then a heartbeat names all peers."""
+        """Send heartbeats until cancelled; at intervals one names all peers."""
         watched = endpoint.parse(start.watched)
         full = msgspec.structs.replace(self.heartbeat, known=start.known)
         await asyncio.sleep(start_delay)
@@ -90,7 +90,7 @@
 
 
 async def main() -> None:
-    """Print the addresses, then beat until the standard input is closed."""
+    """Print the addresses, then send heartbeats until standard input is closed."""
     reader = asyncio.StreamReader(limit=2**24)
     loop = asyncio.get_running_loop()
     protocol = asyncio.StreamReaderProtocol(reader)
--- a/bench/slopes/limits.py
+++ b/bench/slopes/limits.py
@@ -23,12 +23,12 @@
 TOKENS = 300.0
 WARM_SECONDS = 3
 SECONDS = 10
-# Uses of each account a second at the entry.
+# Charges per account and second at the entry.
 USES_A_SECOND = 0.1
 
 
 class RecordingMesh:
-    """Takes messages in place of a mesh, and counts them."""
+    """Replaces a mesh: records and counts the messages sent."""
 
     def __init__(self) -> None:
         self.encoder = msgspec.msgpack.Encoder()
@@ -53,7 +53,7 @@
 
 
 class Bench:
-    """An entry, and one object in the place of all homes."""
+    """An entry, and one object that stands in for all homes."""
 
     def __init__(self, instances: int, accounts: int) -> None:
         self.now = population.NOW
--- a/bench/slopes/peers.py
+++ b/bench/slopes/peers.py
@@ -17,7 +17,7 @@
 from tealcove.membership import heartbeats
 from tealcove.storage import instances
 
-# Peers of one process.
+# Stand-in peers per process.
 PEERS_PER_PROCESS = 150
 SETTLE_SECONDS = 6.0
 
@@ -30,7 +30,7 @@
         self.addresses: list[str] = []
 
     async def start(self, count: int, interval: float) -> None:
-        """Start so many peers; they listen but don't beat yet."""
+        """Start `count` peers; they listen but send no heartbeats yet."""
         for first in range(1, count + 1, PEERS_PER_PROCESS):
             process = await asyncio.create_subprocess_exec(
                 sys.executable,
@@ -52,7 +52,7 @@
         process.stdin.write(msgspec.json.encode(line) + b"\n")
 
     def send_heartbeats_to(self, watched: str) -> None:
-        """Let all peers beat to an instance from now on."""
+        """Let all peers send heartbeats to an instance from now on."""
         for process in self.processes:
             self.write_line(process, crowd.Start(watched, tuple(self.addresses)))
 
--- a/bench/slopes/polls.py
+++ b/bench/slopes/polls.py
@@ -71,7 +71,7 @@
 
 
 async def make_client(reuse: bool) -> http_engine.HttpEngineClient:
-    """Return a client; `reuse` lets it use connections again, which ours never do."""
+    """Return a client; with `reuse` it keeps connections, unlike the real client."""
     new_client = http_engine.HttpEngineClient()
     await new_client.start()
     if reuse:
--- a/bench/slopes/size.py
+++ b/bench/slopes/size.py
@@ -1,4 +1,4 @@
-"""The full size, and the arithmetic that leads from measured sizes to it."""
+"""The full deployment size, and extrapolation to it from measured sizes."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 TOKENS_A_SECOND = 7e6
 CHANGES_A_DAY = 4400.0
 SECONDS_A_DAY = 86_400.0
-# The budget of control for one instance.
+# The budget of one instance for control work.
 CORE_PERCENT = 2.4
 MEMORY_MB = 32.0
 BYTES_A_SECOND = 18_000.0
@@ -26,7 +26,7 @@
 
 
 class Line(msgspec.Struct, frozen=True):
-    """A cost that grows evenly with the size."""
+    """A cost that grows linearly with the size."""
 
     fixed: float
     slope: float
@@ -48,12 +48,12 @@
 
 
 def per_instance(total: float, instances: int = INSTANCES) -> float:
-    """Return one instance's even part of what the deployment does in all."""
+    """Return one instance's equal part of the deployment's total."""
     return total / instances
 
 
 class Result(msgspec.Struct, frozen=True):
-    """A measured cost at one size: the middle of some runs, and their ends."""
+    """A measured cost at one size: median, minimum and maximum of several runs."""
 
     median: float
     minimum: float
@@ -66,12 +66,12 @@
 
 
 def summarise(found: Sequence[float]) -> Result:
-    """Return the middle and the ends of some figures."""
+    """Return the median, minimum and maximum of some figures."""
     return Result(statistics.median(found), min(found), max(found))
 
 
 def format_result(result: Result, digits: int = 1) -> str:
-    """Return a result as it's printed."""
+    """Return a result as printed text."""
     median, minimum, maximum = (
         f"{value:.{digits}f}"
         for value in (result.median, result.minimum, result.maximum)
--- a/bench/slopes/watch.py
+++ b/bench/slopes/watch.py
@@ -11,7 +11,7 @@
 import psutil
 
 MIB = 2**20
-# Headers of IP and TCP with timestamps; every packet pays for them.
+# Bytes of the IP and TCP headers, with timestamps, of each packet.
 PACKET_BYTES = 52
 SOCKET_LIST_COMMAND = ("ss", "-t", "-i", "-n", "-p", "-H")
 COUNTERS = {
@@ -26,7 +26,7 @@
 
 
 class Sample(msgspec.Struct, frozen=True):
-    """What a process has used up to an instant; bytes by connection."""
+    """A process's resource use up to an instant; bytes by connection."""
 
     at: float
     cpu: float
@@ -36,7 +36,7 @@
 
 
 class Use(msgspec.Struct, frozen=True):
-    """What a process used in a time, a second; memory and descriptors at its end.
+    """A process's use per second in a period; memory and descriptors at its end.
 
     Bytes are those of the TCP streams; `wire` adds the headers of all packets.
     """
@@ -117,7 +117,7 @@
 
 
 def format_use(found: Use) -> str:
-    """Return a use as it's printed."""
+    """Return a use as printed text."""
     return (
         f"{found.core_percent:.2f}% of a core, "
         f"out {found.sent / 1000:.2f} and in {found.received / 1000:.2f} KB/s "
