--- a/bench/limits_cost.py
+++ b/bench/limits_cost.py
@@ -27,7 +27,9 @@
 def admission_microseconds(account_limit: limit.Limit | None) -> float:
     """Return the microseconds of admitting or refusing a request and settling it."""
     known = population.deployment(1)
-    limits = role.Limits(slope.Wire(), known, lambda _: account_limit, population.NOW)
+    limits = role.Limits(
+        slope.RecordingMesh(), known, lambda _: account_limit, population.NOW
+    )
     with contextlib.suppress(role.OverLimitError):
         limits.charge(ACCOUNT, TOKENS, population.NOW)
     started = time.process_time()
@@ -51,14 +53,14 @@
     }
     for name, kind in kinds.items():
         runs = [admission_microseconds(kind) for _ in range(arguments.runs)]
-        print(f"{name}: {size.text(size.summary(runs), 2)} us")
+        print(f"{name}: {size.format_result(size.summarise(runs), 2)} us")
     runs = [
         slope.measure(arguments.instances, arguments.accounts)
         for _ in range(arguments.runs)
     ]
     for name in ("bytes out a second", "bytes in a second"):
         each = [run[name] / arguments.accounts for run in runs]
-        print(f"{name} and account: {size.text(size.summary(each), 1)}")
+        print(f"{name} and account: {size.format_result(size.summarise(each), 1)}")
 
 
 if __name__ == "__main__":
--- a/bench/replay/__main__.py
+++ b/bench/replay/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m bench.replay`: print and plot what callers get at several loads."""
+"""`python -m bench.replay`: print and plot the worth earned at several loads."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 import cappa
 import matplotlib
 
-from bench.replay import mix, play, tally
+from bench.replay import mix, simulation, tally
 
 matplotlib.use("Agg")
 
@@ -27,18 +27,18 @@
     loads: Annotated[str, cappa.Arg(long=True)] = LOADS
     seeds: Annotated[str, cappa.Arg(long=True)] = SEEDS
     seconds: Annotated[float, cappa.Arg(long=True)] = 30.0
-    # A picture of the worth by load is written there.
+    # File to which a plot of the worth by load is written.
     plot: Annotated[pathlib.Path | None, cappa.Arg(long=True)] = None
 
 
 def run(arguments: Arguments) -> None:
-    """Play, print a line a run and kind, and plot."""
+    """Simulate, print a line for each run and kind, and plot."""
     shares: dict[str, list[tuple[float, float]]] = {}
     for name in arguments.mixes.split(","):
         found = mix.MIXES[name]
         for load in map(float, arguments.loads.split(",")):
             worth = [
-                one(found, load, arguments.seconds, int(seed))
+                play_one(found, load, arguments.seconds, int(seed))
                 for seed in arguments.seeds.split(",")
             ]
             mean = sum(worth) / len(worth)
@@ -48,15 +48,18 @@
         plot(shares, arguments.plot)
 
 
-def one(found: mix.Mix, load: float, seconds: float, seed: int) -> float:
-    """Play and print one run; return the part of the worth that was earned."""
+def play_one(found: mix.Mix, load: float, seconds: float, seed: int) -> float:
+    """Simulate and print one run; return the part of the worth that was earned."""
     requests = mix.draw(found, load, seconds, seed)
-    outcome = play.Play(found, requests).run()
+    outcome = simulation.Simulation(found, requests).run()
     sums = tally.sums(outcome)
     title = f"{found.name} {load:g} seed {seed}"
     for name, one in {"all": sums.whole, **sums.kinds, **sums.sizes}.items():
-        ends = ", ".join(f"{one.ends[end]} {end.value}" for end in play.End)
-        held, again = one.held / one.owed, one.again / one.owed
+        ends = ", ".join(f"{one.ends[end]} {end.value}" for end in simulation.End)
+        held, again = (
+            one.wasted_wait_worth / one.total_worth,
+            one.refused_again_worth / one.total_worth,
+        )
         print(f"  {title} {name:16} {ends}, worth {one.share():.3f}", end="")
         print(f", {held:.3f} waited in vain, {again:.3f} refused again")
     read = sum(batch.read_tokens for batch in outcome.batches)
@@ -65,13 +68,13 @@
     part = busy / (outcome.seconds * len(outcome.batches))
     print(
         f"    engines busy {part:.2f}, {wasted / max(1, read):.3f} of prompts in vain,"
-        f" mark {sums.mark():.3f}, bound {tally.bound(found, requests, seconds):.3f}"
+        f" mark {sums.score():.3f}, bound {tally.bound(found, requests, seconds):.3f}"
     )
     return sums.whole.share()
 
 
 def plot(shares: dict[str, list[tuple[float, float]]], path: pathlib.Path) -> None:
-    """Draw the worth by load, a line a mix."""
+    """Plot the worth by load, with one line for each mix."""
     figure, axes = pyplot.subplots()
     for name, points in shares.items():
         axes.plot(*zip(*points, strict=True), marker="o", label=name)
--- a/bench/slopes/crowd.py
+++ b/bench/slopes/crowd.py
@@ -1,4 +1,4 @@
-"""Stand-in peers in one process: they beat to one instance as real ones do."""
+"""Stand-in peers in one process that send heartbeats to one instance."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class Plan(msgspec.Struct):
-    """What a process of stand-in peers is told on its standard input."""
+    """The first line on the standard input: which peers to start."""
 
     # Numbers of the peers of this process, from `first` on.
     first: int
@@ -28,7 +28,7 @@
 
 
 class Start(msgspec.Struct):
-    """The second line on the standard input: whom to beat to, and what to name."""
+    """The second line: where to send heartbeats, and the addresses they name."""
 
     watched: str
     known: tuple[str, ...]
@@ -47,7 +47,7 @@
         # Hundreds of contexts would each have threads of their own.
         self.mesh.context = context
         self.mesh.plain_context = zmq.Context.shadow(context.underlying)
-        self.mesh.handle(messages.Heartbeat, self.take)
+        self.mesh.handle(messages.Heartbeat, self.ignore_heartbeat)
 
     async def start(self) -> None:
         """Listen."""
@@ -59,19 +59,25 @@
             revision=ids.Revision(0),
         )
 
-    def take(self, sender: ids.InstanceId, received: messages.Heartbeat) -> None:
-        """Take a heartbeat in; nothing follows from it."""
+    def ignore_heartbeat(
+        self, sender: ids.InstanceId, received: messages.Heartbeat
+    ) -> None:
+        """Ignore a received heartbeat."""
 
-    async def beat(self, start: Start, interval: float, lag: float) -> None:
-        """Beat until cancelled; now and then a heartbeat names all peers."""
+    async def send_heartbeats(
+        self, start: Start, interval: float, start_delay: float
+    ) -> None:
+        """Send heartbeats until cancelled; at intervals one names all peers."""
         watched = endpoint.parse(start.watched)
         full = msgspec.structs.replace(self.heartbeat, known=start.known)
-        await asyncio.sleep(lag)
-        left = 0.0
+        await asyncio.sleep(start_delay)
+        until_known = 0.0
         while True:
-            with_known = left <= 0.0
+            with_known = until_known <= 0.0
             if self.mesh.send(watched, full if with_known else self.heartbeat):
-                left = heartbeats.KNOWN_INTERVAL if with_known else left - interval
+                until_known = (
+                    heartbeats.KNOWN_INTERVAL if with_known else until_known - interval
+                )
             await asyncio.sleep(interval)
 
 
@@ -84,7 +90,7 @@
 
 
 async def main() -> None:
-    """Print the addresses, then beat until the standard input is closed."""
+    """Print the addresses, then send heartbeats until standard input is closed."""
     reader = asyncio.StreamReader(limit=2**24)
     loop = asyncio.get_running_loop()
     protocol = asyncio.StreamReaderProtocol(reader)
@@ -99,7 +105,9 @@
     start = msgspec.json.decode(await read_line(reader), type=Start)
     beats = [
         asyncio.create_task(
-            peer.beat(start, plan.interval, plan.interval * number / plan.count)
+            peer.send_heartbeats(
+                start, plan.interval, plan.interval * number / plan.count
+            )
         )
         for number, peer in enumerate(peers)
     ]
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -7,19 +7,21 @@
 
 import msgspec
 import pytest
-from bench.replay import mix, play, tally
+from bench.replay import mix, simulation, tally
 
 from tealcove.dispatch import goal
 
 SECONDS = 6.0
 
 
-def play_run(load: float, seed: int = 1, found: mix.Mix = mix.LABELS) -> play.Outcome:
+def play_run(
+    load: float, seed: int = 1, found: mix.Mix = mix.LABELS
+) -> simulation.Outcome:
     """Simulate a short run."""
-    return play.Play(found, mix.draw(found, load, SECONDS, seed)).run()
+    return simulation.Simulation(found, mix.draw(found, load, SECONDS, seed)).run()
 
 
-def summary(outcome: play.Outcome) -> list[tuple[int, play.End | None]]:
+def summary(outcome: simulation.Outcome) -> list[tuple[int, simulation.End | None]]:
     """Return how each request ended."""
     return [(caller.number, caller.end) for caller in outcome.callers]
 
@@ -32,7 +34,7 @@
 @pytest.mark.parametrize("found", mix.MIXES.values())
 def test_every_request_ends_and_a_normal_load_is_served(found: mix.Mix) -> None:
     assert all(caller.end is not None for caller in play_run(0.7, found=found).callers)
-    outcome = play_run(0.7, found=mix.calm(found))
+    outcome = play_run(0.7, found=mix.without_incidents(found))
     assert all(caller.end is not None for caller in outcome.callers)
     assert tally.sums(outcome).whole.share() > 0.95
 
@@ -42,7 +44,7 @@
     shares = [sums.kinds[kind.name].share() for kind in mix.LABELS.kinds]
     assert shares == sorted(shares, reverse=True)
     # At 2.2 times the load no request waits long without being served.
-    assert tally.sums(play_run(4.0)).whole.held > 0.0
+    assert tally.sums(play_run(4.0)).whole.wasted_wait_worth > 0.0
 
 
 def test_a_refused_caller_does_not_wait() -> None:
@@ -52,22 +54,22 @@
     counted as waiting until then, so that 0.6 to 0.8 of a kind's worth seemed to wait
     in vain, although it was refused early.
     """
-    found = mix.ranked(mix.LABELS)
+    found = mix.with_tiers(mix.LABELS)
     for caller in play_run(2.2, found=found).callers:
-        wait = caller.request.kind.deadline - caller.held
+        wait = caller.request.kind.deadline - caller.wait_seconds
         assert wait > -1e-6
-        assert not (caller.is_away and caller.end is play.End.LEFT)
+        assert not (caller.is_between_tries and caller.end is simulation.End.LEFT)
 
 
 def test_no_engine_works_on_more_than_its_slots() -> None:
-    run = play.Play(mix.LABELS, mix.draw(mix.LABELS, 2.2, SECONDS, 1))
+    run = simulation.Simulation(mix.LABELS, mix.draw(mix.LABELS, 2.2, SECONDS, 1))
     most = dict.fromkeys(run.batches, 0)
     submit = run.submit
 
-    def watch(caller: play.Caller) -> None:
+    def watch(caller: simulation.Caller) -> None:
         submit(caller)
         batch = run.batches[caller.server]
-        most[caller.server] = max(most[caller.server], len(batch.works))
+        most[caller.server] = max(most[caller.server], len(batch.running))
 
     run.submit = watch
     run.run()
@@ -89,7 +91,7 @@
     many = mix.Mix("many", kinds, mix.engines(fast=20, slow=10))
     decides = goal.GoalScheduler()
     call_count = count_calls(decides, "refuse_too_late")
-    outcome = play.Play(many, mix.draw(many, 2.2, 2.0, 1), decides).run()
+    outcome = simulation.Simulation(many, mix.draw(many, 2.2, 2.0, 1), decides).run()
     # 2.1 calls for each request if each event scans the queue, .5 without.
     assert call_count() < len(outcome.callers)
 
@@ -116,10 +118,10 @@
     requests already queued, so that each waiting one seemed to be next.
     """
     requests = mix.draw(mix.LABELS, 2.2, 2 * SECONDS, 3)
-    sums = tally.sums(play.Play(mix.LABELS, requests).run())
+    sums = tally.sums(simulation.Simulation(mix.LABELS, requests).run())
     # .144 without the arrivals in the forecast, .041 with them; the total worth is
     # the same.
-    assert sums.kinds["notes"].held / sums.kinds["notes"].owed < 0.1
+    assert sums.kinds["notes"].wasted_wait_worth / sums.kinds["notes"].total_worth < 0.1
     assert sums.whole.share() > 0.84
 
 
@@ -131,18 +133,18 @@
     the duration of each request at the fastest engine, and thus slots that would
     never be free.
     """
-    found = mix.ranked(mix.LABELS)
-    sums = tally.sums(play.Play(found, mix.draw(found, 1.9, 30.0, 1)).run())
+    found = mix.with_tiers(mix.LABELS)
+    sums = tally.sums(simulation.Simulation(found, mix.draw(found, 1.9, 30.0, 1)).run())
     # .074 with the time of the fastest engine, .037 with that of all; .62 is earned
     # either way.
-    assert sums.whole.held / sums.whole.owed < 0.05
+    assert sums.whole.wasted_wait_worth / sums.whole.total_worth < 0.05
     assert sums.whole.share() > 0.6
 
 
 def overloaded(seed: int) -> tally.Sums:
     """Return the sums of a run with short goals at 1.25 times the capacity."""
     requests = mix.draw(mix.STATEMENTS, 1.25, 34.0, seed)
-    return tally.sums(play.Play(mix.STATEMENTS, requests).run())
+    return tally.sums(simulation.Simulation(mix.STATEMENTS, requests).run())
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
@@ -155,7 +157,7 @@
     """
     sums = overloaded(seed)
     # Served in time: .04 to .06 by urgency alone, .43 to .47 by fair shares.
-    assert sums.kinds["tag"].part(play.End.IN_AIM) > 0.35
+    assert sums.kinds["tag"].part(simulation.End.WITHIN_GOAL) > 0.35
     # More urgent kinds are served at least as well.
     shares = [sums.kinds[kind.name].share() for kind in mix.STATEMENTS.kinds]
     assert shares[0] > shares[1] > shares[2] - 0.05
@@ -173,11 +175,14 @@
     first, too late for their callers, instead of first attempts that could be in time.
     """
     sums = overloaded(seed)
-    served = sums.whole.ends[play.End.IN_AIM] + sums.whole.ends[play.End.LATE]
+    served = (
+        sums.whole.ends[simulation.End.WITHIN_GOAL]
+        + sums.whole.ends[simulation.End.LATE]
+    )
     # Of the served ones, .30 to .38 by ranks alone, .20 to .22 if first attempts are
     # known.
-    assert sums.whole.ends[play.End.LATE] / served < 0.25
+    assert sums.whole.ends[simulation.End.LATE] / served < 0.25
     # Of all worth, .51 to .55 by ranks alone, .63 to .66 if first attempts are known.
     assert sums.whole.share() > 0.58
     # Worth that waits in vain: .012 to .014 by ranks alone, .011 to .012 otherwise.
-    assert sums.whole.held / sums.whole.owed < 0.02
+    assert sums.whole.wasted_wait_worth / sums.whole.total_worth < 0.02
