--- a/bench/baselines.py
+++ b/bench/baselines.py
@@ -1,4 +1,4 @@
-"""Policies to compare with: each grants at once, and knows no tiers."""
+"""Baseline policies, which grant every ticket at once and ignore tiers."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Server(msgspec.Struct):
-    """A backend server and its last load report."""
+    """A backend server, its last load report and its reachability."""
 
     spec: kinds.BackendServerSpec
     load: engine.LoadReport | None = None
@@ -29,15 +29,15 @@
         """The server's name."""
         return ids.BackendServerId(self.spec.name)
 
-    def takes_work(self) -> bool:
-        """Tell whether the server is there; how busy it is doesn't matter."""
-        wanted = self.spec.state is kinds.ServerState.SERVING
-        leaving = self.load is not None and self.load.state == "leaving"
-        return wanted and self.reachable and not leaving
+    def is_available(self) -> bool:
+        """Return whether the server is serving and reachable, whatever its load."""
+        is_serving = self.spec.state is kinds.ServerState.SERVING
+        is_leaving = self.load is not None and self.load.state == "leaving"
+        return is_serving and self.reachable and not is_leaving
 
 
 class ImmediateScheduler(scheduler.Scheduler):
-    """Grants every ticket at once and leaves the waiting to the engines."""
+    """Grants every ticket at once, so that requests queue in the engines."""
 
     def __init__(self) -> None:
         self.servers: dict[ids.BackendServerId, Server] = {}
@@ -45,7 +45,7 @@
 
     @abc.abstractmethod
     def choose(self, servers: list[Server]) -> Server:
-        """Return one of the servers, of which there is at least one."""
+        """Return one of the servers; the list is never empty."""
 
     def configure(self, cell: cells.Cell, now: ids.Instant) -> list[scheduler.Outgoing]:
         """See Scheduler."""
@@ -63,22 +63,24 @@
         """See Scheduler."""
         if ticket.running_on is not None:
             return []
-        return [scheduler.Outgoing(ticket.entry, self.answer(ticket))]
+        return [scheduler.Outgoing(ticket.entry, self.grant_or_refuse(ticket))]
 
-    def answer(self, ticket: messages.Ticket) -> messages.Grant | messages.Refusal:
-        """Return a grant, or a refusal when no server is there."""
-        found = [
+    def grant_or_refuse(
+        self, ticket: messages.Ticket
+    ) -> messages.Grant | messages.Refusal:
+        """Return a grant, or a refusal when no server is available."""
+        available = [
             server
             for server in self.servers.values()
-            if server.takes_work() and server.name not in ticket.excluded
+            if server.is_available() and server.name not in ticket.excluded
         ]
-        if not found:
+        if not available:
             return messages.Refusal(
                 ticket_id=ticket.ticket_id,
                 reason=messages.RefusalReason.NO_BACKEND_SERVER,
                 retry_after=RETRY_AFTER,
             )
-        chosen = self.choose(found)
+        chosen = self.choose(available)
         return messages.Grant(
             ticket_id=ticket.ticket_id,
             cell=ticket.cell,
@@ -131,7 +133,7 @@
 
 
 class RandomScheduler(ImmediateScheduler):
-    """Any server, by chance."""
+    """Chooses a random server."""
 
     def choose(self, servers: list[Server]) -> Server:
         """See ImmediateScheduler."""
@@ -139,7 +141,7 @@
 
 
 class RoundRobinScheduler(ImmediateScheduler):
-    """One server after the other."""
+    """Chooses the servers in turn."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -151,7 +153,7 @@
 
 
 class LeastLoadScheduler(ImmediateScheduler):
-    """The server whose last report says the least work per slot."""
+    """Chooses the server with the least reported work per slot."""
 
     def choose(self, servers: list[Server]) -> Server:
         """See ImmediateScheduler."""
@@ -160,7 +162,7 @@
 
 
 def load_per_slot(server: Server) -> float:
-    """Return the reported work by slot; a server without a report has none."""
+    """Return the reported requests per slot; 0 for a server without a report."""
     if server.load is None:
         return 0.0
     return (server.load.running + server.load.waiting) / server.load.slots
--- a/bench/dispatch_cost.py
+++ b/bench/dispatch_cost.py
@@ -17,29 +17,29 @@
 SLOTS = 8
 ACCOUNTS = 5
 PREFIX = tuple(range(32))
-# A ticket of the queue, and one that comes and goes while it is measured.
+# Remaining seconds of each ticket; none expires during a measurement.
 DEADLINE = 3600.0
 TICK_SECONDS = 0.05
-# Requests a second of a cell, for the share of a core.
-RATE = 100.0
+# Requests per second of a cell, for the share of a core.
+REQUEST_RATE = 100.0
 
 
-def open_cell() -> fair.FairScheduler:
-    """Return a scheduler of a full-sized cell."""
+def create_scheduler() -> fair.FairScheduler:
+    """Return the scheduler of a cell with SERVERS servers."""
     servers = tuple(
         kinds.BackendServerSpec(
             name=f"s{n}", host="127.0.0.1", port=9000, data_centre="dc", slots=SLOTS
         )
         for n in range(SERVERS)
     )
-    found = fair.FairScheduler()
+    created = fair.FairScheduler()
     cell = cells.Cell(CELL, ids.PoolId("engines"), servers, 0.25, 256)
-    found.configure(cell, ids.Instant(0.0))
-    return found
+    created.configure(cell, ids.Instant(0.0))
+    return created
 
 
 def ticket(number: int, remaining: float = DEADLINE) -> messages.Ticket:
-    """Return a ticket, in turn of each tier and account."""
+    """Return a ticket; tiers and accounts alternate with its number."""
     return messages.Ticket(
         ticket_id=ids.TicketId(f"tkt-{number}"),
         request_id=ids.RequestId(f"req-{number}"),
@@ -55,8 +55,8 @@
     )
 
 
-def done(grant: messages.Grant) -> messages.Done:
-    """Return the end of a granted request."""
+def completion(grant: messages.Grant) -> messages.Done:
+    """Return the message that a granted request is completed."""
     return messages.Done(
         ticket_id=grant.ticket_id,
         cell=CELL,
@@ -70,69 +70,69 @@
     )
 
 
-class Run:
+class FullCell:
     """A cell whose slots are all taken, with a queue of constant length."""
 
     def __init__(self, queued: int) -> None:
-        self.scheduler = open_cell()
+        self.scheduler = create_scheduler()
         self.now = 0.0
         self.grants: list[messages.Grant] = []
         self.numbers = iter(range(10**9))
         for _ in range(SERVERS * SLOTS + queued):
-            self.arrive()
+            self.enqueue_ticket()
 
-    def take(self, outgoing: list) -> None:
-        """Remember the grants."""
+    def collect_grants(self, outgoing: list) -> None:
+        """Record the grants among outgoing messages."""
         for out in outgoing:
             if isinstance(out.message, messages.Grant):
                 self.grants.append(out.message)
 
-    def arrive(self) -> None:
-        """Let a ticket come."""
+    def enqueue_ticket(self) -> None:
+        """Enqueue a new ticket."""
         arriving = ticket(next(self.numbers))
-        self.take(self.scheduler.enqueue(arriving, ids.Instant(self.now)))
+        self.collect_grants(self.scheduler.enqueue(arriving, ids.Instant(self.now)))
 
-    def end(self) -> None:
-        """Let the oldest running request end."""
-        ended = done(self.grants.pop(0))
-        self.take(self.scheduler.done(ended, ids.Instant(self.now)))
+    def complete_oldest(self) -> None:
+        """Complete the oldest running request."""
+        ended = completion(self.grants.pop(0))
+        self.collect_grants(self.scheduler.done(ended, ids.Instant(self.now)))
 
     def step(self) -> None:
-        """One request's whole way: it comes, another one ends."""
-        self.now += 1.0 / RATE
-        self.arrive()
-        self.end()
+        """Enqueue a ticket and complete a running request."""
+        self.now += 1.0 / REQUEST_RATE
+        self.enqueue_ticket()
+        self.complete_oldest()
 
     def tick(self) -> None:
-        """Let the scheduler see time pass; each fifth tick reviews all servers."""
+        """Advance the time by one tick; each fifth tick reviews all servers."""
         self.now += TICK_SECONDS
         self.scheduler.tick(ids.Instant(self.now))
 
 
-def measure(act: Callable[[], None], count: int) -> float:
-    """Return the mean microseconds of the processor that a step takes."""
+def measure(step: Callable[[], None], count: int) -> float:
+    """Return the mean processor time of a step in microseconds."""
     began = time.process_time()
     for _ in range(count):
-        act()
+        step()
     return (time.process_time() - began) / count * 1e6
 
 
 def main() -> None:
-    """Print a line for each length of the queue."""
+    """Print a line for each queue length."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--count", type=int, default=2000)
     parser.add_argument("--repeats", type=int, default=3)
     parser.add_argument("--queued", type=int, nargs="+", default=[0, 100, 1000, 10000])
-    found = parser.parse_args()
+    arguments = parser.parse_args()
     print("queued  us a ticket  (least - most)  us a tick  % of a core at 100/s")
-    for queued in found.queued:
+    for queued in arguments.queued:
         tickets, ticks = [], []
-        for _ in range(found.repeats):
-            run = Run(queued)
-            tickets.append(measure(run.step, found.count))
-            ticks.append(measure(run.tick, 100))
+        for _ in range(arguments.repeats):
+            cell_run = FullCell(queued)
+            tickets.append(measure(cell_run.step, arguments.count))
+            ticks.append(measure(cell_run.tick, 100))
         each, tick = statistics.median(tickets), statistics.median(ticks)
-        share = (each * RATE + tick / TICK_SECONDS) / 1e6 * 100
+        share = (each * REQUEST_RATE + tick / TICK_SECONDS) / 1e6 * 100
         print(
             f"{queued:6}  {each:11.1f}  ({min(tickets):.1f} - {max(tickets):.1f})"
             f"  {tick:9.1f}  {share:.2f}"
--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -1,4 +1,4 @@
-"""A plan's deployment as separate processes."""
+"""Runs a plan's deployment as separate processes."""
 
 from __future__ import annotations
 
@@ -15,12 +15,13 @@
 from tealcove import bearer
 from tealcove.resources import kinds
 
-# A step of an engine stand-in; more steps cost more processor time than they tell.
+# Step length of an engine stand-in; shorter steps cost more processor time
+# than the added precision is worth.
 TICK_SECONDS = 0.01
 CRASH_MARKER = "crash-marker"
 ENTRY_POINTS_TTL = 2.0
 SERVICE_SLOTS = 16
-CALLER_KEY = "caller-key"
+BEARER_KEY_PREFIX = "caller-key"
 
 POLICIES = {
     "tealcove": "bench.tap:TappedFairScheduler",
@@ -31,10 +32,10 @@
 
 
 class EngineProcess(deployment.Process):
-    """An engine stand-in that counts by prompt too."""
+    """The process of an engine stand-in that also counts by prompt."""
 
     async def start(self, log: pathlib.Path) -> None:
-        """Start it; its output is appended to a log file."""
+        """Start the process and append its output to a log file."""
         with log.open("ab") as sink:
             self.process = await asyncio.create_subprocess_exec(
                 sys.executable,
@@ -48,7 +49,7 @@
 
 
 class LogLine(msgspec.Struct):
-    """What is read of a line of an instance's log."""
+    """The fields read from a line of an instance's log."""
 
     channel: str
     message: str
@@ -56,7 +57,7 @@
 
 
 class Announcement(msgspec.Struct):
-    """What is read of an engine's last line."""
+    """The fields read from an engine's announcement, which it prints on a crash."""
 
     event: str
     counts: engine.Counts | None = None
@@ -70,24 +71,24 @@
         folder: pathlib.Path,
         plan: plans.Plan,
         policy: str,
-        more: dict[str, object] | None = None,
+        instance_settings: dict[str, object] | None = None,
     ) -> None:
         super().__init__(folder)
         self.plan = plan
         self.policy = policy
-        self.more = more or {}
-        # Of the engines' slots, which long work can't take.
+        self.instance_settings = instance_settings or {}
+        # Share of the engines' slots that is reserved for short requests.
         self.short_share = plan.short_share
         self.data_centres: dict[str, str] = {}
 
     async def start_all(self) -> None:
-        """Start all processes, declare the resources, wait until all serve."""
-        for found in self.plan.engines:
-            await self.add_planned_engine(found)
+        """Start all processes, declare the resources and wait until all serve."""
+        for planned in self.plan.engines:
+            await self.add_planned_engine(planned)
         for number in range(self.plan.services):
             await self.add_service(slots=SERVICE_SLOTS)
             name = self.services[-1].name
-            self.data_centres[name] = self.cycle(number)
+            self.data_centres[name] = self.data_centre_for(number)
         await self.declare_plan()
         for number in range(self.instance_count()):
             await self.add_planned_instance(number)
@@ -98,14 +99,14 @@
         await self.wait_for_members()
 
     def instance_count(self) -> int:
-        """Return how many instances the plan has."""
+        """Return the plan's number of instances."""
         return len(self.plan.data_centres) * self.plan.instances_per_data_centre
 
-    def cycle(self, number: int) -> str:
+    def data_centre_for(self, number: int) -> str:
         """Return the data centre of the process with this number."""
         return self.plan.data_centres[number % len(self.plan.data_centres)]
 
-    async def add_planned_engine(self, found: plans.Engine) -> None:
+    async def add_planned_engine(self, planned: plans.Engine) -> None:
         """Start an engine of the plan."""
         number = len(self.engines)
         name = f"engine-{number}"
@@ -114,10 +115,11 @@
             "name": name,
             "host": host,
             "port": deployment.HTTP_PORT,
-            "generation": found.generation,
-            "slots": found.slots,
-            "prefill_tokens_per_second": plans.PREFILL_TOKENS_PER_SECOND * found.speed,
-            "decode_seconds_per_token": plans.DECODE_SECONDS_PER_TOKEN / found.speed,
+            "generation": planned.generation,
+            "slots": planned.slots,
+            "prefill_tokens_per_second": plans.PREFILL_TOKENS_PER_SECOND
+            * planned.speed,
+            "decode_seconds_per_token": plans.DECODE_SECONDS_PER_TOKEN / planned.speed,
             "batch_slowdown": plans.BATCH_SLOWDOWN,
             "cache_blocks": self.plan.cache_blocks,
             "tick_seconds": TICK_SECONDS,
@@ -127,7 +129,7 @@
         }
         path = self.write(name, content)
         started = EngineProcess(name, [path], host, deployment.HTTP_PORT)
-        self.data_centres[name] = found.data_centre
+        self.data_centres[name] = planned.data_centre
         self.engines.append(started)
         await self.start(started)
 
@@ -141,13 +143,13 @@
             }
             for name in names
         ]
-        found = {
-            "data_centre": self.cycle(number),
+        settings = {
+            "data_centre": self.data_centre_for(number),
             "data_centres": centres,
             "dispatch": {"policy": POLICIES.get(self.policy, self.policy)},
             "shutdown": {"entry_points_ttl": ENTRY_POINTS_TTL},
         }
-        await self.add_instance(**{**found, **self.more})
+        await self.add_instance(**{**settings, **self.instance_settings})
 
     async def declare_plan(self) -> None:
         """Declare the plan's tiers, accounts, pools and rules."""
@@ -156,7 +158,7 @@
             spec = kinds.ServiceTierSpec(rank=rank)
             await self.put(kinds.Kind.SERVICE_TIER, tier, spec)
         for account in plan.accounts:
-            key_hash = bearer.hash_key(key_of(account.name))
+            key_hash = bearer.hash_key(bearer_key(account.name))
             spec = kinds.ClientAccountSpec(tier=account.tier, key_hashes=(key_hash,))
             await self.put(kinds.Kind.CLIENT_ACCOUNT, account.name, spec)
         await self.put(kinds.Kind.MODEL, "m", kinds.ModelSpec(version="1"))
@@ -176,19 +178,22 @@
         rule = kinds.RoutingRuleSpec(pool="services", path_prefix=plan.service_path)
         await self.put(kinds.Kind.ROUTING_RULE, "services", rule)
         rule = kinds.RoutingRuleSpec(
-            order=10, pool="services", path_prefix=plan.once_path, idempotent=False
+            order=10,
+            pool="services",
+            path_prefix=plan.non_idempotent_path,
+            idempotent=False,
         )
         await self.put(kinds.Kind.ROUTING_RULE, "once", rule)
 
     def engine_slots(self) -> list[int]:
         """Return the slots of each engine."""
-        return [found.slots for found in self.plan.engines]
+        return [planned.slots for planned in self.plan.engines]
 
     def planned_servers(
         self, processes: list[deployment.Process], slots: list[int]
     ) -> tuple[kinds.BackendServerSpec, ...]:
         """Return the specs of backend servers in their data centres."""
-        generations = [found.generation for found in self.plan.engines]
+        generations = [planned.generation for planned in self.plan.engines]
         return tuple(
             kinds.BackendServerSpec(
                 name=process.name,
@@ -204,7 +209,7 @@
         )
 
     async def crash_engine(self, number: int) -> None:
-        """Let an engine die by a prompt sent straight to it."""
+        """Crash an engine with a prompt sent directly to it."""
         body = {"model": "m", "prompt": CRASH_MARKER, "max_tokens": 1}
         url = f"{self.engines[number].url}/v1/completions"
         headers = {"X-Request-Id": CRASH_MARKER}
@@ -213,50 +218,54 @@
 
     async def engine_counts(self) -> list[engine.Counts]:
         """Return the counts of all engines, also of those that crashed."""
-        found = []
+        all_counts = []
         for process in self.engines:
             if process.process.returncode is None:
                 counts = await self.counts(process)
-                found.append(msgspec.convert(counts, engine.Counts))
-            found.extend(self.counts_at_crash(process))
-        return found
+                all_counts.append(msgspec.convert(counts, engine.Counts))
+            all_counts.extend(self.counts_at_crash(process))
+        return all_counts
 
     async def call_counts(self) -> list[dict[str, int]]:
-        """Return how often each caller's call arrived at each plain service."""
-        found = []
+        """Return how often each call arrived, for each plain service."""
+        all_counts = []
         for process in self.services:
             calls = (await self.counts(process))["calls"]
             marker = f" {self.plan.service_path}"
-            found.append({name: n for name, n in calls.items() if marker in name})
-        return found
+            all_counts.append({name: n for name, n in calls.items() if marker in name})
+        return all_counts
 
     def counts_at_crash(self, process: deployment.Process) -> list[engine.Counts]:
-        """Return what an engine told when it crashed."""
+        """Return the counts that an engine announced when it crashed."""
         text = (self.folder / f"{process.name}.log").read_bytes()
         lines = [line for line in text.splitlines() if line.startswith(b'{"event"')]
-        told = [msgspec.json.decode(line, type=Announcement) for line in lines]
-        return [one.counts for one in told if one.counts is not None]
+        announcements = [msgspec.json.decode(line, type=Announcement) for line in lines]
+        return [
+            announcement.counts
+            for announcement in announcements
+            if announcement.counts is not None
+        ]
 
     def log_lines(self) -> list[LogLine]:
-        """Return the lines that the instances logged."""
-        found = []
+        """Return the parsed log lines of all instances."""
+        lines = []
         for instance in self.instances:
             text = (self.folder / f"{instance.name}.log").read_bytes()
             for line in text.splitlines():
                 if line.startswith(b"{"):
-                    found.append(msgspec.json.decode(line, type=LogLine))
-        return found
+                    lines.append(msgspec.json.decode(line, type=LogLine))
+        return lines
 
-    def notes(self) -> list[tap.Note]:
-        """Return what the tapped schedulers noted."""
+    def scheduler_records(self) -> list[tap.Record]:
+        """Return the records that the tapped schedulers logged."""
         return [
-            msgspec.json.decode(line.message, type=tap.Note)
+            msgspec.json.decode(line.message, type=tap.Record)
             for line in self.log_lines()
             if line.channel == tap.CHANNEL
         ]
 
-    def complaints(self) -> list[str]:
-        """Return the instances' warnings and errors."""
+    def warnings_and_errors(self) -> list[str]:
+        """Return the warnings and errors that the instances logged."""
         return [
             f"{line.channel}: {line.message}"
             for line in self.log_lines()
@@ -264,20 +273,20 @@
         ]
 
     def cpu_seconds(self) -> dict[str, float]:
-        """Return the processor time that each running process has spent."""
-        found = {}
+        """Return each running process's processor time in seconds."""
+        spent = {}
         for name, process in self.processes.items():
             if process.process is None or process.process.returncode is not None:
                 continue
             times = psutil.Process(process.process.pid).cpu_times()
-            found[name] = times.user + times.system
-        return found
+            spent[name] = times.user + times.system
+        return spent
 
-    def leave(self, number: int) -> None:
+    def drain_instance(self, number: int) -> None:
         """Ask an instance to leave gracefully."""
         self.instances[number].send(signal.SIGTERM)
 
 
-def key_of(account: str) -> str:
+def bearer_key(account: str) -> str:
     """Return an account's bearer key."""
-    return f"{CALLER_KEY}-{account}"
+    return f"{BEARER_KEY_PREFIX}-{account}"
--- a/bench/report.py
+++ b/bench/report.py
@@ -1,4 +1,4 @@
-"""Tables and a plot from the results of `bench.policy` and `bench.cost`."""
+"""Writes tables and a plot of the results of `bench.policy` and `bench.cost`."""
 
 from __future__ import annotations
 
@@ -15,66 +15,66 @@
 from bench import cost, fleet, load, plans, policy, score
 
 PAGE = "docs/MEASUREMENTS.md"
-OWN = "tealcove"
+OWN_POLICY = "tealcove"
 
 Results = list[load.Result]
 
 
-def read(path: str, label: str) -> Results:
+def read_results(path: str, label: str) -> Results:
     """Return the results of one revision."""
-    found = msgspec.json.decode(
-        pathlib.Path(path).read_bytes(), type=list[policy.Labelled]
+    labelled = msgspec.json.decode(
+        pathlib.Path(path).read_bytes(), type=list[policy.LabelledResult]
     )
-    return [one.result for one in found if one.label == label]
+    return [one.result for one in labelled if one.label == label]
 
 
-def select(results: Results, **wanted: object) -> Results:
-    """Return the results whose run has these values."""
+def select(results: Results, **criteria: object) -> Results:
+    """Return the results whose run has the given field values."""
     return [
         result
         for result in results
-        if all(getattr(result.run, name) == value for name, value in wanted.items())
+        if all(getattr(result.run, name) == value for name, value in criteria.items())
     ]
 
 
-def wasted(result: load.Result) -> float:
-    """Return the wasted part of the prefill computed."""
+def wasted_share(result: load.Result) -> float:
+    """Return the share of computed prefill tokens that was wasted."""
     return result.prefill_wasted / max(1, result.prefill_tokens)
 
 
-def of_bound(result: load.Result) -> float:
-    """Return the good work as a part of its bound."""
+def share_of_bound(result: load.Result) -> float:
+    """Return the good work as a fraction of its bound."""
     return result.work / result.bound if result.bound else 1.0
 
 
 def tier_goodput(results: Results, tier: str) -> str:
-    """Return the spread of one tier's goodput."""
+    """Return the mean and range of one tier's goodput."""
     return score.spread(r.goodput[tier].value for r in results if tier in r.goodput)
 
 
 def row(cells: Iterable[str]) -> str:
-    """Return a line of a table."""
+    """Return a row of a Markdown table."""
     return "| " + " | ".join(cells) + " |\n"
 
 
 def header(names: list[str]) -> str:
-    """Return the first two lines of a table."""
+    """Return the header lines of a Markdown table."""
     return row(names) + row(["---"] * len(names))
 
 
-def cells(results: Results, plan: plans.Plan) -> list[str]:
-    """Return the columns that all tables of runs share."""
+def run_cells(results: Results, plan: plans.Plan) -> list[str]:
+    """Return the cells of the columns that all tables of runs share."""
     return [
         *(tier_goodput(results, tier) for tier in plan.tiers),
-        score.spread(of_bound(result) for result in results),
-        score.spread(wasted(result) for result in results),
+        score.spread(share_of_bound(result) for result in results),
+        score.spread(wasted_share(result) for result in results),
         str(sum(result.second_dispatches for result in results)),
         str(sum(result.unanswered for result in results)),
         str(len(results)),
     ]
 
 
-def columns(plan: plans.Plan) -> list[str]:
+def run_columns(plan: plans.Plan) -> list[str]:
     """Return the names of the columns that all tables of runs share."""
     return [
         *(f"goodput {tier}" for tier in plan.tiers),
@@ -87,171 +87,179 @@
 
 
 def load_table(results: Results) -> str:
-    """Return the policies at each load."""
+    """Return a table of the policies at each load."""
     text = ""
     for plan in plans.PLANS.values():
-        text += f"\n{plan.name}\n\n" + header(["load", "policy", *columns(plan)])
+        text += f"\n{plan.name}\n\n" + header(["load", "policy", *run_columns(plan)])
         of_plan = select(
             results, plan=plan.name, scenario=load.Scenario.NONE, alone=False
         )
         for multiple in sorted({r.run.load for r in of_plan}):
             for name in fleet.POLICIES:
-                found = select(of_plan, load=multiple, policy=name)
-                if found:
-                    text += row([f"{multiple:g}", name, *cells(found, plan)])
+                selected = select(of_plan, load=multiple, policy=name)
+                if selected:
+                    text += row([f"{multiple:g}", name, *run_cells(selected, plan)])
     return text
 
 
 def scenario_table(results: Results) -> str:
-    """Return what went wrong, and what it did to each policy."""
+    """Return a table of the policies under each scenario."""
     text = ""
     for plan in plans.PLANS.values():
-        text += f"\n{plan.name}\n\n" + header(["scenario", "policy", *columns(plan)])
+        text += f"\n{plan.name}\n\n" + header(
+            ["scenario", "policy", *run_columns(plan)]
+        )
         for scenario in load.Scenario:
             for name in fleet.POLICIES:
-                found = select(
+                selected = select(
                     results, plan=plan.name, scenario=scenario, policy=name, alone=False
                 )
-                if found and scenario is not load.Scenario.NONE:
-                    text += row([scenario.value, name, *cells(found, plan)])
+                if selected and scenario is not load.Scenario.NONE:
+                    text += row([scenario.value, name, *run_cells(selected, plan)])
     return text
 
 
-def wanted_table(results: Results) -> str:
-    """Return the wanted figures beside the measured ones, at 1.5 times capacity."""
+def target_table(results: Results) -> str:
+    """Return a table of target and measured figures at 1.5 times the capacity."""
     text = header(["wanted at 1.5 times the capacity", *plans.PLANS])
-    judged = [
-        ("highest tier, of what alone would fit: 0.99", of_alone),
+    targets = [
+        ("highest tier, of what alone would fit: 0.99", ratio_to_alone),
         ("all tiers, work of the bound: 0.90", bound_figure),
         ("wasted prefill: below 0.05", wasted_figure),
-        ("wasted prefill, of the best baseline's: below 0.5", of_baseline),
+        ("wasted prefill, of the best baseline's: below 0.5", ratio_to_best_baseline),
         ("refusal to its answer, worst: 0.1 s", refusal_figure),
         ("second dispatches: 0", lambda r, p: count(r, p, "second_dispatches")),
         ("callers without a final answer: 0", lambda r, p: count(r, p, "unanswered")),
         ("wrong answers: 0", lambda r, p: count(r, p, "wrong")),
     ]
-    for name, judge in judged:
-        text += row([name, *(judge(results, plan) for plan in plans.PLANS.values())])
+    for name, measured in targets:
+        text += row([name, *(measured(results, plan) for plan in plans.PLANS.values())])
     return text
 
 
 def at_overload(results: Results, plan: plans.Plan, **more: object) -> Results:
     """Return the runs at 1.5 times the capacity without a scenario."""
-    wanted = {"scenario": load.Scenario.NONE, "alone": False, **more}
-    return select(results, plan=plan.name, load=policy.SCENARIO_LOAD, **wanted)
+    criteria = {"scenario": load.Scenario.NONE, "alone": False, **more}
+    return select(results, plan=plan.name, load=policy.SCENARIO_LOAD, **criteria)
 
 
-def of_alone(results: Results, plan: plans.Plan) -> str:
-    """Return the highest tier's goodput over that of the tier alone, by seed."""
+def ratio_to_alone(results: Results, plan: plans.Plan) -> str:
+    """Return the highest tier's goodput relative to the tier alone, by seed."""
     tier = plan.tiers[0]
-    found = []
-    for mixed in at_overload(results, plan, policy=OWN):
+    ratios = []
+    for mixed in at_overload(results, plan, policy=OWN_POLICY):
         for alone in at_overload(
-            results, plan, policy=OWN, alone=True, seed=mixed.run.seed
+            results, plan, policy=OWN_POLICY, alone=True, seed=mixed.run.seed
         ):
             fits = max(1, alone.goodput[tier].part)
-            found.append(mixed.goodput[tier].part / fits)
-    return score.spread(found)
+            ratios.append(mixed.goodput[tier].part / fits)
+    return score.spread(ratios)
 
 
 def bound_figure(results: Results, plan: plans.Plan) -> str:
-    """Return the work of the bound."""
-    return score.spread(map(of_bound, at_overload(results, plan, policy=OWN)))
+    """Return the good work as a fraction of its bound, over all runs."""
+    return score.spread(
+        map(share_of_bound, at_overload(results, plan, policy=OWN_POLICY))
+    )
 
 
 def wasted_figure(results: Results, plan: plans.Plan) -> str:
-    """Return the wasted part of prefill."""
-    return score.spread(map(wasted, at_overload(results, plan, policy=OWN)))
+    """Return the wasted share of prefill, over all runs."""
+    return score.spread(
+        map(wasted_share, at_overload(results, plan, policy=OWN_POLICY))
+    )
 
 
-def of_baseline(results: Results, plan: plans.Plan) -> str:
-    """Return the wasted part over the least of any baseline's, mean over mean."""
+def ratio_to_best_baseline(results: Results, plan: plans.Plan) -> str:
+    """Return the mean wasted share relative to the lowest mean of any baseline."""
     means = {}
     for name in fleet.POLICIES:
-        found = [wasted(r) for r in at_overload(results, plan, policy=name)]
-        if found:
-            means[name] = sum(found) / len(found)
-    own = means.pop(OWN, 0.0)
+        shares = [wasted_share(r) for r in at_overload(results, plan, policy=name)]
+        if shares:
+            means[name] = sum(shares) / len(shares)
+    own = means.pop(OWN_POLICY, 0.0)
     return f"{own / min(means.values()):.3f}" if means else "-"
 
 
 def refusal_figure(results: Results, plan: plans.Plan) -> str:
-    """Return p95 and the worst time from a refusal's decision to its answer."""
-    found = [r for r in at_overload(results, plan, policy=OWN) if r.refusals]
-    p95 = score.spread(r.refusal[1] for r in found)
-    worst = max((r.refusal[2] for r in found), default=0.0)
-    total = sum(r.refusals for r in found)
+    """Return p95 and maximum of the time from a refusal's decision to its answer."""
+    with_refusals = [
+        r for r in at_overload(results, plan, policy=OWN_POLICY) if r.refusals
+    ]
+    p95 = score.spread(r.refusal[1] for r in with_refusals)
+    worst = max((r.refusal[2] for r in with_refusals), default=0.0)
+    total = sum(r.refusals for r in with_refusals)
     return f"p95 {p95}, worst {worst:.3f} of {total}"
 
 
 def count(results: Results, plan: plans.Plan, name: str) -> str:
-    """Return a sum over all runs of the system under any load and scenario."""
-    found = select(results, plan=plan.name, policy=OWN)
-    return f"{sum(getattr(r, name) for r in found)} in {len(found)} runs"
+    """Return a field's sum over all of Tealcove's runs, at any load and scenario."""
+    selected = select(results, plan=plan.name, policy=OWN_POLICY)
+    return f"{sum(getattr(r, name) for r in selected)} in {len(selected)} runs"
 
 
 def cost_table(path: str) -> str:
-    """Return the figures of all runs of `bench.cost`."""
-    found = msgspec.json.decode(pathlib.Path(path).read_bytes(), type=list[cost.Cost])
-    names = list(dict.fromkeys(name for one in found for name in one.figures))
-    text = header(["figure", *(one.label for one in found)])
+    """Return a table of the figures of all runs of `bench.cost`."""
+    costs = msgspec.json.decode(pathlib.Path(path).read_bytes(), type=list[cost.Cost])
+    names = list(dict.fromkeys(name for one in costs for name in one.figures))
+    text = header(["figure", *(one.label for one in costs)])
     for name in names:
-        values = [one.figures.get(name) for one in found]
+        values = [one.figures.get(name) for one in costs]
         text += row([name, *("-" if v is None else f"{v:g}" for v in values)])
     return text
 
 
 def plot(results: Results, path: str) -> None:
-    """Draw goodput by tier, work and waste over the load, with their spread."""
-    drawn = figure.Figure(figsize=(18, 7))
-    lines = drawn.subplots(2, 5, sharex=True)
+    """Plot goodput by tier, work and wasted prefill over the load, with ranges."""
+    canvas = figure.Figure(figsize=(18, 7))
+    lines = canvas.subplots(2, 5, sharex=True)
     for line, plan in zip(lines, plans.PLANS.values(), strict=True):
         of_plan = select(
             results, plan=plan.name, scenario=load.Scenario.NONE, alone=False
         )
         for axis, tier in zip(line, plan.tiers, strict=False):
             axis.set_title(f"{plan.name}: goodput, {tier}")
-            draw(axis, of_plan, lambda r, tier=tier: r.goodput[tier].value)
+            draw_metric(axis, of_plan, lambda r, tier=tier: r.goodput[tier].value)
         line[3].set_title("good work of the bound")
-        draw(line[3], of_plan, of_bound)
+        draw_metric(line[3], of_plan, share_of_bound)
         line[4].set_title("wasted prefill")
-        draw(line[4], of_plan, wasted)
+        draw_metric(line[4], of_plan, wasted_share)
     for axis in lines[1]:
         axis.set_xlabel("load, of the capacity")
     lines[0][0].legend()
-    drawn.tight_layout()
-    drawn.savefig(path, dpi=80)
+    canvas.tight_layout()
+    canvas.savefig(path, dpi=80)
 
 
-def draw(
+def draw_metric(
     axis: axes.Axes, results: Results, value: Callable[[load.Result], float]
 ) -> None:
-    """Draw one figure of each policy: means as lines, the range as bars."""
+    """Plot a metric for each policy: means as lines, ranges as error bars."""
     axis.set_ylim(0, 1.05)
     for name in fleet.POLICIES:
         own = select(results, policy=name)
         loads = sorted({r.run.load for r in own})
-        found = [[value(r) for r in select(own, load=x)] for x in loads]
-        means = [sum(values) / len(values) for values in found]
-        low = [mean - min(f) for mean, f in zip(means, found, strict=True)]
-        high = [max(f) - mean for mean, f in zip(means, found, strict=True)]
+        values_by_load = [[value(r) for r in select(own, load=x)] for x in loads]
+        means = [sum(values) / len(values) for values in values_by_load]
+        low = [mean - min(f) for mean, f in zip(means, values_by_load, strict=True)]
+        high = [max(f) - mean for mean, f in zip(means, values_by_load, strict=True)]
         if loads:
             axis.errorbar(
                 loads, means, yerr=[low, high], label=name, marker="o", capsize=3
             )
 
 
-def fill(page: str, tables: dict[str, str]) -> str:
-    """Return a page with the text between its marks replaced."""
+def replace_tables(page: str, tables: dict[str, str]) -> str:
+    """Return a page with the tables between its HTML comments replaced."""
 
-    def replaced(found: re.Match[str]) -> str:
-        name = found.group(2)
+    def replacement(match: re.Match[str]) -> str:
+        name = match.group(2)
         if name not in tables:
-            return found.group(0)
+            return match.group(0)
         return f"<!-- {name} -->\n{tables[name]}<!-- end -->"
 
-    marked = re.compile(r"(<!-- ([a-z ]+) -->\n).*?(<!-- end -->)", re.DOTALL)
-    return marked.sub(replaced, page)
+    pattern = re.compile(r"(<!-- ([a-z ]+) -->\n).*?(<!-- end -->)", re.DOTALL)
+    return pattern.sub(replacement, page)
 
 
 @dataclasses.dataclass
@@ -259,7 +267,7 @@
     """Write the tables into a page and draw the plot."""
 
     label: Annotated[str, cappa.Arg(long=True)]
-    # A later revision, whose runs stand in a section of their own.
+    # A later revision, whose runs go into a section of their own.
     after: Annotated[str, cappa.Arg(long=True)] = ""
     results: Annotated[str, cappa.Arg(long=True)] = "docs/measurements/policy.json"
     costs: Annotated[str, cappa.Arg(long=True)] = "docs/measurements/cost.json"
@@ -268,22 +276,22 @@
 
 
 def main() -> None:
-    """Write as the command line says."""
-    found = cappa.parse(Arguments)
-    results = read(found.results, found.label)
+    """Update the page's tables and write the plot."""
+    arguments = cappa.parse(Arguments)
+    results = read_results(arguments.results, arguments.label)
     tables = {
         "loads": load_table(results),
         "scenarios": scenario_table(results),
-        "wanted": wanted_table(results),
+        "wanted": target_table(results),
     }
-    if found.after:
-        later = read(found.results, found.after)
+    if arguments.after:
+        later = read_results(arguments.results, arguments.after)
         tables["after"] = load_table(later) + scenario_table(later)
-    if pathlib.Path(found.costs).exists():
-        tables["cost"] = cost_table(found.costs)
-    page = pathlib.Path(found.page)
-    page.write_text(fill(page.read_text("utf-8"), tables), "utf-8")
-    plot(results, found.plot)
+    if pathlib.Path(arguments.costs).exists():
+        tables["cost"] = cost_table(arguments.costs)
+    page = pathlib.Path(arguments.page)
+    page.write_text(replace_tables(page.read_text("utf-8"), tables), "utf-8")
+    plot(results, arguments.plot)
 
 
 if __name__ == "__main__":
